--- a/crates/core/src/routed/health.rs
+++ b/crates/core/src/routed/health.rs
@@ -8,7 +8,7 @@
 //! Failures are weighed by recency: a mean of outcomes that halves with every
 //! [`HALF`] outcomes. A server whose mean is over a half is left out, for a time that
 //! doubles while its first attempts after a return fail again. How many may be
-//! left out is for [`home`](super::home) to say: it prefers healthy servers, and
+//! left out is for [`affinity`](super::affinity) to say: it prefers healthy servers, and
 //! falls back on all.
 
 use crate::clock::Instant;
--- a/crates/core/src/routed/load.rs
+++ b/crates/core/src/routed/load.rs
@@ -19,7 +19,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::home;
+use super::affinity;
 use super::rank::{Instance, Rank};
 use crate::clock::Instant;
 
@@ -75,7 +75,7 @@
     for member in nodes {
         let zone = place(member.zone);
         let parts = u64::try_from(sizes[zone].div_ceil(GROUP)).unwrap_or(1);
-        let group = (zone, home::hash(member.name.as_bytes()) % parts);
+        let group = (zone, affinity::hash(member.name.as_bytes()) % parts);
         if member.name == own {
             group_of_own = Some(group);
         }
@@ -95,7 +95,7 @@
 }
 
 fn rank(member: &Instance) -> Rank {
-    member.rank(home::hash(b"hub"))
+    member.rank(affinity::hash(b"hub"))
 }
 
 /// Returns the short name of a server in tables.
--- a/crates/core/src/routed/rank.rs
+++ b/crates/core/src/routed/rank.rs
@@ -6,7 +6,7 @@
 //! the node with the larger link goes first, and the hash decides among equals. All nodes that
 //! know the same others agree.
 
-use super::home;
+use super::affinity;
 
 /// A node as it has entered itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     pub fn rank(&self, salt: u64) -> Rank {
         Rank {
             link_mbps: self.link_mbps,
-            hash: home::mix(home::hash(self.name.as_bytes()) ^ salt),
+            hash: affinity::mix(affinity::hash(self.name.as_bytes()) ^ salt),
         }
     }
 }
--- a/crates/core/src/routed/warmup.rs
+++ b/crates/core/src/routed/warmup.rs
@@ -11,7 +11,7 @@
 //! is used, so that two parts of the fleet that do not know each other keep it. A node that has just
 //! started knows too few others, so it uses none for [`SETTLE_MS`].
 
-use super::home;
+use super::affinity;
 use crate::clock::Instant;
 
 /// Part of the limit that is used while all nodes agree.
@@ -79,7 +79,7 @@
     server: u64,
     users: usize,
 ) -> bool {
-    let place = |name: &str| home::mix(home::hash(name.as_bytes()) ^ home::mix(server));
+    let place = |name: &str| affinity::mix(affinity::hash(name.as_bytes()) ^ affinity::mix(server));
     let own_place = place(own);
     let before = nodes.filter(|name| *name != own && place(name) > own_place);
     before.take(users).count() < users
--- a/crates/core/src/routed/watcher.rs
+++ b/crates/core/src/routed/watcher.rs
@@ -13,7 +13,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-use super::home;
+use super::affinity;
 use super::rank::Instance;
 
 /// Nodes of an availability zone that each watch for themselves.
@@ -91,7 +91,7 @@
 
 /// The first of `members` in the order of links; in a region they are the first of their zone too.
 fn first(mut members: Vec<Instance<'_>>) -> Vec<&str> {
-    let salt = home::hash(b"watcher");
+    let salt = affinity::hash(b"watcher");
     members.sort_by_cached_key(|member| Reverse(member.rank(salt)));
     members.truncate(WATCHERS);
     members.into_iter().map(|member| member.name).collect()
--- a/crates/core/tests/all/routed/home.rs
+++ b/crates/core/tests/all/routed/affinity.rs
@@ -2,14 +2,14 @@
 
 use std::collections::HashMap;
 
-use fescuerack_core::routed::home::{self, Candidate};
+use fescuerack_core::routed::affinity::{self, Candidate};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 
 fn servers(count: u64) -> Vec<Candidate> {
     (0..count)
         .map(|number| Candidate {
-            identity: home::hash(&number.to_be_bytes()),
+            identity: affinity::hash(&number.to_be_bytes()),
             load: 0.0,
             places: 6,
             is_near: number % 4 == 0,
@@ -27,9 +27,9 @@
     let after = servers(13);
     let mut moved = 0;
     for part in 0..2_000 {
-        let part = home::mix(part);
-        let old = home::choose(&before, Some(part), 0).expect("a server");
-        let new = home::choose(&after, Some(part), 1).expect("a server");
+        let part = affinity::mix(part);
+        let old = affinity::choose(&before, Some(part), 0).expect("a server");
+        let new = affinity::choose(&after, Some(part), 1).expect("a server");
         if before[old].identity != after[new].identity {
             assert_eq!(after[new].identity, after[12].identity);
             moved += 1;
@@ -54,7 +54,7 @@
         } else {
             random.random_range(100..400)
         };
-        let part = home::mix(part);
+        let part = affinity::mix(part);
         let idle: Vec<Candidate> = servers
             .iter()
             .map(|server| Candidate {
@@ -62,8 +62,8 @@
                 ..*server
             })
             .collect();
-        let first = home::choose(&idle, Some(part), 0).expect("a server");
-        let taken = home::choose(&servers, Some(part), 0).expect("a server");
+        let first = affinity::choose(&idle, Some(part), 0).expect("a server");
+        let taken = affinity::choose(&servers, Some(part), 0).expect("a server");
         at_home += u32::from(!is_hot && first == taken);
         servers[taken].load += 1.0;
         // Work is done at an even pace.
@@ -84,14 +84,17 @@
     let mut servers = servers(3);
     servers[0].is_healthy = false;
     for draw in 0..200 {
-        assert_ne!(home::choose(&servers, None, draw), Some(0));
-        assert_ne!(home::choose(&servers, Some(home::mix(draw)), 0), Some(0));
+        assert_ne!(affinity::choose(&servers, None, draw), Some(0));
+        assert_ne!(
+            affinity::choose(&servers, Some(affinity::mix(draw)), 0),
+            Some(0)
+        );
     }
     for server in &mut servers {
         server.is_healthy = false;
     }
-    assert!(home::choose(&servers, None, 1).is_some());
-    assert_eq!(home::choose(&[], None, 1), None);
+    assert!(affinity::choose(&servers, None, 1).is_some());
+    assert_eq!(affinity::choose(&[], None, 1), None);
 }
 
 /// Plain calls stay in the own availability zone, where bytes are free, until its
@@ -99,11 +102,11 @@
 #[test]
 fn choose_plain_call_leaves_the_zone_only_under_load() {
     let mut servers = servers(4);
-    assert_eq!(home::choose(&servers, None, 9), Some(0));
+    assert_eq!(affinity::choose(&servers, None, 9), Some(0));
     servers[0].load = 2.0;
-    assert_eq!(home::choose(&servers, None, 9), Some(0));
+    assert_eq!(affinity::choose(&servers, None, 9), Some(0));
     servers[0].load = 3.0;
-    assert_ne!(home::choose(&servers, None, 9), Some(0));
+    assert_ne!(affinity::choose(&servers, None, 9), Some(0));
 }
 
 /// Equal servers share plain calls: a fixed order would send every node's calls to
@@ -119,7 +122,7 @@
         .collect();
     let mut counts: HashMap<usize, u32> = HashMap::new();
     for draw in 0..4_000 {
-        let taken = home::choose(&servers, None, home::mix(draw)).expect("a server");
+        let taken = affinity::choose(&servers, None, affinity::mix(draw)).expect("a server");
         *counts.entry(taken).or_default() += 1;
     }
     assert!(
@@ -135,7 +138,7 @@
 fn choose_keeps_long_prompts_apart() {
     let mut servers = servers(12);
     for (rank, server) in servers.iter_mut().enumerate() {
-        server.is_suited = home::suits(rank, 12, false);
+        server.is_suited = affinity::suits(rank, 12, false);
     }
     let suited = servers.iter().filter(|server| server.is_suited).count();
     assert_eq!(suited, 9);
@@ -143,20 +146,20 @@
         server.load = 400.0;
     }
     for part in 0..100 {
-        let taken = home::choose(&servers, Some(home::mix(part)), 0).expect("a server");
+        let taken = affinity::choose(&servers, Some(affinity::mix(part)), 0).expect("a server");
         assert!(servers[taken].is_suited);
     }
     for server in servers.iter_mut().filter(|server| server.is_suited) {
         server.is_healthy = false;
     }
-    let taken = home::choose(&servers, Some(1), 0).expect("a server");
+    let taken = affinity::choose(&servers, Some(1), 0).expect("a server");
     assert!(!servers[taken].is_suited);
 }
 
 /// Three servers are too few to set some aside: all take everything.
 #[test]
 fn suits_few_servers_take_all() {
-    assert!((0..3).all(|rank| home::suits(rank, 3, true) && home::suits(rank, 3, false)));
+    assert!((0..3).all(|rank| affinity::suits(rank, 3, true) && affinity::suits(rank, 3, false)));
 }
 
 /// Guards against short prompts whose text crosses zones although a server near by could read it,
@@ -165,10 +168,10 @@
 fn choose_near_idle_zone_keeps_its_parts() {
     let servers = servers(12);
     for part in 0..200 {
-        let part = home::mix(part);
-        let taken = home::choose_near(&servers, part, 0).expect("a server");
+        let part = affinity::mix(part);
+        let taken = affinity::choose_near(&servers, part, 0).expect("a server");
         assert!(servers[taken].is_near);
-        assert_eq!(home::choose_near(&servers, part, 7), Some(taken));
+        assert_eq!(affinity::choose_near(&servers, part, 7), Some(taken));
     }
 }
 
@@ -181,9 +184,9 @@
         server.load = if server.is_near { 20.0 } else { 10.0 };
     }
     for part in 0..200 {
-        let part = home::mix(part);
-        let taken = home::choose_near(&servers, part, 0).expect("a server");
-        assert_eq!(Some(taken), home::choose(&servers, Some(part), 0));
+        let part = affinity::mix(part);
+        let taken = affinity::choose_near(&servers, part, 0).expect("a server");
+        assert_eq!(Some(taken), affinity::choose(&servers, Some(part), 0));
     }
 }
 
@@ -194,13 +197,13 @@
     for server in &mut servers {
         server.is_healthy = !server.is_near;
     }
-    let taken = home::choose_near(&servers, home::mix(5), 0).expect("a server");
+    let taken = affinity::choose_near(&servers, affinity::mix(5), 0).expect("a server");
     assert!(!servers[taken].is_near);
 }
 
 /// Guards against long parts that each zone reads anew.
 #[test]
 fn stays_near_long_parts_do_not() {
-    assert!(home::stays_near(172));
-    assert!(!home::stays_near(6_300));
+    assert!(affinity::stays_near(172));
+    assert!(!affinity::stays_near(6_300));
 }
--- a/crates/core/tests/all/routed/trial.rs
+++ b/crates/core/tests/all/routed/canary.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::home;
-use fescuerack_core::routed::trial::{Count, Counts, Evidence, Pair, Stage, Trial, Verdict};
+use fescuerack_core::routed::affinity;
+use fescuerack_core::routed::canary::{Count, Counts, Evidence, Pair, Stage, Trial, Verdict};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -39,7 +39,7 @@
                 continue;
             }
             let route = random.random_range(0..3_usize);
-            let session = home::mix(random.random_range(0..400));
+            let session = affinity::mix(random.random_range(0..400));
             let is_new = trial.includes(trial.stage(now), session);
             let is_bad = random.random::<f64>() < bad(route, is_new, passed);
             let pair: &mut Pair = evidence.counts.entry(route.to_string()).or_default();
@@ -136,7 +136,7 @@
 fn includes_is_the_share_of_sessions() {
     let trial = trial();
     let included = (0..100_000_u64)
-        .filter(|&one| trial.includes(Stage::Sampled, home::mix(one)))
+        .filter(|&one| trial.includes(Stage::Sampled, affinity::mix(one)))
         .count();
     assert!((11_700..12_300).contains(&included), "{included}");
 }
--- a/crates/core/tests/all/routed/tier.rs
+++ b/crates/core/tests/all/routed/escalation.rs
@@ -1,6 +1,6 @@
 //! Which model answers.
 
-use fescuerack_core::routed::tier;
+use fescuerack_core::routed::escalation;
 use rstest::rstest;
 
 #[rstest]
@@ -19,10 +19,13 @@
     #[case] pressure: f64,
     #[case] next: Option<usize>,
 ) {
-    assert_eq!(tier::next(models, model, confidence, pressure), next);
+    assert_eq!(escalation::next(models, model, confidence, pressure), next);
 }
 
 #[test]
 fn first_is_the_smallest() {
-    assert_eq!((tier::first(3), tier::first(0)), (Some(0), None));
+    assert_eq!(
+        (escalation::first(3), escalation::first(0)),
+        (Some(0), None)
+    );
 }
--- a/crates/core/tests/all/routed/vanish.rs
+++ b/crates/core/tests/all/routed/lease_expiry.rs
@@ -1,7 +1,7 @@
 //! Entries that vanish while the store is away.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::vanish::{Outage, RETURN_MS};
+use fescuerack_core::routed::lease_expiry::{Outage, RETURN_MS};
 
 /// Leases lapse in an outage, and the removals are heard of when the store returns.
 /// They are held while entries may come back; on a calm day a removal counts at once.
--- a/crates/core/tests/all/routed/load.rs
+++ b/crates/core/tests/all/routed/load.rs
@@ -1,7 +1,7 @@
 //! What others have running.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::home;
+use fescuerack_core::routed::affinity;
 use fescuerack_core::routed::load::{self, Duty, GROUP, Hub, Others};
 use fescuerack_core::routed::rank::Instance;
 use rand::{RngExt as _, SeedableRng as _};
@@ -140,7 +140,7 @@
 /// them at most.
 fn queue(nodes: usize, shares: bool) -> f64 {
     let mut random = Pcg64::seed_from_u64(17);
-    let servers: Vec<u64> = (0..10_u8).map(|number| home::hash(&[number])).collect();
+    let servers: Vec<u64> = (0..10_u8).map(|number| affinity::hash(&[number])).collect();
     let mut work = vec![vec![0.0_f64; servers.len()]; nodes];
     let mut others = vec![Others::default(); nodes];
     let mut hubs = vec![Hub::default(); nodes.div_ceil(GROUP)];
@@ -164,10 +164,10 @@
         }
         if random.random::<f64>() < 0.06 {
             let node = random.random_range(0..nodes);
-            let candidates: Vec<home::Candidate> = servers
+            let candidates: Vec<affinity::Candidate> = servers
                 .iter()
                 .enumerate()
-                .map(|(index, &identity)| home::Candidate {
+                .map(|(index, &identity)| affinity::Candidate {
                     identity,
                     load: work[node][index] + others[node].work(now, identity),
                     places: 64,
@@ -176,8 +176,8 @@
                     is_suited: true,
                 })
                 .collect();
-            let part = home::mix(random.random_range(0..100));
-            let taken = home::choose(&candidates, Some(part), 0).expect("a server");
+            let part = affinity::mix(random.random_range(0..100));
+            let taken = affinity::choose(&candidates, Some(part), 0).expect("a server");
             found.push(work.iter().map(|mine| mine[taken]).sum::<f64>() / PROMPT);
             work[node][taken] += PROMPT;
         }
--- a/crates/core/tests/all/routed/mod.rs
+++ b/crates/core/tests/all/routed/mod.rs
@@ -1,16 +1,16 @@
 //! Decisions for routed requests, each under the load that it answers.
 
+mod affinity;
 mod budget;
+mod canary;
 mod crash;
-mod grey;
+mod escalation;
 mod health;
-mod home;
+mod lease_expiry;
 mod load;
-mod pace;
+mod outlier;
 mod session;
-mod tier;
-mod trial;
-mod vanish;
+mod slowness;
 mod wait;
 mod warmup;
 mod watcher;
--- a/crates/core/tests/all/routed/pace.rs
+++ b/crates/core/tests/all/routed/slowness.rs
@@ -1,6 +1,6 @@
 //! Which answers of a version on trial count as slow.
 
-use fescuerack_core::routed::pace::{Pace, Usual};
+use fescuerack_core::routed::slowness::{Pace, Usual};
 use fescuerack_core::routed::wait::Wait;
 use rstest::rstest;
 
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::home;
+use fescuerack_core::routed::affinity;
+use fescuerack_core::routed::canary::Stage;
 use fescuerack_core::routed::load;
-use fescuerack_core::routed::trial::Stage;
 
 use crate::attempt::Job;
 use crate::clock::now;
@@ -121,7 +121,7 @@
     let now = now();
     let trial = trials::trial(node, order);
     let busy = trial.servers(trial.stage(now), new.len());
-    new.sort_by_key(|server| (!is_healthy(node, server), home::mix(server.identity)));
+    new.sort_by_key(|server| (!is_healthy(node, server), affinity::mix(server.identity)));
     new.truncate(busy);
     new
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::home;
+use fescuerack_core::routed::affinity;
 use http_body_util::{BodyExt as _, Limited};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -123,6 +123,6 @@
 }
 
 fn digest(organisation: Option<&str>, path: &str, body: &Bytes) -> u64 {
-    let caller = home::hash(organisation.unwrap_or_default().as_bytes());
-    home::mix(home::mix(caller ^ home::hash(path.as_bytes())) ^ home::hash(body))
+    let caller = affinity::hash(organisation.unwrap_or_default().as_bytes());
+    affinity::mix(affinity::mix(caller ^ affinity::hash(path.as_bytes())) ^ affinity::hash(body))
 }
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use fescuerack_core::routed::pace::Pace;
-use fescuerack_core::routed::{home, tier};
+use fescuerack_core::routed::slowness::Pace;
+use fescuerack_core::routed::{affinity, escalation};
 use http_body_util::{BodyExt as _, Limited};
 use hyper::{HeaderMap, Response, StatusCode};
 
@@ -79,7 +79,7 @@
 ) -> Option<usize> {
     let models = job.route.models.len();
     let pressure = pick::pressure(node, job, service, models.checked_sub(1)?).unwrap_or_default();
-    let next = tier::next(models, rank, confidence, pressure);
+    let next = escalation::next(models, rank, confidence, pressure);
     tracing::info!(
         event = "judged-answer",
         id = job.ask.id,
@@ -148,7 +148,7 @@
 #[must_use]
 pub fn kind(job: &Job, model: Option<usize>) -> u64 {
     let model = u64::try_from(model.unwrap_or_default()).unwrap_or_default();
-    home::mix(home::hash(job.route.name.as_bytes()) ^ model)
+    affinity::mix(affinity::hash(job.route.name.as_bytes()) ^ model)
 }
 
 /// Status and headers of an answer that is relayed.
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -6,12 +6,12 @@
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::budget::Budget;
+use fescuerack_core::routed::canary::Counts;
 use fescuerack_core::routed::crash::Suspects;
-use fescuerack_core::routed::grey::{Grey, Window};
 use fescuerack_core::routed::load::Others;
-use fescuerack_core::routed::pace::Usual;
+use fescuerack_core::routed::outlier::{Grey, Window};
 use fescuerack_core::routed::session::Recent;
-use fescuerack_core::routed::trial::Counts;
+use fescuerack_core::routed::slowness::Usual;
 use fescuerack_core::routed::wait::Wait;
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -20,9 +20,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fescuerack_core::routed::home;
+use fescuerack_core::routed::affinity;
+use fescuerack_core::routed::canary::{self, Counts, Stage};
 use fescuerack_core::routed::session::Recent;
-use fescuerack_core::routed::trial::{self, Counts, Stage};
 use http_body_util::{BodyExt as _, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -145,7 +145,7 @@
 pub fn collector(node: &Node, service: &str) -> Option<(String, SocketAddr)> {
     let view = node.view.borrow();
     let own = node.settings.borrow().instance.clone();
-    let salt = home::hash(service.as_bytes());
+    let salt = affinity::hash(service.as_bytes());
     let member = view.instances().max_by_key(|member| member.rank(salt))?;
     let address = view.nodes[member.name].address;
     (member.name != own).then(|| (member.name.to_owned(), address))
@@ -375,7 +375,7 @@
 pub fn sum(own: &Counts, heard: &BTreeMap<String, Counts>) -> Counts {
     let mut sum = own.clone();
     for counts in heard.values() {
-        trial::add(&mut sum, counts);
+        canary::add(&mut sum, counts);
     }
     sum
 }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use fescuerack_core::routed::home::{self, Candidate};
+use fescuerack_core::routed::affinity::{self, Candidate};
 
 use crate::attempt::Job;
 use crate::catalog::{Kind, Route};
@@ -130,13 +130,13 @@
 /// Hash of the session that a request belongs to, alike on all nodes.
 #[must_use]
 pub fn session(ask: &Ask, organisation: Option<&str>) -> u64 {
-    let base = home::hash(organisation.unwrap_or_default().as_bytes());
+    let base = affinity::hash(organisation.unwrap_or_default().as_bytes());
     if let Some(session) = &ask.session {
-        return home::mix(base ^ home::hash(session.as_bytes()));
+        return affinity::mix(base ^ affinity::hash(session.as_bytes()));
     }
     match shared_part(ask) {
-        Some(part) => home::mix(home::mix(part)),
-        None => home::mix(base ^ home::hash(ask.id.as_bytes())),
+        Some(part) => affinity::mix(affinity::mix(part)),
+        None => affinity::mix(base ^ affinity::hash(ask.id.as_bytes())),
     }
 }
 
@@ -166,7 +166,7 @@
     if total == 0 {
         return route.destinations.first().map(|one| one.service.clone());
     }
-    let mut draw = home::hash(id.as_bytes()) % total;
+    let mut draw = affinity::hash(id.as_bytes()) % total;
     for one in &route.destinations {
         if draw < u64::from(one.weight) {
             return Some(one.service.clone());
@@ -191,7 +191,7 @@
     let settings = node.settings.borrow();
     let others = node.others.borrow();
     let mut listed = eligible::servers(node, &view, job, service, model, tried);
-    listed.sort_by_key(|server| home::mix(server.identity));
+    listed.sort_by_key(|server| affinity::mix(server.identity));
     let rank = route.models.iter().position(|one| Some(&**one) == model);
     let sized = rank.map(|rank| (rank, route.models.len()));
     let is_small = reading(ask, sized) < LIGHT;
@@ -205,20 +205,20 @@
             places: server.listed.places,
             is_near: *server.listed.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
-            is_suited: route.models.len() < 2 || home::suits(rank, count, is_small),
+            is_suited: route.models.len() < 2 || affinity::suits(rank, count, is_small),
         })
         .collect();
     let part = match route.kind {
         Kind::Streaming => shared_part(ask)
-            .map(|part| home::mix(part ^ home::hash(model.unwrap_or_default().as_bytes()))),
+            .map(|part| affinity::mix(part ^ affinity::hash(model.unwrap_or_default().as_bytes()))),
         Kind::Idempotent | Kind::NonIdempotent => None,
     };
-    let draw = home::hash(ask.id.as_bytes());
+    let draw = affinity::hash(ask.id.as_bytes());
     let index = match part {
-        Some(part) if home::stays_near(shared_tokens(ask)) => {
-            home::choose_near(&candidates, part, draw)
+        Some(part) if affinity::stays_near(shared_tokens(ask)) => {
+            affinity::choose_near(&candidates, part, draw)
         }
-        part => home::choose(&candidates, part, draw),
+        part => affinity::choose(&candidates, part, draw),
     }?;
     let server = listed[index];
     let order = view.orders.get(service);
@@ -251,13 +251,13 @@
     let others = node.others.borrow();
     let models = &job.route.models;
     let mut listed = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
-    listed.sort_by_key(|server| home::mix(server.identity));
+    listed.sort_by_key(|server| affinity::mix(server.identity));
     let is_light = reading(&job.ask, Some((rank, models.len()))) < LIGHT;
     let count = listed.len();
     let loads: Vec<f64> = listed
         .iter()
         .enumerate()
-        .filter(|(place, _)| home::suits(*place, count, is_light))
+        .filter(|(place, _)| affinity::suits(*place, count, is_light))
         .map(|(_, server)| server.work + others.work(now, server.identity))
         .collect();
     let servers = u32::try_from(loads.len())
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::pace::Pace;
+use fescuerack_core::routed::slowness::Pace;
 use http_body_util::BodyExt as _;
 use http_body_util::channel::{Channel, Sender};
 use hyper::Response;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::tier;
+use fescuerack_core::routed::escalation;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use rand::RngExt as _;
@@ -140,7 +140,7 @@
         .count_request(now());
     let mut course = Course::default();
     if job.ask.any_model {
-        course.model = tier::first(job.route.models.len());
+        course.model = escalation::first(job.route.models.len());
     }
     let until = deadline(job.deadline);
     let steps = steps(node, &job, &service, &mut course);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
+use fescuerack_core::routed::affinity;
 use fescuerack_core::routed::health::Health;
-use fescuerack_core::routed::home;
 
 use crate::edge::{Listed, State};
 
@@ -119,8 +119,8 @@
 
 /// Hash by which a server's life is known, alike on all nodes.
 fn identity(listed: &Listed) -> u64 {
-    let id = home::hash(listed.id.as_bytes());
-    listed
-        .started_ms
-        .map_or(id, |started_ms| home::mix(id ^ home::mix(started_ms)))
+    let id = affinity::hash(listed.id.as_bytes());
+    listed.started_ms.map_or(id, |started_ms| {
+        affinity::mix(id ^ affinity::mix(started_ms))
+    })
 }
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -1,13 +1,13 @@
 //! Telling other nodes, through hubs, what this one has running and how its attempts ended;
-//! see [`load`] and [`grey`](fescuerack_core::routed::grey).
+//! see [`load`] and [`outlier`](fescuerack_core::routed::outlier).
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use fescuerack_core::routed::grey::Ends;
 use fescuerack_core::routed::load::{self, Duty, Hub, Table};
+use fescuerack_core::routed::outlier::Ends;
 use serde::{Deserialize, Serialize};
 
 use crate::clock::now;
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
+use fescuerack_core::routed::canary::{self, Stage, Trial, Verdict};
 use fescuerack_core::routed::load;
-use fescuerack_core::routed::pace::Pace;
-use fescuerack_core::routed::trial::{self, Stage, Trial, Verdict};
+use fescuerack_core::routed::slowness::Pace;
 
 use crate::clock::now;
 use crate::edge::{Answer, Call, Progress, Status};
@@ -148,7 +148,7 @@
 
 /// What this node has seen of a roll-out, slow answers that have not ended included.
 #[must_use]
-pub fn own_counts(node: &Node, service: &str, known: &Evidence) -> trial::Counts {
+pub fn own_counts(node: &Node, service: &str, known: &Evidence) -> canary::Counts {
     let mut counts = known.own.clone();
     let awaited = node.awaited.borrow();
     let of_service = awaited
@@ -257,7 +257,7 @@
     peer::collector(node, &order.rollout.service).is_none() || is_left_open
 }
 
-fn gather(node: &Node, order: &Order) -> trial::Evidence {
+fn gather(node: &Node, order: &Order) -> canary::Evidence {
     let mut evidence = node.evidence.borrow_mut();
     let known = evidence.entry(order.rollout.service.clone()).or_default();
     if *known.version != *order.rollout.version {
@@ -268,7 +268,7 @@
     }
     let own = own_counts(node, &order.rollout.service, known);
     let heard = peer::sum(&own, &known.heard);
-    let size = |counts: &trial::Counts| -> u32 {
+    let size = |counts: &canary::Counts| -> u32 {
         counts
             .values()
             .map(|pair| pair.old.all + pair.new.all)
@@ -279,14 +279,14 @@
     } else {
         heard
     };
-    trial::Evidence {
+    canary::Evidence {
         counts,
         crashed: u32::try_from(known.crashed.len()).unwrap_or(u32::MAX),
     }
 }
 
 /// Stops sending to the new version here, whether or not the record can be kept.
-fn halt(node: &Node, order: &Order, evidence: &trial::Evidence) {
+fn halt(node: &Node, order: &Order, evidence: &canary::Evidence) {
     let mut view = node.view.borrow_mut();
     if let Some(known) = view.orders.get_mut(&order.rollout.service)
         && known.rollout == order.rollout
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
+use fescuerack_core::routed::lease_expiry::Outage;
 use fescuerack_core::routed::rank::Instance;
-use fescuerack_core::routed::vanish::Outage;
 
 use crate::arrival::Sort;
 use crate::catalog::Catalog;
--- a/crates/node/tests/soak/backend.rs
+++ b/crates/node/tests/soak/backend.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use fescuerack_core::routed::home;
+use fescuerack_core::routed::affinity;
 use serde_json::json;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::{TcpListener, TcpStream};
@@ -270,7 +270,7 @@
             self.book.break_promise(line);
         }
         let (least, more) = WORK_MS;
-        let work_ms = least + home::mix(home::hash(id.as_bytes())) % more;
+        let work_ms = least + affinity::mix(affinity::hash(id.as_bytes())) % more;
         tokio::time::sleep(Duration::from_millis(work_ms)).await;
         if self.starts.get() != starts {
             return false;
