--- a/crates/client/src/admin/submit.rs
+++ b/crates/client/src/admin/submit.rs
@@ -7,7 +7,7 @@
 use super::draft::check_record;
 use super::{Draft, out};
 use crate::Store;
-use crate::manifest::{self, Applied, Wish};
+use crate::manifest::{self, Applied, ChangeRequest};
 
 /// Changes that are searched for a request that was sent before.
 const REMEMBERED: usize = 64;
@@ -48,15 +48,15 @@
                 effects: Vec::new(),
             });
         }
-        let wish = Wish {
-            seen: draft.manifest.clone(),
+        let change_request = ChangeRequest {
+            base: draft.manifest.clone(),
             files: draft.files.clone(),
             author: author.to_owned(),
             reason: proposal.why.clone(),
             at: manifest::seconds(),
             request: request.clone(),
         };
-        match manifest::apply(store, wish) {
+        match manifest::apply(store, change_request) {
             Applied::Accepted { revision } => {
                 return Ok(Accepted {
                     revision,
@@ -91,7 +91,7 @@
             Err(Error::new(Kind::Conflict, message))
         }
         Applied::Broken(what) => Err(Error::new(Kind::StoreOut, what)),
-        Applied::Out => Err(out(&anyhow::anyhow!("no answer until the deadline"))),
+        Applied::Unavailable => Err(out(&anyhow::anyhow!("no answer until the deadline"))),
         Applied::Unknown => Err(Error::new(
             Kind::OutcomeUnknown,
             "the store gave no answer after the change was sent: it may be in force; send the \
--- a/crates/client/src/manifest.rs
+++ b/crates/client/src/manifest.rs
@@ -2,7 +2,7 @@
 //! that names them.
 //!
 //! The manifest is swapped in one key, so all files of a change come into
-//! force together or not at all. The protocol is [`fescuerack_core::force`];
+//! force together or not at all. The protocol is [`fescuerack_core::activation`];
 //! this module runs it over a [`Store`].
 //!
 //! An operator's tool reads the manifest ([`read`]), works out what it would
@@ -16,9 +16,11 @@
 use anyhow::{Context as _, Result, bail};
 use bytes::Bytes;
 use fescuerack_config::{Folder, folder};
-use fescuerack_core::force::{Apply, CHUNK, CHUNKS, Chunk, blob_key, chunk_key};
+use fescuerack_core::activation::{
+    Apply, CHANGES_PER_CHUNK, CHUNK_COUNT, Chunk, blob_key, chunk_key,
+};
 
-pub use fescuerack_core::force::{Applied, Change, File, KEY, Manifest, Wish};
+pub use fescuerack_core::activation::{Applied, Change, ChangeRequest, File, KEY, Manifest};
 
 use crate::drive::{self, Timer as _, Wall};
 use crate::{Store, Value};
@@ -154,15 +156,15 @@
     /// Returns the wish that the plan stands for; author, reason and request
     /// are left to be filled in.
     #[must_use]
-    pub fn wish(&self, seen: Manifest, files: &Folder) -> Wish {
+    pub fn change_request(&self, base: Manifest, files: &Folder) -> ChangeRequest {
         let put = self.added.iter().chain(&self.changed);
         let put = put.map(|name| (name.clone(), files.files.get(name).cloned()));
         let removed = self.removed.iter().map(|name| (name.clone(), None));
-        Wish {
-            seen,
+        ChangeRequest {
+            base,
             files: put.chain(removed).collect(),
             at: seconds(),
-            ..Wish::default()
+            ..ChangeRequest::default()
         }
     }
 }
@@ -175,10 +177,10 @@
 
 /// Puts a wish in force. The same request may be sent again after
 /// [`Applied::Unknown`].
-pub fn apply(store: &dyn Store, wish: Wish) -> Applied {
+pub fn apply(store: &dyn Store, change_request: ChangeRequest) -> Applied {
     let timer = Wall::new();
     let seed = timer.now().0;
-    let mut machine = Apply::new(wish, timer.now() + DEADLINE, seed);
+    let mut machine = Apply::new(change_request, timer.now() + DEADLINE, seed);
     drive::run(store, &timer, &mut machine)
 }
 
@@ -192,18 +194,18 @@
         return Ok(Vec::new());
     };
     let mut changes = vec![manifest.change.clone()];
-    let newest = manifest.revision / CHUNK;
-    let oldest = newest.saturating_sub(CHUNKS - 1);
+    let newest = manifest.revision / CHANGES_PER_CHUNK;
+    let oldest = newest.saturating_sub(CHUNK_COUNT - 1);
     for round in (oldest..=newest).rev() {
         if changes.len() >= most {
             break;
         }
-        let Some(value) = store.get(&chunk_key(round * CHUNK))? else {
+        let Some(value) = store.get(&chunk_key(round * CHANGES_PER_CHUNK))? else {
             continue;
         };
         let chunk: Chunk = parse(&value).context("parse the history")?;
         let older = chunk.changes.into_iter().rev();
-        let in_round = older.filter(|change| change.revision / CHUNK == round);
+        let in_round = older.filter(|change| change.revision / CHANGES_PER_CHUNK == round);
         changes.extend(in_round.filter(|change| change.revision < manifest.revision));
     }
     changes.truncate(most);
@@ -218,12 +220,12 @@
 pub fn publish(store: &dyn Store, files: &Folder, author: &str) -> Result<u64> {
     let (_, seen) = read(store)?.unwrap_or_default();
     let plan = Plan::new(&seen, files, true);
-    let wish = Wish {
+    let change_request = ChangeRequest {
         author: author.to_owned(),
         request: format!("publish-{author}-{}", Wall::new().now().0),
-        ..plan.wish(seen, files)
+        ..plan.change_request(seen, files)
     };
-    match apply(store, wish) {
+    match apply(store, change_request) {
         Applied::Accepted { revision } | Applied::Unchanged { revision } => Ok(revision),
         Applied::Conflict { file, theirs } => {
             let by = theirs.map_or_else(String::new, |file| format!(" by {}", file.author));
@@ -235,7 +237,7 @@
         }
         Applied::Broken(what) => bail!("{what}"),
         Applied::Unknown => bail!("no answer from the store; the change may be in force"),
-        Applied::Out => bail!("no answer from the store; nothing was changed"),
+        Applied::Unavailable => bail!("no answer from the store; nothing was changed"),
     }
 }
 
--- a/crates/core/src/force/apply/mod.rs
+++ b/crates/core/src/activation/apply/mod.rs
@@ -17,8 +17,8 @@
 use bytes::Bytes;
 use fescuerack_config::{Problem, folder};
 
-use super::history::{CHUNK, Chunk, chunk_key};
-use super::{File, KEY, Manifest, Wish, blob_key};
+use super::history::{CHANGES_PER_CHUNK, Chunk, chunk_key};
+use super::{ChangeRequest, File, KEY, Manifest, blob_key};
 use crate::clock::Instant;
 use crate::store::{Backoff, Call, Machine, NO_VERSION, Reply, Step, Value};
 
@@ -54,7 +54,7 @@
     /// force. Sending the same request again tells.
     Unknown,
     /// The store gave no answer until the deadline; nothing was changed.
-    Out,
+    Unavailable,
 }
 
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
 /// The protocol.
 #[derive(Clone, Debug)]
 pub struct Apply {
-    wish: Wish,
+    change_request: ChangeRequest,
     deadline: Instant,
     phase: Phase,
     wait: Option<Instant>,
@@ -108,7 +108,7 @@
 impl Apply {
     /// Prepares to put `wish` in force until `deadline`.
     #[must_use]
-    pub fn new(wish: Wish, deadline: Instant, seed: u64) -> Self {
+    pub fn new(change_request: ChangeRequest, deadline: Instant, seed: u64) -> Self {
         let mut machine = Self {
             contents: BTreeMap::new(),
             deadline,
@@ -122,8 +122,8 @@
             missing: VecDeque::new(),
             blobs: VecDeque::new(),
             ambiguous: false,
-            searched: wish.seen.revision,
-            wish,
+            searched: change_request.base.revision,
+            change_request,
         };
         if let Some(problem) = machine.oversize() {
             machine.phase = Phase::Done(Applied::Refused(vec![problem]));
@@ -146,7 +146,7 @@
     fn rebase(&mut self, version: u64, manifest: Manifest) {
         self.version = version;
         self.current = manifest;
-        if self.current.change.request == self.wish.request {
+        if self.current.change.request == self.change_request.request {
             let revision = self.current.revision;
             self.phase = Phase::Done(Applied::Accepted { revision });
             return;
@@ -159,9 +159,9 @@
             self.phase = Phase::Probe(self.search(None));
             return;
         }
-        let wish = &self.wish;
+        let change_request = &self.change_request;
         let untouched = self.current.files.iter();
-        let untouched = untouched.filter(|(name, _)| !wish.files.contains_key(*name));
+        let untouched = untouched.filter(|(name, _)| !change_request.files.contains_key(*name));
         self.missing = untouched
             .map(|(_, file)| file.digest.clone())
             .filter(|digest| !self.contents.contains_key(digest))
@@ -250,11 +250,11 @@
                 None => return self.broken("the manifest is malformed"),
             },
         };
-        if manifest.revision < self.wish.seen.revision {
+        if manifest.revision < self.change_request.base.revision {
             // The operator has seen a newer one: an old read.
             return self.pause(now);
         }
-        if !back || manifest.change.request == self.wish.request {
+        if !back || manifest.change.request == self.change_request.request {
             return self.rebase(version, manifest);
         }
         self.phase = if manifest.revision < self.next.revision {
@@ -276,13 +276,13 @@
         }
         let chunk = value.and_then(decode::<Chunk>).unwrap_or_default();
         let mut changes = chunk.changes.iter();
-        let ours = changes.find(|change| change.request == self.wish.request);
+        let ours = changes.find(|change| change.request == self.change_request.request);
         if let Some(change) = ours {
             let revision = change.revision;
             self.phase = Phase::Done(Applied::Accepted { revision });
             return;
         }
-        search.from = (search.from / CHUNK + 1) * CHUNK;
+        search.from = (search.from / CHANGES_PER_CHUNK + 1) * CHANGES_PER_CHUNK;
         if search.from <= search.to {
             self.phase = Phase::Probe(search);
             return;
@@ -383,7 +383,7 @@
             return Step::Done(if self.ambiguous {
                 Applied::Unknown
             } else {
-                Applied::Out
+                Applied::Unavailable
             });
         }
         if let Some(until) = self.wait {
--- a/crates/core/src/force/apply/next.rs
+++ b/crates/core/src/activation/apply/next.rs
@@ -5,13 +5,13 @@
 use bytes::Bytes;
 use fescuerack_config::{Catalog, Folder, Merged, Names, Problem, folder};
 
-use super::super::{Change, File, LONGEST_REASON, Manifest};
+use super::super::{Change, File, MAX_REASON_BYTES, Manifest};
 use super::{Applied, Apply, Phase, encode};
 use crate::store::LARGEST_VALUE;
 
 impl Apply {
     pub(super) fn oversize(&self) -> Option<Problem> {
-        let mut files = self.wish.files.iter();
+        let mut files = self.change_request.files.iter();
         let (name, content) = files.find(|(_, content)| {
             content
                 .as_ref()
@@ -24,14 +24,14 @@
 
     pub(super) fn compare(&self) -> Option<Applied> {
         let mut changes = false;
-        for (name, content) in &self.wish.files {
+        for (name, content) in &self.change_request.files {
             let stands = self.current.files.get(name);
             let wanted = content.as_ref().map(|content| folder::digest(content));
             if stands.map(|file| &file.digest) == wanted.as_ref() {
                 continue;
             }
             changes = true;
-            let seen = self.wish.seen.files.get(name);
+            let seen = self.change_request.base.files.get(name);
             if stands.map(|file| &file.digest) != seen.map(|file| &file.digest) {
                 return Some(Applied::Conflict {
                     file: name.clone(),
@@ -51,7 +51,7 @@
         let revision = self.current.revision + 1;
         let mut files = self.current.files.clone();
         let mut digests = BTreeMap::new();
-        for (name, content) in &self.wish.files {
+        for (name, content) in &self.change_request.files {
             let digest = content.as_ref().map(|content| folder::digest(content));
             digests.insert(name.clone(), digest.clone());
             let Some(digest) = digest else {
@@ -60,22 +60,22 @@
             };
             let file = File {
                 digest,
-                author: self.wish.author.clone(),
+                author: self.change_request.author.clone(),
                 revision,
             };
             files.insert(name.clone(), file);
         }
-        let mut reason = self.wish.reason.clone();
-        reason.truncate(reason.floor_char_boundary(LONGEST_REASON));
+        let mut reason = self.change_request.reason.clone();
+        reason.truncate(reason.floor_char_boundary(MAX_REASON_BYTES));
         self.next = Manifest {
             revision,
             files,
             change: Change {
                 revision,
-                author: self.wish.author.clone(),
+                author: self.change_request.author.clone(),
                 reason,
-                at: self.wish.at,
-                request: self.wish.request.clone(),
+                at: self.change_request.at,
+                request: self.change_request.request.clone(),
                 files: digests,
             },
         };
@@ -83,13 +83,19 @@
             Ok(()) => Phase::Blobs,
             Err(problems) => self.confirmed(Applied::Refused(problems)),
         };
-        self.blobs = self.wish.files.values().flatten().cloned().collect();
+        self.blobs = self
+            .change_request
+            .files
+            .values()
+            .flatten()
+            .cloned()
+            .collect();
     }
 
     fn check(&self) -> Result<(), Vec<Problem>> {
         let mut merged = Folder::new();
         for (name, file) in &self.next.files {
-            let wished = self.wish.files.get(name).cloned().flatten();
+            let wished = self.change_request.files.get(name).cloned().flatten();
             let content = wished.or_else(|| self.contents.get(&file.digest).cloned());
             merged = merged.with_file(name, content.unwrap_or_default());
         }
--- a/crates/core/src/force/follower.rs
+++ b/crates/core/src/activation/follower.rs
@@ -9,7 +9,7 @@
 
 /// What to do with a manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum Decision {
     /// It is not newer than the one in force.
     Old,
     /// It was refused before.
@@ -46,13 +46,13 @@
 
     /// Decides about a manifest.
     #[must_use]
-    pub fn see(&self, manifest: &Manifest) -> Seen {
+    pub fn decide(&self, manifest: &Manifest) -> Decision {
         if manifest.revision <= self.revision {
-            Seen::Old
+            Decision::Old
         } else if self.refused == Some(manifest.revision) {
-            Seen::Refused
+            Decision::Refused
         } else {
-            Seen::Fetch
+            Decision::Fetch
         }
     }
 
@@ -66,7 +66,7 @@
     /// # Panics
     ///
     /// When the revision falls: an accepted configuration would revert.
-    pub fn put(&mut self, revision: u64) {
+    pub fn activate(&mut self, revision: u64) {
         assert!(
             revision > self.revision,
             "the configuration would fall from revision {} to {revision}",
--- a/crates/core/src/force/history.rs
+++ b/crates/core/src/activation/history.rs
@@ -11,9 +11,9 @@
 
 /// Changes in one chunk. At 200 files a change it stays under the largest
 /// value of the store.
-pub const CHUNK: u64 = 16;
+pub const CHANGES_PER_CHUNK: u64 = 16;
 /// Chunks in the ring: 16,384 changes, or five days at 3,000 a day.
-pub const CHUNKS: u64 = 1024;
+pub const CHUNK_COUNT: u64 = 1024;
 
 /// A run of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,10 @@
 /// Returns the key of the chunk that holds `revision`.
 #[must_use]
 pub fn chunk_key(revision: u64) -> String {
-    format!("config/history/{:04}", revision / CHUNK % CHUNKS)
+    format!(
+        "config/history/{:04}",
+        revision / CHANGES_PER_CHUNK % CHUNK_COUNT
+    )
 }
 
 impl Chunk {
@@ -43,8 +46,9 @@
         if self.get(change.revision).is_some() {
             return false;
         }
-        let round = change.revision / CHUNK;
-        self.changes.retain(|other| other.revision / CHUNK == round);
+        let round = change.revision / CHANGES_PER_CHUNK;
+        self.changes
+            .retain(|other| other.revision / CHANGES_PER_CHUNK == round);
         self.changes.push(change.clone());
         self.changes.sort_by_key(|change| change.revision);
         true
--- a/crates/core/src/force/mod.rs
+++ b/crates/core/src/activation/mod.rs
@@ -16,8 +16,8 @@
 mod history;
 
 pub use apply::{Applied, Apply};
-pub use follower::{Follower, Seen};
-pub use history::{CHUNK, CHUNKS, Chunk, chunk_key};
+pub use follower::{Decision, Follower};
+pub use history::{CHANGES_PER_CHUNK, CHUNK_COUNT, Chunk, chunk_key};
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 pub const KEY: &str = "config/manifest";
 
 /// Most bytes of a reason that are kept.
-pub const LONGEST_REASON: usize = 500;
+pub const MAX_REASON_BYTES: usize = 500;
 
 /// Returns the key under which a file's content is kept.
 #[must_use]
@@ -78,10 +78,10 @@
 
 /// What an operator wants changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
+pub struct ChangeRequest {
     /// The manifest that the operator has seen; a file that somebody else
     /// changed since then is a conflict.
-    pub seen: Manifest,
+    pub base: Manifest,
     /// Content of each file to put; none for each to remove.
     pub files: BTreeMap<String, Option<Bytes>>,
     /// Who asks.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,12 +5,12 @@
 //! a bench or a recorded trace. Each module holds its own state, messages and
 //! invariants; a broken invariant stops the process.
 
+pub mod activation;
 pub mod admission;
 pub mod attempt;
 pub mod cascade;
 pub mod claim;
 pub mod clock;
-pub mod force;
 pub mod ledger;
 pub mod member;
 pub mod num;
--- a/crates/node/benches/store.rs
+++ b/crates/node/benches/store.rs
@@ -169,12 +169,13 @@
             Folder::new().with_file("90-bench.yaml", format!("models:\n  b{change}: {{}}\n"));
         let (_, seen) = manifest::read(&store).expect("an answer").expect("one");
         let plan = manifest::Plan::new(&seen, &folder, false);
-        let wish = manifest::Wish {
+        let change_request = manifest::ChangeRequest {
             author: "bench".to_owned(),
             request: format!("bench-{change}"),
-            ..plan.wish(seen, &folder)
+            ..plan.change_request(seen, &folder)
         };
-        let manifest::Applied::Accepted { revision } = manifest::apply(&store, wish) else {
+        let manifest::Applied::Accepted { revision } = manifest::apply(&store, change_request)
+        else {
             panic!("not accepted");
         };
         let accepted = Instant::now();
--- a/crates/node/src/force.rs
+++ b/crates/node/src/activation.rs
@@ -15,7 +15,7 @@
 use fescuerack_client::drive::Timer as _;
 use fescuerack_client::{Store as _, manifest};
 use fescuerack_config::{Catalog, Folder, Merged};
-use fescuerack_core::force::{Follower, Manifest, Seen};
+use fescuerack_core::activation::{Decision, Follower, Manifest};
 use fescuerack_core::store::Backoff;
 use serde_json::json;
 
@@ -222,8 +222,8 @@
     };
     let desk = &shared.configuration;
     desk.seen.fetch_max(version, Ordering::SeqCst);
-    let decision = lock(&desk.inner).follower.see(&manifest);
-    if decision == Seen::Fetch {
+    let decision = lock(&desk.inner).follower.decide(&manifest);
+    if decision == Decision::Fetch {
         let have = lock(&desk.inner).folder.clone();
         let folder = manifest::fetch_with(&shared.store, &manifest, &have)?;
         put(shared, manifest, folder, &Source::Store);
@@ -247,10 +247,10 @@
         Err(problem) => return refuse(shared, revision, &problem),
     };
     let mut inner = lock(&shared.configuration.inner);
-    if inner.follower.see(&manifest) == Seen::Old {
+    if inner.follower.decide(&manifest) == Decision::Old {
         return;
     }
-    inner.follower.put(revision);
+    inner.follower.activate(revision);
     let was_put = shared.put_in_force(force);
     assert!(
         was_put,
@@ -309,8 +309,8 @@
     }
     offers.sort_by_key(|(manifest, _)| std::cmp::Reverse(manifest.revision));
     for (manifest, address) in offers {
-        let seen = lock(&shared.configuration.inner).follower.see(&manifest);
-        if seen != Seen::Fetch {
+        let seen = lock(&shared.configuration.inner).follower.decide(&manifest);
+        if seen != Decision::Fetch {
             continue;
         }
         if let Ok(folder) = fetch_from(shared, &address, &manifest) {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,13 +10,13 @@
 //! [`Node`] holds all of it and is what the binary, the demo and the tests
 //! start.
 
+mod activation;
 mod admission;
 mod aid;
 mod callers;
 mod claims;
 mod clock;
 pub mod commands;
-mod force;
 mod ledger;
 mod loads;
 mod metrics;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -15,7 +15,7 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::stop::Stop;
-use crate::{claims, force, ledger, loads, orders, servers, versions};
+use crate::{activation, claims, ledger, loads, orders, servers, versions};
 
 /// Stack of one thread, in bytes. Threads that read backend servers are many
 /// and shallow.
@@ -58,8 +58,8 @@
         runtime.spawn(peers::follow(Arc::clone(&shared)));
         runtime.spawn(ledger::copy(Arc::clone(&shared)));
         let stop = Stop::new();
-        spawn("config", &shared, &stop, force::follow)?;
-        spawn("watch", &shared, &stop, force::watch)?;
+        spawn("config", &shared, &stop, activation::follow)?;
+        spawn("watch", &shared, &stop, activation::watch)?;
         spawn("servers", &shared, &stop, servers::follow)?;
         spawn("orders", &shared, &stop, orders::follow)?;
         spawn("loads", &shared, &stop, loads::follow)?;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -21,7 +21,7 @@
 use crate::metrics::Metrics;
 use crate::settings::Settings;
 use crate::versions::Versions;
-use crate::{claims, force, ledger, orders};
+use crate::{activation, claims, ledger, orders};
 
 /// The configuration in force, with the names of its keys.
 #[derive(Clone, Debug, Default)]
@@ -73,7 +73,7 @@
     /// Claims of non-idempotent requests.
     pub claims: claims::Desk,
     /// Where the configuration in force comes from.
-    pub configuration: force::Desk,
+    pub configuration: activation::Desk,
     /// Other instances and the soft state that is shared with them.
     pub member: Mutex<member::Exchange>,
     /// Servers of which peers were told that they leave.
@@ -116,7 +116,7 @@
             versions: Versions::new(&incarnation, &settings.platform),
             ledger: ledger::Desk::new(&incarnation),
             claims: claims::Desk::default(),
-            configuration: force::Desk::default(),
+            configuration: activation::Desk::default(),
             incarnation,
             clock: Clock::new(),
             wall: Wall::new(),
--- a/crates/node/tests/all/configuration.rs
+++ b/crates/node/tests/all/configuration.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use fescuerack_client::manifest::{self, Applied, Manifest, Wish};
+use fescuerack_client::manifest::{self, Applied, ChangeRequest, Manifest};
 use fescuerack_client::{HttpStore, Store as _};
 use fescuerack_standin::Fault;
 
@@ -18,9 +18,15 @@
     read.expect("a manifest").1
 }
 
-fn wish(seen: &Manifest, author: &str, name: &str, content: &str, request: &str) -> Wish {
-    Wish {
-        seen: seen.clone(),
+fn change_request(
+    base: &Manifest,
+    author: &str,
+    name: &str,
+    content: &str,
+    request: &str,
+) -> ChangeRequest {
+    ChangeRequest {
+        base: base.clone(),
         files: BTreeMap::from([(name.to_owned(), Some(Bytes::from(content.to_owned())))]),
         author: author.to_owned(),
         reason: "test".to_owned(),
@@ -53,8 +59,8 @@
                 let file = format!("90-{team}.yaml");
                 let content = format!("models:\n  {team}: {{note: \"{change}\"}}\n");
                 let request = format!("{team}-{change}");
-                let wish = wish(&seen, team, &file, &content, &request);
-                let applied = manifest::apply(&store, wish);
+                let change_request = change_request(&seen, team, &file, &content, &request);
+                let applied = manifest::apply(&store, change_request);
                 assert!(matches!(applied, Applied::Accepted { .. }), "{applied:?}");
                 seen = manifest::read(&store).expect("an answer").expect("one").1;
             }
@@ -81,14 +87,14 @@
     let world = World::new();
     let seen_by_both = seen(&world);
     let store = store(&world);
-    let first = wish(
+    let first = change_request(
         &seen_by_both,
         "aino",
         "90-lapset.yaml",
         "models:\n  a: {note: one}\n",
         "1",
     );
-    let second = wish(
+    let second = change_request(
         &seen_by_both,
         "eero",
         "90-lapset.yaml",
@@ -121,7 +127,7 @@
     let process = world.start("entry-0");
     let before = seen(&world);
     let store = store(&world);
-    let bad = wish(
+    let bad = change_request(
         &before,
         "eero",
         "90-bad.yaml",
@@ -181,8 +187,8 @@
             serde_json::from_slice::<Manifest>(&value.bytes).expect("JSON")
         });
         let request = change.to_string();
-        let wish = wish(&current, "aino", "90-a.yaml", &content, &request);
-        let applied = manifest::apply(&store(&world), wish);
+        let change_request = change_request(&current, "aino", "90-a.yaml", &content, &request);
+        let applied = manifest::apply(&store(&world), change_request);
         revision = current.revision + 1;
         assert_eq!(applied, Applied::Accepted { revision });
     }
--- a/crates/standin/tests/all/force.rs
+++ b/crates/standin/tests/all/activation.rs
@@ -5,10 +5,11 @@
 
 use bytes::Bytes;
 use fescuerack_config::folder;
-use fescuerack_core::clock::Instant;
-use fescuerack_core::force::{
-    Applied, Apply, CHUNK, Chunk, Follower, KEY, Manifest, Seen, Wish, blob_key, chunk_key,
+use fescuerack_core::activation::{
+    Applied, Apply, CHANGES_PER_CHUNK, ChangeRequest, Chunk, Decision, Follower, KEY, Manifest,
+    blob_key, chunk_key,
 };
+use fescuerack_core::clock::Instant;
 use fescuerack_core::store::{Call, Machine as _, Reply, Step};
 use fescuerack_standin::{Chaos, Odds};
 
@@ -19,7 +20,7 @@
 const INSTANCES: usize = 3;
 
 struct Operator {
-    wish: Wish,
+    change_request: ChangeRequest,
     /// Manifests that had been in force when it began.
     began: usize,
     machine: Apply,
@@ -37,11 +38,11 @@
     now: Instant,
     operators: Vec<Operator>,
     /// Wishes whose operator was killed or got no answer.
-    unsure: Vec<Wish>,
+    unsure: Vec<ChangeRequest>,
     instances: Vec<Instance>,
     /// Every manifest that was ever in force, as the store had it.
     log: Vec<Manifest>,
-    wishes: BTreeMap<String, Wish>,
+    wishes: BTreeMap<String, ChangeRequest>,
     accepted: BTreeMap<String, u64>,
     rejected: Vec<String>,
     /// Requests that were told that nothing was changed, and how many manifests
@@ -105,10 +106,10 @@
         let request = &manifest.change.request;
         let again = self.log.iter().any(|old| old.change.request == *request);
         assert!(!again, "request {request} came into force twice");
-        let wish = &self.wishes[request];
+        let change_request = &self.wishes[request];
         for (name, digest) in &manifest.change.files {
             let before = last.files.get(name).map(|file| &file.digest);
-            let seen = wish.seen.files.get(name).map(|file| &file.digest);
+            let seen = change_request.base.files.get(name).map(|file| &file.digest);
             let same = before == digest.as_ref();
             assert!(same || before == seen, "{name} was overwritten unseen");
         }
@@ -130,7 +131,7 @@
             self.note();
         }
         if self.operators.len() < OPERATORS && self.dice.chance(0.2) {
-            self.wish();
+            self.change_request();
         }
         if self.dice.chance(0.3) {
             self.follow();
@@ -141,18 +142,18 @@
         let index = self.dice.below(self.operators.len());
         if self.dice.chance(0.01) {
             let killed = self.operators.swap_remove(index);
-            self.unsure.push(killed.wish);
+            self.unsure.push(killed.change_request);
             return self.count("kills");
         }
         self.advance(index);
     }
 
-    fn wish(&mut self) {
+    fn change_request(&mut self) {
         if !self.unsure.is_empty() && self.dice.chance(0.5) {
-            let wish = self.unsure.swap_remove(0);
+            let change_request = self.unsure.swap_remove(0);
             self.count("sent again");
-            self.asked_before.insert(wish.request.clone());
-            return self.start(wish);
+            self.asked_before.insert(change_request.request.clone());
+            return self.start(change_request);
         }
         self.next += 1;
         let seen = if self.dice.chance(0.2) {
@@ -176,24 +177,25 @@
             };
             files.insert(name, content);
         }
-        let wish = Wish {
-            seen,
+        let change_request = ChangeRequest {
+            base: seen,
             files,
             author: format!("team-{}", self.dice.below(3)),
             reason: "because".to_owned(),
             at: self.now.0,
             request: format!("request-{}", self.next),
         };
-        self.wishes.insert(wish.request.clone(), wish.clone());
-        self.start(wish);
+        self.wishes
+            .insert(change_request.request.clone(), change_request.clone());
+        self.start(change_request);
     }
 
-    fn start(&mut self, wish: Wish) {
+    fn start(&mut self, change_request: ChangeRequest) {
         let deadline = self.now.plus_millis(500 + self.dice.below(4_000) as u64);
-        let machine = Apply::new(wish.clone(), deadline, self.dice.number());
+        let machine = Apply::new(change_request.clone(), deadline, self.dice.number());
         let began = self.log.len();
         self.operators.push(Operator {
-            wish,
+            change_request,
             began,
             machine,
         });
@@ -209,13 +211,13 @@
             }
             Step::Done(applied) => {
                 let operator = self.operators.swap_remove(index);
-                self.told(operator.wish, operator.began, applied);
+                self.told(operator.change_request, operator.began, applied);
             }
         }
     }
 
-    fn told(&mut self, wish: Wish, began: usize, applied: Applied) {
-        let request = wish.request.clone();
+    fn told(&mut self, change_request: ChangeRequest, began: usize, applied: Applied) {
+        let request = change_request.request.clone();
         match applied {
             Applied::Accepted { revision } => {
                 let index = usize::try_from(revision).expect("small");
@@ -223,7 +225,7 @@
                     self.log[index].change.request, request,
                     "accepted is not in force"
                 );
-                let mut contents = wish.files.values().flatten();
+                let mut contents = change_request.files.values().flatten();
                 let is_bad = contents.any(|content| content.starts_with(b"nonsense"));
                 assert!(!is_bad, "nonsense was accepted");
                 self.accepted.insert(request, revision);
@@ -233,9 +235,9 @@
                 let digest = |manifest: &Manifest| manifest.files.get(&file).cloned();
                 let mut newer = self.log.iter().skip(1);
                 let changed = newer.any(|manifest| {
-                    manifest.revision > wish.seen.revision
+                    manifest.revision > change_request.base.revision
                         && digest(manifest).map(|file| file.digest)
-                            != digest(&wish.seen).map(|file| file.digest)
+                            != digest(&change_request.base).map(|file| file.digest)
                 });
                 assert!(changed, "{request} conflicts with nothing");
                 self.rejected.push(request);
@@ -243,23 +245,23 @@
             }
             Applied::Refused(problems) => {
                 assert!(!problems.is_empty());
-                let bad = wish.files.values().flatten();
+                let bad = change_request.files.values().flatten();
                 let bad = bad.filter(|content| content.starts_with(b"nonsense"));
                 assert!(bad.count() > 0, "a good change was refused: {problems:?}");
                 self.rejected.push(request);
                 self.count("refused");
             }
-            Applied::Out => {
+            Applied::Unavailable => {
                 self.count("out");
                 if !self.asked_before.contains(&request) {
                     self.rejected_so_far.push((request, self.log.len()));
                 }
-                self.unsure.push(wish);
+                self.unsure.push(change_request);
             }
             Applied::Unchanged { .. } => {
                 let mut stood = self.log[began - 1..].iter();
                 let like_this = |manifest: &Manifest| {
-                    wish.files.iter().all(|(name, content)| {
+                    change_request.files.iter().all(|(name, content)| {
                         let wanted = content.as_ref().map(|content| folder::digest(content));
                         manifest.files.get(name).map(|file| &file.digest) == wanted.as_ref()
                     })
@@ -268,7 +270,7 @@
                 self.count("unchanged");
             }
             Applied::Unknown => {
-                self.unsure.push(wish);
+                self.unsure.push(change_request);
                 self.count("unknown");
             }
             Applied::Broken(what) => panic!("{what}"),
@@ -294,13 +296,13 @@
         };
         let manifest: Manifest = serde_json::from_slice(&value.bytes).expect("a manifest");
         let instance = &mut self.instances[index];
-        if instance.follower.see(&manifest) == Seen::Fetch {
+        if instance.follower.decide(&manifest) == Decision::Fetch {
             let revision = usize::try_from(manifest.revision).expect("small");
             assert_eq!(
                 manifest, self.log[revision],
                 "another manifest of that revision"
             );
-            instance.follower.put(manifest.revision);
+            instance.follower.activate(manifest.revision);
             instance.manifest = manifest;
             self.count("put in force");
         }
@@ -342,7 +344,7 @@
     /// Every revision that was replaced has its line, whoever was killed.
     fn check_history(&self) {
         let newest = self.log.last().expect("never empty").revision;
-        let oldest = newest.saturating_sub(newest % CHUNK).max(1);
+        let oldest = newest.saturating_sub(newest % CHANGES_PER_CHUNK).max(1);
         for revision in oldest..newest {
             let value = self.store.store.get(&chunk_key(revision));
             let value = value.expect("a chunk of the history");
@@ -362,8 +364,8 @@
 // them would see its accepted change vanish, come into force twice, or be told
 // of a conflict although it is in force.
 #[test]
-fn force_operators_race() {
-    schedules("force", |seed, steps| {
+fn activation_operators_race() {
+    schedules("activation", |seed, steps| {
         let mut world = World::new(seed);
         for _ in 0..steps {
             world.step();
--- a/crates/standin/tests/all/main.rs
+++ b/crates/standin/tests/all/main.rs
@@ -3,8 +3,8 @@
 //! `FESCUERACK_SEED` and `FESCUERACK_STEPS` choose a run; without them a short
 //! fixed one is made. Each run prints its seeds.
 
+mod activation;
 mod claim;
-mod force;
 mod ledger;
 mod manifest;
 mod run;
--- a/crates/standin/tests/all/manifest.rs
+++ b/crates/standin/tests/all/manifest.rs
@@ -6,7 +6,7 @@
 use fescuerack_client::HttpStore;
 use fescuerack_client::manifest::{self, Applied};
 use fescuerack_config::Folder;
-use fescuerack_core::force::{Manifest, Wish};
+use fescuerack_core::activation::{ChangeRequest, Manifest};
 use fescuerack_standin::{Fault, Platform};
 use tokio::runtime::Runtime;
 
@@ -32,10 +32,10 @@
     );
 }
 
-fn wish(seen: &Manifest, request: &str, content: Option<&'static str>) -> Wish {
+fn change_request(base: &Manifest, request: &str, content: Option<&'static str>) -> ChangeRequest {
     let content = content.map(|text| Bytes::from_static(text.as_bytes()));
-    Wish {
-        seen: seen.clone(),
+    ChangeRequest {
+        base: base.clone(),
         files: BTreeMap::from([("b.yaml".to_owned(), content)]),
         author: "test".to_owned(),
         reason: "test".to_owned(),
@@ -55,10 +55,10 @@
     let folder = Folder::new().with_file("a.yaml", "models: {a: {}}\n");
     manifest::publish(&store, &folder, "test").expect("accepted");
     let seen = || manifest::read(&store).expect("an answer").expect("one").1;
-    let first = wish(&seen(), "r-1", Some("models: {b: {}}\n"));
+    let first = change_request(&seen(), "r-1", Some("models: {b: {}}\n"));
     let accepted = Applied::Accepted { revision: 2 };
     assert_eq!(manifest::apply(&store, first.clone()), accepted);
-    let undo = wish(&seen(), "r-2", None);
+    let undo = change_request(&seen(), "r-2", None);
     assert_eq!(
         manifest::apply(&store, undo),
         Applied::Accepted { revision: 3 }
