--- a/crates/core/benches/versions/cascade.rs
+++ b/crates/core/benches/versions/cascade.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 
 use fescuerack_config::{Catalog, Folder, Merged, Names, key};
-use fescuerack_core::cascade::{Learner, Request, Steps, Wanted, World, choose};
+use fescuerack_core::cascade::{Context, Learner, Request, Selector, Steps, choose};
 use fescuerack_core::clock::Instant;
-use fescuerack_core::rollout::Board;
+use fescuerack_core::rollout::Registry;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -202,7 +202,7 @@
 
 /// Which third of the run has no ratings.
 fn learned(market: &Market, rng: &mut Pcg64Mcg, gone: bool) -> Totals {
-    let mut board = Board::new("one");
+    let mut board = Registry::new("one");
     board.configure(Instant::ORIGIN, &market.catalog, &market.names);
     let mut learner = Learner::new("one");
     let dear = market.jobs[0].dear;
@@ -223,18 +223,18 @@
         let session = count.to_be_bytes();
         let request = Request {
             organisation,
-            wanted: Wanted::Class(job.class),
+            selector: Selector::Class(job.class),
             session: &session,
             pinned: None,
             stream: false,
-            within_ms: 120_000,
+            remaining_ms: 120_000,
             input_tokens: job.input,
-            dice: rng.random(),
+            random: rng.random(),
         };
-        let world = World {
+        let world = Context {
             catalog: &market.catalog,
             names: &market.names,
-            board: &board,
+            rollouts: &board,
             learner: &learner,
             now,
         };
@@ -245,12 +245,12 @@
         let plan = choice.plans[0];
         let rate = |learner: &mut Learner, version, quality: f64, rng: &mut Pcg64Mcg| {
             if down {
-                learner.rating_failed(now);
+                learner.record_rating_failure(now);
                 return None;
             }
             let rating = (quality + RATING_ERROR * normal(rng)).clamp(0.0, 1.0);
-            learner.rating_took(100.0);
-            learner.rated(&market.catalog, job.class, version, rating);
+            learner.record_rating_ms(100.0);
+            learner.record_rating(&market.catalog, job.class, version, rating);
             Some(rating)
         };
         let truth = |version| {
@@ -288,7 +288,7 @@
             }
         };
         let tokens = u32::try_from(job.output).expect("few");
-        learner.answered(job.class, plan.first(), 500.0, tokens);
+        learner.record_answer(job.class, plan.first(), 500.0, tokens);
         totals.add(place, job, cost, quality);
     }
     totals
--- a/crates/core/benches/versions/cost.rs
+++ b/crates/core/benches/versions/cost.rs
@@ -5,9 +5,9 @@
 use std::time::Instant as Clock;
 
 use fescuerack_config::{Catalog, Names};
-use fescuerack_core::cascade::{Learner, Request, Wanted, World, choose};
+use fescuerack_core::cascade::{Context, Learner, Request, Selector, choose};
 use fescuerack_core::clock::Instant;
-use fescuerack_core::rollout::{Board, Event};
+use fescuerack_core::rollout::{Event, Registry};
 
 use crate::fleet::compile;
 use crate::spread;
@@ -68,12 +68,12 @@
 pub fn run() {
     let (names, catalog) = setup();
     let now = Instant::ORIGIN;
-    let mut boards: Vec<Board> = (0..INSTANCES)
-        .map(|index| Board::new(&format!("{index:016x}")))
+    let mut boards: Vec<Registry> = (0..INSTANCES)
+        .map(|index| Registry::new(&format!("{index:016x}")))
         .collect();
     for board in &mut boards {
         board.configure(now, &catalog, &names);
-        board.inform();
+        board.mark_informed();
         for (version, _) in names.versions.iter() {
             board.observe(now, version, Event::Answered { late: false });
         }
@@ -103,10 +103,10 @@
     let digest = boards[7].digest();
     println!("merge a digest: {}", time(|_| board.merge(now, &digest)));
     let learner = Learner::new("one");
-    let world = World {
+    let world = Context {
         catalog: &catalog,
         names: &names,
-        board: &board,
+        rollouts: &board,
         learner: &learner,
         now,
     };
@@ -116,13 +116,13 @@
         let session = turn.to_be_bytes();
         let request = Request {
             organisation,
-            wanted: Wanted::Class(class),
+            selector: Selector::Class(class),
             session: &session,
             pinned: None,
             stream: false,
-            within_ms: 30_000,
+            remaining_ms: 30_000,
             input_tokens: 500,
-            dice: 0.5,
+            random: 0.5,
         };
         let _ = black_box(choose(world, request));
     });
--- a/crates/core/benches/versions/rollouts.rs
+++ b/crates/core/benches/versions/rollouts.rs
@@ -1,8 +1,8 @@
 //! Bad answers before the halt, false halts, time to halt everywhere.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::rollout::test::REJECT;
-use fescuerack_core::rollout::{Board, DWELL_MS, Event, Verdict};
+use fescuerack_core::rollout::sequential_test::REJECT_LOG_EVIDENCE;
+use fescuerack_core::rollout::{Event, MIN_DWELL_MS, Registry, Verdict};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -31,10 +31,10 @@
         Self { names, catalog }
     }
 
-    fn board(&self) -> Board {
-        let mut board = Board::new("one");
+    fn board(&self) -> Registry {
+        let mut board = Registry::new("one");
         board.configure(Instant::ORIGIN, &self.catalog, &self.names);
-        board.inform();
+        board.mark_informed();
         board
     }
 }
@@ -78,16 +78,17 @@
             answers += 1.0;
             bad += f64::from(u8::from(is_bad));
         }
-        match board.verdict_of(now, model) {
+        match board.verdict(now, model) {
             Some(Verdict::Halt(_)) => return (bad - answers * USUAL, answers, true),
             Some(Verdict::Step)
-                if stage + 1 < SHARES.len() && u64::from(second - entered) * 1000 >= DWELL_MS =>
+                if stage + 1 < SHARES.len()
+                    && u64::from(second - entered) * 1000 >= MIN_DWELL_MS =>
             {
                 stage += 1;
                 entered = second;
                 let mut record = board.record("m");
                 record.step("m@2", fescuerack_core::rollout::Step { word: 1, stage });
-                board.adopt(now, "m", &record);
+                board.merge_stored_record(now, "m", &record);
             }
             _ => {}
         }
@@ -118,7 +119,7 @@
     let worse = (USUAL + excess).min(0.999_999);
     let divergence =
         worse * (worse / USUAL).ln() + (1.0 - worse) * ((1.0 - worse) / (1.0 - USUAL)).ln();
-    REJECT / divergence * (worse - USUAL)
+    REJECT_LOG_EVIDENCE / divergence * (worse - USUAL)
 }
 
 fn bad_answers() {
@@ -188,7 +189,7 @@
                     board.observe(now, version, Event::Rated { quality_milli, bad });
                 }
                 let now = Instant::from_millis(4_000_000);
-                matches!(board.verdict_of(now, model), Some(Verdict::Halt(_)))
+                matches!(board.verdict(now, model), Some(Verdict::Halt(_)))
             };
             let found = (0..400).filter(|_| halted(&mut rng)).count();
             halts.push(f64::from(u32::try_from(found).expect("few")) * 2.5);
--- a/crates/core/src/cascade/choose/trying.rs
+++ b/crates/core/src/cascade/choose/explore.rs
@@ -4,7 +4,7 @@
 
 use super::{Chooser, Refusal};
 use crate::cascade::estimate::BINS;
-use crate::cascade::plan::{self, Basis, Candidate, Limits, Plan, SURE, Steps};
+use crate::cascade::plan::{self, Basis, CERTAIN_MISS_ERRORS, Candidate, Constraints, Plan, Steps};
 
 impl Chooser<'_> {
     /// Plans when no bound meets the target. The target is an expected quality:
@@ -15,10 +15,10 @@
     pub(super) fn uncertain(
         &self,
         class: &Class,
-        limits: Limits,
+        limits: Constraints,
         candidates: &[Candidate],
     ) -> Result<Vec<Plan>, Refusal> {
-        let limits = Limits {
+        let limits = Constraints {
             confidence: 0.0,
             ..limits
         };
@@ -27,8 +27,9 @@
             plan.basis = Basis::Expected;
         }
         if plans.is_empty() && self.may_probe() {
-            let may =
-                |candidate: &&Candidate| candidate.estimate.bound(0, 0.0, -SURE) >= class.quality;
+            let may = |candidate: &&Candidate| {
+                candidate.estimate.bound(0, 0.0, -CERTAIN_MISS_ERRORS) >= class.quality
+            };
             let probes = candidates.iter().filter(may).map(|candidate| Plan {
                 basis: Basis::Probe,
                 ..plan::direct(candidate, 0.0)
@@ -44,7 +45,7 @@
     /// Returns whether this request is among the few that may try.
     pub(super) fn may_probe(&self) -> bool {
         self.class()
-            .is_some_and(|(_, class)| self.request.dice < class.explore)
+            .is_some_and(|(_, class)| self.request.random < class.explore)
     }
 
     /// Now and then tries a cheaper version than the best plan's, with its
@@ -54,12 +55,12 @@
     pub(super) fn explore(
         &self,
         class: &Class,
-        limits: Limits,
+        limits: Constraints,
         candidates: &[Candidate],
         plans: &mut Vec<Plan>,
     ) {
         let best = plans[0];
-        if !limits.cascade || self.request.dice >= class.explore {
+        if !limits.cascade || self.request.random >= class.explore {
             return;
         }
         let Steps::Direct(second) = best.steps else {
--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -1,19 +1,19 @@
 //! The choice for one request.
 
-mod trying;
+mod explore;
 
 use fescuerack_config::file::State;
 use fescuerack_config::{Catalog, Class, Names, key};
 
 use super::learner::Learner;
-use super::plan::{self, Basis, CONFIDENCE, Candidate, Limits, Plan, Steps};
+use super::plan::{self, Basis, CONFIDENCE, Candidate, Constraints, Plan, Steps};
 use crate::clock::Instant;
-use crate::rollout::Board;
+use crate::rollout::Registry;
 use crate::session::{self, Place};
 
 /// What the caller asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum Selector {
     /// One version.
     Version(key::Version),
     /// Any version of a model.
@@ -28,7 +28,7 @@
     /// Who asks.
     pub organisation: key::Organisation,
     /// What is asked for.
-    pub wanted: Wanted,
+    pub selector: Selector,
     /// Identifier of the session, or of the request when it has none.
     pub session: &'a [u8],
     /// Version that the session is known to keep.
@@ -36,22 +36,22 @@
     /// Whether the caller wants tokens as they come.
     pub stream: bool,
     /// Milliseconds until its deadline.
-    pub within_ms: u32,
+    pub remaining_ms: u32,
     /// Input tokens, estimated.
     pub input_tokens: u64,
     /// A random number from 0 to 1, which decides on exploration.
-    pub dice: f64,
+    pub random: f64,
 }
 
 /// What the choice rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct World<'a> {
+pub struct Context<'a> {
     /// Configuration in force.
     pub catalog: &'a Catalog,
     /// Names.
     pub names: &'a Names,
     /// Roll-outs.
-    pub board: &'a Board,
+    pub rollouts: &'a Registry,
     /// Quality.
     pub learner: &'a Learner,
     /// Present time.
@@ -90,8 +90,8 @@
 ///
 /// When a plan would run a version that the organisation may not use or that
 /// is withdrawn, or would miss the target without leave.
-pub fn choose(world: World<'_>, request: Request<'_>) -> Result<Choice, Refusal> {
-    let chooser = Chooser { world, request };
+pub fn choose(context: Context<'_>, request: Request<'_>) -> Result<Choice, Refusal> {
+    let chooser = Chooser { context, request };
     let pinned = request
         .pinned
         .filter(|version| chooser.is_allowed(*version));
@@ -110,22 +110,22 @@
 
 #[derive(Clone, Copy)]
 struct Chooser<'a> {
-    world: World<'a>,
+    context: Context<'a>,
     request: Request<'a>,
 }
 
 impl Chooser<'_> {
     fn is_allowed(&self, version: key::Version) -> bool {
-        let organisations = &self.world.catalog.organisations;
+        let organisations = &self.context.catalog.organisations;
         let entry = organisations.get(self.request.organisation);
         entry.is_some_and(|entry| entry.allowed.contains(&version))
-            && self.world.catalog.versions.contains_key(version)
+            && self.context.catalog.versions.contains_key(version)
     }
 
     fn is_withdrawn(&self, version: key::Version) -> bool {
-        self.world.board.is_withdrawn(version)
+        self.context.rollouts.is_withdrawn(version)
             || self
-                .world
+                .context
                 .catalog
                 .versions
                 .get(version)
@@ -134,23 +134,23 @@
 
     /// Returns whether an answer below the target is better than none.
     fn may_miss(&self) -> bool {
-        let organisations = &self.world.catalog.organisations;
+        let organisations = &self.context.catalog.organisations;
         let entry = organisations.get(self.request.organisation);
         entry.is_some_and(|entry| entry.below_target)
     }
 
     fn class(&self) -> Option<(key::Class, &Class)> {
-        match self.request.wanted {
-            Wanted::Class(class) => Some((class, self.world.catalog.classes.get(class)?)),
-            Wanted::Version(_) | Wanted::Model(_) => None,
+        match self.request.selector {
+            Selector::Class(class) => Some((class, self.context.catalog.classes.get(class)?)),
+            Selector::Version(_) | Selector::Model(_) => None,
         }
     }
 
     /// Returns the version of a model with which this session starts.
     fn version_of(&self, model: key::Model) -> Option<key::Version> {
-        let catalog = self.world.catalog;
-        if let Some(share) = self.world.board.share(self.world.now, model) {
-            let name = self.world.names.models.name(model);
+        let catalog = self.context.catalog;
+        if let Some(share) = self.context.rollouts.share(self.context.now, model) {
+            let name = self.context.names.models.name(model);
             let position = session::position(name, self.request.session);
             let start = session::start(share, position);
             // Those who may not use the candidate stay on the current version.
@@ -172,7 +172,7 @@
         if self.is_withdrawn(version) {
             return Err(Refusal::Withdrawn);
         }
-        match self.world.catalog.versions[version].state {
+        match self.context.catalog.versions[version].state {
             State::Closed => Err(Refusal::Closed),
             State::Open | State::Withdrawn => Ok(()),
         }
@@ -180,13 +180,13 @@
 
     /// Plans of a request whose session starts here.
     fn fresh(&self) -> Result<Vec<Plan>, Refusal> {
-        let models: &[key::Model] = match &self.request.wanted {
-            Wanted::Version(version) => {
+        let models: &[key::Model] = match &self.request.selector {
+            Selector::Version(version) => {
                 self.is_open(*version)?;
                 return Ok(vec![named(*version)]);
             }
-            Wanted::Model(model) => std::slice::from_ref(model),
-            Wanted::Class(_) => self.class().map_or(&[], |(_, class)| &class.models),
+            Selector::Model(model) => std::slice::from_ref(model),
+            Selector::Class(_) => self.class().map_or(&[], |(_, class)| &class.models),
         };
         let mut refusal = Refusal::Forbidden;
         let mut versions = Vec::new();
@@ -215,7 +215,7 @@
         let mut plans = plan::plan(&candidates, limits);
         if plans.is_empty() && self.may_miss() {
             let leave = |candidate| Plan {
-                basis: Basis::Leave,
+                basis: Basis::BelowTargetAllowed,
                 ..plan::direct(candidate, CONFIDENCE)
             };
             plans = candidates.iter().map(leave).collect();
@@ -268,16 +268,16 @@
     /// plans as well, its sessions would go to a dearer model and the trial
     /// would get no evidence to end on.
     fn judged_as(&self, version: key::Version) -> key::Version {
-        let model = self.world.catalog.versions[version].model;
-        let trial = self.world.board.trial(model);
+        let model = self.context.catalog.versions[version].model;
+        let trial = self.context.rollouts.canary(model);
         let trial = trial.filter(|trial| trial.candidate == version);
         trial.map_or(version, |trial| trial.current)
     }
 
     fn candidate(&self, class: key::Class, version: key::Version) -> Candidate {
-        let World {
+        let Context {
             catalog, learner, ..
-        } = self.world;
+        } = self.context;
         let price = catalog.versions[version].cost;
         let input = u32::try_from(self.request.input_tokens).unwrap_or(u32::MAX);
         let rate = |micro: u64| f64::from(u32::try_from(micro).unwrap_or(u32::MAX)) / 1000.0;
@@ -285,20 +285,20 @@
             version,
             estimate: learner.estimate(catalog, class, self.judged_as(version)),
             cost: rate(price.input) * f64::from(input)
-                + rate(price.output) * learner.output_tokens(class),
-            answer_ms: learner.answer_ms(class, version),
+                + rate(price.output) * learner.expected_output_tokens(class),
+            answer_ms: learner.expected_answer_ms(class, version),
         }
     }
 
-    fn limits(&self, class: &Class) -> Limits {
+    fn limits(&self, class: &Class) -> Constraints {
         let whole = u32::try_from(class.deadline_ms).unwrap_or(u32::MAX);
         let first = u32::try_from(class.first_token_ms).unwrap_or(u32::MAX);
         let due = if self.request.stream { first } else { whole };
-        Limits {
+        Constraints {
             quality: class.quality,
-            cascade: class.cascade && self.world.learner.can_rate(self.world.now),
-            within_ms: f64::from(due.min(self.request.within_ms)),
-            rating_ms: self.world.learner.rating_ms(),
+            cascade: class.cascade && self.context.learner.can_rate(self.context.now),
+            within_ms: f64::from(due.min(self.request.remaining_ms)),
+            rating_ms: self.context.learner.expected_rating_ms(),
             confidence: CONFIDENCE,
         }
     }
@@ -324,7 +324,7 @@
             let meets = match plan.basis {
                 Basis::Bound | Basis::Expected => plan.bound >= target,
                 Basis::Probe => self.may_probe(),
-                Basis::Leave => self.may_miss(),
+                Basis::BelowTargetAllowed => self.may_miss(),
                 Basis::Session => self.request.pinned == Some(plan.first()),
                 Basis::Named => self.class().is_none(),
             };
--- a/crates/core/src/cascade/learner.rs
+++ b/crates/core/src/cascade/learner.rs
@@ -116,7 +116,7 @@
     }
 
     /// Adds a rating.
-    pub fn rated(
+    pub fn record_rating(
         &mut self,
         catalog: &Catalog,
         class: key::Class,
@@ -140,13 +140,13 @@
     }
 
     /// Notes that a rating came after `millis`.
-    pub fn rating_took(&mut self, millis: f64) {
+    pub fn record_rating_ms(&mut self, millis: f64) {
         self.rating.add(millis);
         self.failures = 0;
     }
 
     /// Notes that a rating failed or was turned away.
-    pub fn rating_failed(&mut self, now: Instant) {
+    pub fn record_rating_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         self.probe_at = now.plus_millis(PROBE_MS);
     }
@@ -159,7 +159,7 @@
 
     /// Returns the milliseconds within which a rating is expected.
     #[must_use]
-    pub fn rating_ms(&self) -> f64 {
+    pub fn expected_rating_ms(&self) -> f64 {
         if self.rating.seen {
             self.rating.high()
         } else {
@@ -168,7 +168,7 @@
     }
 
     /// Notes how long a whole answer took and how many tokens it had.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         class: key::Class,
         version: key::Version,
@@ -186,14 +186,14 @@
     /// Returns the milliseconds within which a whole answer is expected; 0
     /// before any has come.
     #[must_use]
-    pub fn answer_ms(&self, class: key::Class, version: key::Version) -> f64 {
+    pub fn expected_answer_ms(&self, class: key::Class, version: key::Version) -> f64 {
         let known = self.latency.get(&(class, version));
         known.map_or(0.0, Smooth::high)
     }
 
     /// Returns the output tokens that are expected of a class.
     #[must_use]
-    pub fn output_tokens(&self, class: key::Class) -> f64 {
+    pub fn expected_output_tokens(&self, class: key::Class) -> f64 {
         let known = self.output.get(&class);
         known.map_or(OUTPUT_TOKENS, |output| output.mean)
     }
--- a/crates/core/src/cascade/mod.rs
+++ b/crates/core/src/cascade/mod.rs
@@ -22,14 +22,14 @@
 //! left is the cheapest version whose bound meets the target by what is known,
 //! usually a dearer one. Cost rises; quality does not fall.
 
-mod bucket;
 mod choose;
 mod estimate;
 mod learner;
 mod plan;
+mod token_bucket;
 
-pub use bucket::{Bucket, Purpose};
-pub use choose::{Choice, Refusal, Request, Wanted, World, choose};
+pub use choose::{Choice, Context, Refusal, Request, Selector, choose};
 pub use estimate::{BINS, Estimate};
 pub use learner::{Digest, Learner, Report};
-pub use plan::{Basis, CONFIDENCE, Candidate, Limits, Plan, Steps, plan};
+pub use plan::{Basis, CONFIDENCE, Candidate, Constraints, Plan, Steps, plan};
+pub use token_bucket::{Purpose, TokenBucket};
--- a/crates/core/src/cascade/plan.rs
+++ b/crates/core/src/cascade/plan.rs
@@ -9,7 +9,7 @@
 pub const CONFIDENCE: f64 = 1.28;
 /// Standard errors above its estimate from which a version surely misses the
 /// target.
-pub const SURE: f64 = 3.0;
+pub const CERTAIN_MISS_ERRORS: f64 = 3.0;
 
 /// A version that may answer.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
 
 /// What a plan must keep to.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct Constraints {
     /// Least expected quality.
     pub quality: f64,
     /// Whether answers may be held back, rated and escalated.
@@ -68,7 +68,7 @@
     /// request is among the few that find out.
     Probe,
     /// The organisation takes an answer below the target rather than none.
-    Leave,
+    BelowTargetAllowed,
     /// The session keeps this version; the target was judged at its start.
     Session,
     /// The caller named the model or the version; no target applies.
@@ -100,7 +100,7 @@
 
 /// Returns every plan that keeps to `limits`, cheapest first.
 #[must_use]
-pub fn plan(candidates: &[Candidate], limits: Limits) -> Vec<Plan> {
+pub fn plan(candidates: &[Candidate], limits: Constraints) -> Vec<Plan> {
     let mut plans: Vec<Plan> = candidates
         .iter()
         .map(|candidate| direct(candidate, limits.confidence))
@@ -130,7 +130,7 @@
 
 /// The lowest threshold that meets the target escalates least, so it is also
 /// the cheapest.
-fn cascade(first: &Candidate, second: &Candidate, limits: Limits) -> Option<Plan> {
+fn cascade(first: &Candidate, second: &Candidate, limits: Constraints) -> Option<Plan> {
     let held_ms = first.answer_ms + limits.rating_ms + second.answer_ms;
     if first.cost >= second.cost || held_ms > limits.within_ms {
         return None;
--- a/crates/core/src/cascade/bucket.rs
+++ b/crates/core/src/cascade/token_bucket.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// A cascade waits for it.
-    Judge,
+    Cascade,
     /// The answer is a candidate's.
     Candidate,
     /// A sample of the usual traffic.
@@ -21,12 +21,12 @@
 
 /// Tokens of one instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Seconds of the rate that may be saved up.
     const SAVED_S: f64 = 2.0;
 
@@ -50,7 +50,7 @@
         self.tokens = (self.tokens + earned).min(size);
         self.at = self.at.max(now);
         let kept = match purpose {
-            Purpose::Judge => 0.0,
+            Purpose::Cascade => 0.0,
             Purpose::Candidate => size * 0.25,
             Purpose::Sample => size * 0.5,
         };
--- a/crates/core/src/claim/claiming.rs
+++ b/crates/core/src/claim/claiming.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 
 use super::codec::{self, Decoded};
-use super::{Answer, Claim, Name, Record, State, Verdict, judge};
+use super::{Answer, Claim, Name, Record, State, Verdict, verdict_for};
 use crate::clock::Instant;
 use crate::store::{Backoff, Call, Machine, Reply, Step, Value};
 
@@ -29,10 +29,10 @@
     /// The sender gets this instead.
     Taken(Verdict),
     /// The store was out until the deadline; nothing was sent.
-    Out {
+    StoreUnavailable {
         /// Whether a record of ours may stand all the same, or appear yet: it
         /// should be settled as not run, so that the sender may try again.
-        perhaps_held: bool,
+        may_be_held: bool,
     },
 }
 
@@ -121,7 +121,7 @@
             self.phase = Phase::Swap { expected: 0 };
             return;
         }
-        self.phase = match judge(found, &self.name.digest, now) {
+        self.phase = match verdict_for(found, &self.name.digest, now) {
             Verdict::Reclaim => Phase::Swap {
                 expected: value.version,
             },
@@ -145,7 +145,7 @@
             return;
         }
         let whole = Bytes::from(body.concat());
-        let bill = decoded.record.bill();
+        let bill = decoded.record.billing_id();
         if let State::Done(answer) = &decoded.record.state {
             let answer = Answer {
                 body: whole,
@@ -165,8 +165,8 @@
             return Outcome::Taken(Verdict::Unknown);
         }
         let held = matches!(self.phase, Phase::Done(Outcome::Claimed(_)));
-        Outcome::Out {
-            perhaps_held: held || self.lost,
+        Outcome::StoreUnavailable {
+            may_be_held: held || self.lost,
         }
     }
 }
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -10,7 +10,7 @@
 //! - [`Claiming`] takes a claim, or learns what became of it.
 //! - [`Recording`] records how a claimed request ended.
 //! - [`Record`] is what the store holds; its states only move along
-//!   [`Record::next`], which is asserted.
+//!   [`Record::transition`], which is asserted.
 //!
 //! A record vanishes with a lease after [`RETENTION_MS`], so that the store
 //! does not fill. A key that is used again after that is a new request.
@@ -89,7 +89,7 @@
     /// When the move could let a request run twice: only a claim that surely
     /// was not sent may run again, and an end is never taken back.
     #[must_use]
-    pub fn next(&self, state: State) -> Self {
+    pub fn transition(&self, state: State) -> Self {
         let allowed = matches!(
             (&self.state, &state),
             (
@@ -111,7 +111,7 @@
     /// Returns the identity under which the request is billed: the same one
     /// for every instance that hands on its recorded answer.
     #[must_use]
-    pub fn bill(&self) -> String {
+    pub fn billing_id(&self) -> String {
         format!("claim-{:016x}-{}", self.nonce, self.digest)
     }
 }
@@ -146,12 +146,12 @@
 
 /// Decides what a sender of a request `digest` gets from an existing record.
 #[must_use]
-pub fn judge(record: &Record, digest: &str, now: Instant) -> Verdict {
+pub fn verdict_for(record: &Record, digest: &str, now: Instant) -> Verdict {
     if record.digest != digest {
         return Verdict::Mismatch;
     }
     match &record.state {
-        State::Done(answer) => Verdict::Replay(answer.clone(), record.bill()),
+        State::Done(answer) => Verdict::Replay(answer.clone(), record.billing_id()),
         State::Running if now < record.deadline => Verdict::StillRunning,
         State::Running | State::Unknown => Verdict::Unknown,
         State::NotRun => Verdict::Reclaim,
--- a/crates/core/src/claim/recording.rs
+++ b/crates/core/src/claim/recording.rs
@@ -7,7 +7,7 @@
 //! which is true.
 //!
 //! A claim that was given up without an answer from the store is settled as
-//! not run ([`Recording::with_lost`]), so that the sender may try again. Its
+//! not run ([`Recording::with_unconfirmed`]), so that the sender may try again. Its
 //! swap may still be under way. Settling therefore never waits to see it: it
 //! writes "not run" over whatever that swap expects, after which it can only
 //! meet a conflict.
@@ -42,7 +42,7 @@
     /// Prepares to record `state`, trying until `deadline`.
     #[must_use]
     pub fn new(claim: &Claim, state: State, deadline: Instant) -> Self {
-        let record = claim.record.next(state);
+        let record = claim.record.transition(state);
         Self {
             key: claim.key.clone(),
             lease: claim.lease,
@@ -62,7 +62,7 @@
     /// Prepares to settle, as not run, a claim whose taker `nonce` gave up
     /// without sending and without knowing whether it stands.
     #[must_use]
-    pub fn with_lost(name: Name, nonce: u64, lease: Option<u64>, deadline: Instant) -> Self {
+    pub fn with_unconfirmed(name: Name, nonce: u64, lease: Option<u64>, deadline: Instant) -> Self {
         let record = Record {
             digest: name.digest,
             nonce,
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/canary.rs
@@ -6,9 +6,9 @@
 use fescuerack_config::key;
 use serde::{Deserialize, Serialize};
 
-use super::count::{Count, Pair};
+use super::counters::{Counters, PairedCounters};
 use super::record::Cause;
-use super::test::{Base, Detector, passes};
+use super::sequential_test::{Base, Detector, passes};
 use crate::clock::Instant;
 
 /// What a trial is known by; counts of another trial are never mixed in.
@@ -58,10 +58,10 @@
 }
 
 /// Milliseconds after which ratings count as stale.
-pub const STALE_MS: u64 = 600_000;
+pub const STALE_RATINGS_MS: u64 = 600_000;
 /// Milliseconds that a stage lasts at least: some failures show only when
 /// caches and sessions have grown.
-pub const DWELL_MS: u64 = 600_000;
+pub const MIN_DWELL_MS: u64 = 600_000;
 /// Ratings that a wholly bad version needs to be rejected, with one to spare.
 pub const RATINGS_TO_REJECT: f64 = 4.0;
 /// Mean rating by which the candidate may fall short of the current version.
@@ -87,7 +87,7 @@
 }
 
 impl Channel {
-    fn add(&mut self, delta: Pair) {
+    fn add(&mut self, delta: PairedCounters) {
         let (outcomes, bad) = outcomes(self.cause, delta.current);
         self.base.add(outcomes, bad);
         let (outcomes, bad) = outcomes_of(self.cause, delta);
@@ -95,12 +95,12 @@
     }
 }
 
-fn outcomes_of(cause: Cause, delta: Pair) -> (u32, u32) {
+fn outcomes_of(cause: Cause, delta: PairedCounters) -> (u32, u32) {
     outcomes(cause, delta.candidate)
 }
 
 /// Returns the number of outcomes and of bad ones on a channel.
-fn outcomes(cause: Cause, count: Count) -> (u32, u32) {
+fn outcomes(cause: Cause, count: Counters) -> (u32, u32) {
     let (outcomes, bad) = match cause {
         Cause::Errors => (count.answers, count.errors),
         Cause::Crashes => (count.answers, count.crashes),
@@ -112,7 +112,7 @@
 
 /// The evidence of one trial.
 #[derive(Clone, Debug, Serialize)]
-pub struct Trial {
+pub struct Canary {
     /// What it is known by.
     pub id: Id,
     /// Version of today.
@@ -125,16 +125,16 @@
     pub exposure: u32,
     /// Stage in force.
     pub stage: usize,
-    sources: BTreeMap<String, Pair>,
-    total: Pair,
-    at_stage: Pair,
+    sources: BTreeMap<String, PairedCounters>,
+    total: PairedCounters,
+    at_stage: PairedCounters,
     stage_since: Instant,
     rated_at: Option<Instant>,
     channels: [Channel; 4],
     halted: Option<Cause>,
 }
 
-impl Trial {
+impl Canary {
     /// Creates a trial with no evidence.
     #[must_use]
     pub fn new(id: Id, current: key::Version, candidate: key::Version, now: Instant) -> Self {
@@ -145,8 +145,8 @@
             exposure: u32::MAX,
             stage: 0,
             sources: BTreeMap::new(),
-            total: Pair::default(),
-            at_stage: Pair::default(),
+            total: PairedCounters::default(),
+            at_stage: PairedCounters::default(),
             stage_since: now,
             rated_at: None,
             channels: FLOORS.map(|(cause, floor)| Channel {
@@ -169,14 +169,14 @@
 
     /// Takes over the counters of one incarnation; counters only rise, so a
     /// repeated or an old message changes nothing.
-    pub fn learn(&mut self, now: Instant, source: &str, pair: Pair) {
+    pub fn learn(&mut self, now: Instant, source: &str, pair: PairedCounters) {
         let known = self.sources.get(source).copied();
         if known.is_none() && self.sources.len() >= MOST_SOURCES {
             return;
         }
         let joined = known.unwrap_or_default().join(pair);
         let delta = joined.since(known.unwrap_or_default());
-        if delta == Pair::default() {
+        if delta == PairedCounters::default() {
             return;
         }
         self.sources.insert(source.to_owned(), joined);
@@ -229,18 +229,18 @@
 
     /// Returns the counters of one source.
     #[must_use]
-    pub fn source(&self, source: &str) -> Pair {
+    pub fn source(&self, source: &str) -> PairedCounters {
         self.sources.get(source).copied().unwrap_or_default()
     }
 
     /// Iterates over all sources.
-    pub fn sources(&self) -> impl Iterator<Item = (&String, Pair)> {
+    pub fn sources(&self) -> impl Iterator<Item = (&String, PairedCounters)> {
         self.sources.iter().map(|(source, pair)| (source, *pair))
     }
 
     /// Returns the sum of all counters.
     #[must_use]
-    pub fn total(&self) -> Pair {
+    pub fn total(&self) -> PairedCounters {
         self.total
     }
 
@@ -258,9 +258,9 @@
             return Verdict::Halt(cause);
         }
         let stage = self.total.since(self.at_stage);
-        let hold = if now < self.stage_since.plus_millis(DWELL_MS) {
+        let hold = if now < self.stage_since.plus_millis(MIN_DWELL_MS) {
             Hold::Dwell
-        } else if !self.is_rated_within(now, STALE_MS) {
+        } else if !self.is_rated_within(now, STALE_RATINGS_MS) {
             Hold::Stale
         } else if !self.passes(stage) {
             Hold::Evidence
@@ -274,7 +274,7 @@
         Verdict::Hold(hold)
     }
 
-    fn passes(&self, stage: Pair) -> bool {
+    fn passes(&self, stage: PairedCounters) -> bool {
         self.channels.iter().all(|channel| {
             let (all, bad) = outcomes_of(channel.cause, stage);
             passes(channel.base.rate(), all - bad, bad)
@@ -289,7 +289,7 @@
     }
 }
 
-fn is_as_good(stage: Pair) -> bool {
+fn is_as_good(stage: PairedCounters) -> bool {
     match (stage.candidate.quality(), stage.current.quality()) {
         (Some(candidate), Some(current)) => candidate + SHORTFALL >= current,
         (Some(_), None) => true,
--- a/crates/core/src/rollout/count.rs
+++ b/crates/core/src/rollout/counters.rs
@@ -9,7 +9,7 @@
 /// What one incarnation has seen of one version in one trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Count {
+pub struct Counters {
     /// Attempts that ended, well or not.
     #[serde(rename = "a", skip_serializing_if = "is_zero")]
     pub answers: u32,
@@ -38,7 +38,7 @@
     *count == T::default()
 }
 
-impl Count {
+impl Counters {
     fn zip(self, other: Self, merge: fn(u32, u32) -> u32) -> Self {
         Self {
             answers: merge(self.answers, other.answers),
@@ -79,14 +79,14 @@
 /// Counters of both versions of a trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Pair {
+pub struct PairedCounters {
     /// The version of today.
-    pub current: Count,
+    pub current: Counters,
     /// The version that is being rolled out.
-    pub candidate: Count,
+    pub candidate: Counters,
 }
 
-impl Pair {
+impl PairedCounters {
     /// Returns the later of two states.
     #[must_use]
     pub fn join(self, other: Self) -> Self {
--- a/crates/core/src/rollout/digest.rs
+++ b/crates/core/src/rollout/digest.rs
@@ -2,18 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::count::Pair;
-use super::trial::Id;
+use super::canary::Id;
+use super::counters::PairedCounters;
 
 /// Counters of one incarnation in one trial.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The trial.
-    pub trial: Id,
+    #[serde(rename = "trial")]
+    pub canary: Id,
     /// Incarnation that counted.
     pub source: String,
     /// Its counters.
-    pub pair: Pair,
+    pub pair: PairedCounters,
 }
 
 /// What one instance tells a peer. Peers pass on what they heard, so that a
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -3,7 +3,7 @@
 //! Operators say in the configuration which version is the candidate, at which
 //! stage the roll-out starts and under which number of their word (`word`).
 //! Every instance counts what both versions' answers were like, hears its
-//! peers' counts and tests on their sum ([`mod@test`]). Three things follow:
+//! peers' counts and tests on their sum ([`mod@sequential_test`]). Three things follow:
 //!
 //! - **Halt**: the evidence rejects the candidate, or the budget of bad
 //!   answers is used up. The instance acts at once: the candidate is withdrawn
@@ -22,15 +22,15 @@
 //! Without this a version that turns bad at night publishes until the morning;
 //! stages by the clock only make that certain.
 
-mod board;
-pub mod count;
+mod canary;
+pub mod counters;
 mod digest;
 pub mod record;
-pub mod test;
-mod trial;
+mod registry;
+pub mod sequential_test;
 
-pub use board::{Act, Board, Event, Share};
-pub use count::{Count, Pair};
+pub use canary::{Canary, Hold, Id, MIN_DWELL_MS, STALE_RATINGS_MS, Verdict};
+pub use counters::{Counters, PairedCounters};
 pub use digest::{Digest, Report};
 pub use record::{Cause, Halt, Record, Step};
-pub use trial::{DWELL_MS, Hold, Id, STALE_MS, Trial, Verdict};
+pub use registry::{Event, Registry, Share, StoreWrite};
--- a/crates/core/src/rollout/board/configure.rs
+++ b/crates/core/src/rollout/registry/configure.rs
@@ -3,12 +3,12 @@
 use fescuerack_config::file::State;
 use fescuerack_config::{Catalog, Names, key};
 
-use super::{Board, Entry, Share};
+use super::{Entry, Registry, Share};
 use crate::clock::Instant;
+use crate::rollout::canary::{Canary, Id};
 use crate::rollout::digest::Report;
-use crate::rollout::trial::{Id, Trial};
 
-impl Board {
+impl Registry {
     /// Takes over the configuration in force; call it after every change.
     pub fn configure(&mut self, now: Instant, catalog: &Catalog, names: &Names) {
         let models = &catalog.models;
@@ -24,7 +24,7 @@
         }
         let entries = self.entries.values();
         let trials: Vec<_> = entries.filter_map(|entry| entry.trial.as_ref()).collect();
-        let is_running = |report: &Report| trials.iter().any(|trial| trial.id == report.trial);
+        let is_running = |report: &Report| trials.iter().any(|trial| trial.id == report.canary);
         self.relay.retain(is_running);
     }
 
@@ -85,7 +85,7 @@
                 .filter(|trial| trial.id == id)
                 .unwrap_or_else(|| {
                     entry.unrated = 0;
-                    Trial::new(id.clone(), current, candidate, now)
+                    Canary::new(id.clone(), current, candidate, now)
                 });
             trial.exposure = rollout.exposure;
             let stage = record
--- a/crates/core/src/rollout/board/exchange.rs
+++ b/crates/core/src/rollout/registry/exchange.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use super::Board;
+use super::Registry;
 use crate::clock::Instant;
 use crate::member::Replica;
-use crate::rollout::count::Pair;
+use crate::rollout::counters::PairedCounters;
 use crate::rollout::digest::{Digest, Report};
 use crate::rollout::record::Record;
 
@@ -13,16 +13,16 @@
 /// little more. Own ones and relayed ones take turns.
 const MOST_REPORTS: usize = 4;
 
-impl Board {
+impl Registry {
     /// Returns what peers are told.
     pub fn digest(&mut self) -> Digest {
         let mut own = Vec::new();
         for entry in self.entries.values() {
             if let Some(trial) = &entry.trial {
                 let pair = trial.source(&self.source);
-                if pair != Pair::default() {
+                if pair != PairedCounters::default() {
                     own.push(Report {
-                        trial: trial.id.clone(),
+                        canary: trial.id.clone(),
                         source: self.source.clone(),
                         pair,
                     });
@@ -58,8 +58,8 @@
     }
 
     /// Takes over a record that a peer holds; returns whether a halt or a step
-    /// was news: then [`Board::configure`] must follow.
-    pub fn merge_record(&mut self, now: Instant, model: &str, record: &Record) -> bool {
+    /// was news: then [`Registry::configure`] must follow.
+    pub fn merge_peer_record(&mut self, now: Instant, model: &str, record: &Record) -> bool {
         let known = self.records.entry(model.to_owned()).or_default();
         let news = known.merge(record);
         self.enforce(now);
@@ -80,7 +80,7 @@
         let trials = self.entries.values_mut();
         let known = trials
             .filter_map(|entry| entry.trial.as_mut())
-            .find(|trial| trial.id == report.trial);
+            .find(|trial| trial.id == report.canary);
         let Some(trial) = known else {
             return;
         };
@@ -90,7 +90,7 @@
         trial.learn(now, &report.source, report.pair);
         if trial.source(&report.source) != before && report.source != self.source {
             self.relay
-                .retain(|told| told.source != report.source || told.trial != report.trial);
+                .retain(|told| told.source != report.source || told.canary != report.canary);
             self.relay.push(report.clone());
         }
     }
--- a/crates/core/src/rollout/board/mod.rs
+++ b/crates/core/src/rollout/registry/mod.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use slotmap::SecondaryMap;
 
-use super::count::Count;
+use super::canary::{Canary, Hold, Verdict};
+use super::counters::Counters;
 use super::digest::Report;
 use super::record::{Halt, Record, Step};
-use super::trial::{Hold, Trial, Verdict};
 use crate::clock::Instant;
 
 /// Milliseconds within which failures at one backend server count once: they
@@ -56,9 +56,9 @@
 
 /// What is to be made durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum StoreWrite {
     /// Write the model's record, which holds a halt: the store lacks it.
-    Keep(String),
+    Halts(String),
     /// Swap this step into the model's record; it counts only once the store
     /// has taken it.
     Step(String, String, Step),
@@ -69,7 +69,7 @@
     #[serde(skip)]
     share: Option<Share>,
     stages: Vec<f64>,
-    trial: Option<Trial>,
+    trial: Option<Canary>,
     open: bool,
     steady: bool,
     unrated: u32,
@@ -77,7 +77,7 @@
 
 /// The roll-outs.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Board {
+pub struct Registry {
     source: String,
     informed: bool,
     records: BTreeMap<String, Record>,
@@ -94,7 +94,7 @@
     peers: u32,
 }
 
-impl Board {
+impl Registry {
     /// Creates a board of an incarnation that has heard of no record yet.
     #[must_use]
     pub fn new(source: &str) -> Self {
@@ -105,7 +105,7 @@
     }
 
     /// Says among how many instances the exposure budget is divided.
-    pub fn with_peers(&mut self, peers: u32) {
+    pub fn set_instances(&mut self, peers: u32) {
         self.peers = peers;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Notes that the store was read and holds no more than was adopted.
-    pub fn inform(&mut self) {
+    pub fn mark_informed(&mut self) {
         self.informed = true;
     }
 
@@ -193,8 +193,8 @@
     }
 
     /// Takes over a model's record from the store or from a peer.
-    /// Returns whether anything was news; then [`Board::configure`] must follow.
-    pub fn adopt(&mut self, now: Instant, model: &str, record: &Record) -> bool {
+    /// Returns whether anything was news; then [`Registry::configure`] must follow.
+    pub fn merge_stored_record(&mut self, now: Instant, model: &str, record: &Record) -> bool {
         self.informed = true;
         let known = self.records.entry(model.to_owned()).or_default();
         let news = known.merge(record);
@@ -204,7 +204,7 @@
 
     /// Notes what the store holds of a model, so that only what it lacks is
     /// written again.
-    pub fn kept(&mut self, model: &str, record: &Record) {
+    pub fn set_stored_record(&mut self, model: &str, record: &Record) {
         self.kept.insert(model.to_owned(), record.clone());
     }
 
@@ -220,7 +220,7 @@
     /// # Panics
     ///
     /// When a halted candidate would get new sessions.
-    pub fn decide(&mut self, now: Instant) -> Vec<Act> {
+    pub fn decide(&mut self, now: Instant) -> Vec<StoreWrite> {
         self.enforce(now);
         let mut acts = Vec::new();
         for (model, record) in &self.records {
@@ -230,7 +230,7 @@
                 .iter()
                 .any(|(candidate, halt)| kept.halt(candidate, halt.clone()));
             if lacks {
-                acts.push(Act::Keep(model.clone()));
+                acts.push(StoreWrite::Halts(model.clone()));
             }
         }
         for (model, entry) in &self.entries {
@@ -241,7 +241,7 @@
                     "a halted candidate would get new sessions"
                 );
             }
-            if self.verdict(now, entry) == Verdict::Step
+            if self.entry_verdict(now, entry) == Verdict::Step
                 && let Some(trial) = &entry.trial
             {
                 let step = Step {
@@ -249,7 +249,7 @@
                     stage: trial.stage + 1,
                 };
                 let candidate = trial.id.candidate.clone();
-                acts.push(Act::Step(trial.id.model.clone(), candidate, step));
+                acts.push(StoreWrite::Step(trial.id.model.clone(), candidate, step));
             }
         }
         acts
@@ -257,19 +257,19 @@
 
     /// Returns what the evidence says of a model's roll-out, when it has one.
     #[must_use]
-    pub fn verdict_of(&self, now: Instant, model: key::Model) -> Option<Verdict> {
+    pub fn verdict(&self, now: Instant, model: key::Model) -> Option<Verdict> {
         let entry = self.entries.get(model)?;
         entry.trial.as_ref()?;
-        Some(self.verdict(now, entry))
+        Some(self.entry_verdict(now, entry))
     }
 
     /// Returns the trial of a model, when there is one.
     #[must_use]
-    pub fn trial(&self, model: key::Model) -> Option<&Trial> {
+    pub fn canary(&self, model: key::Model) -> Option<&Canary> {
         self.entries.get(model)?.trial.as_ref()
     }
 
-    fn verdict(&self, now: Instant, entry: &Entry) -> Verdict {
+    fn entry_verdict(&self, now: Instant, entry: &Entry) -> Verdict {
         let Some(trial) = &entry.trial else {
             return Verdict::Hold(Hold::Operator);
         };
@@ -320,7 +320,7 @@
     }
 }
 
-fn add(count: &mut Count, event: Event) {
+fn add(count: &mut Counters, event: Event) {
     match event {
         Event::Answered { late } => {
             count.answers = count.answers.saturating_add(1);
--- a/crates/core/src/rollout/test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -25,7 +25,7 @@
 /// Natural logarithm of the stake at which a candidate is rejected. Measured
 /// in `benches/versions.rs`: 3 bad answers in a row reject at the least base
 /// rate, and few good roll-outs in a thousand are halted.
-pub const REJECT: f64 = 9.7;
+pub const REJECT_LOG_EVIDENCE: f64 = 9.7;
 /// Natural logarithm of the likelihood ratio at which a stage counts as
 /// passed: 20 to 1 that the candidate is not worse by [`MARGIN`].
 pub const PASS: f64 = 3.0;
@@ -68,7 +68,7 @@
     /// Returns whether the candidate is rejected.
     #[must_use]
     pub fn rejects(&self) -> bool {
-        self.evidence() >= REJECT
+        self.evidence() >= REJECT_LOG_EVIDENCE
     }
 }
 
--- a/crates/core/tests/all/choice.rs
+++ b/crates/core/tests/all/choice.rs
@@ -3,10 +3,10 @@
 use fescuerack_config::file::State;
 use fescuerack_config::{Catalog, Names, key};
 use fescuerack_core::cascade::{
-    Basis, Choice, Learner, Refusal, Request, Steps, Wanted, World, choose,
+    Basis, Choice, Context, Learner, Refusal, Request, Selector, Steps, choose,
 };
 use fescuerack_core::clock::Instant;
-use fescuerack_core::rollout::{Board, Cause, Halt, Record};
+use fescuerack_core::rollout::{Cause, Halt, Record, Registry};
 use fescuerack_core::session::Place;
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -76,7 +76,7 @@
 struct Market {
     names: Names,
     catalog: Catalog,
-    board: Board,
+    board: Registry,
     learner: Learner,
 }
 
@@ -108,8 +108,8 @@
         let mut names = Names::new();
         let catalog = compile(1, &file, &mut names);
         let now = Instant::ORIGIN;
-        let mut board = Board::new("one");
-        board.inform();
+        let mut board = Registry::new("one");
+        board.mark_informed();
         if case.halted {
             let mut record = Record::default();
             let halt = Halt {
@@ -118,14 +118,14 @@
                 cause: Cause::Ratings,
             };
             record.halt("a@2", halt);
-            board.adopt(now, "a", &record);
+            board.merge_stored_record(now, "a", &record);
         }
         board.configure(now, &catalog, &names);
         let mut learner = Learner::new("one");
         let class = names.classes.get("work").expect("a class");
         for (place, quality) in &case.ratings {
             let version = names.versions.get(VERSIONS[*place]).expect("a version");
-            learner.rated(&catalog, class, version, *quality);
+            learner.record_rating(&catalog, class, version, *quality);
         }
         Self {
             names,
@@ -141,25 +141,25 @@
 
     fn choose(&self, case: &Case) -> Result<Choice, Refusal> {
         let wanted = match case.wanted {
-            0 => Wanted::Class(self.names.classes.get("work").expect("a class")),
-            1 => Wanted::Model(self.names.models.get("a").expect("a model")),
-            _ => Wanted::Version(self.version(1)),
+            0 => Selector::Class(self.names.classes.get("work").expect("a class")),
+            1 => Selector::Model(self.names.models.get("a").expect("a model")),
+            _ => Selector::Version(self.version(1)),
         };
         let session = case.session.to_be_bytes();
         let request = Request {
             organisation: self.names.organisations.get("o").expect("an organisation"),
-            wanted,
+            selector: wanted,
             session: &session,
             pinned: case.pinned.map(|place| self.version(place)),
             stream: false,
-            within_ms: 60_000,
+            remaining_ms: 60_000,
             input_tokens: 100,
-            dice: case.dice,
+            random: case.dice,
         };
-        let world = World {
+        let world = Context {
             catalog: &self.catalog,
             names: &self.names,
-            board: &self.board,
+            rollouts: &self.board,
             learner: &self.learner,
             now: Instant::ORIGIN,
         };
@@ -249,7 +249,7 @@
     let plan = market.choose(&case).expect("a plan").plans[0];
     assert!(matches!(plan.steps, Steps::Cascade { .. }));
     for _ in 0..3 {
-        market.learner.rating_failed(Instant::ORIGIN);
+        market.learner.record_rating_failure(Instant::ORIGIN);
     }
     let plan = market.choose(&case).expect("a plan").plans[0];
     assert_eq!(plan.steps, Steps::Direct(market.version(3)));
@@ -268,7 +268,7 @@
         matches!(choice.plans[0].steps, Steps::Cascade { first, .. } if first == market.version(0))
     );
     for _ in 0..3 {
-        market.learner.rating_failed(Instant::ORIGIN);
+        market.learner.record_rating_failure(Instant::ORIGIN);
     }
     let choice = market.choose(&case).expect("a plan");
     assert_eq!(choice.plans[0].steps, Steps::Direct(market.version(3)));
@@ -287,7 +287,10 @@
     let market = Market::new(&case);
     let choice = market.choose(&case);
     if leave {
-        assert_eq!(choice.expect("a plan").plans[0].basis, Basis::Leave);
+        assert_eq!(
+            choice.expect("a plan").plans[0].basis,
+            Basis::BelowTargetAllowed
+        );
     } else {
         assert_eq!(choice, Err(Refusal::BelowTarget));
     }
--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -5,7 +5,7 @@
 use fescuerack_config::Names;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::member::{Parcel, Replica};
-use fescuerack_core::rollout::{Board, Cause, Event, Halt, Record, Step};
+use fescuerack_core::rollout::{Cause, Event, Halt, Record, Registry, Step};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
@@ -222,7 +222,7 @@
     let mut names = Names::new();
     let catalog = compile(1, &file, &mut names);
     let now = Instant::ORIGIN;
-    let mut boards = ["0123456789abcdef", "fedcba9876543210"].map(Board::new);
+    let mut boards = ["0123456789abcdef", "fedcba9876543210"].map(Registry::new);
     for board in &mut boards {
         board.configure(now, &catalog, &names);
         for (version, _) in names.versions.iter() {
@@ -241,7 +241,7 @@
             digest
                 .reports
                 .iter()
-                .map(|report| report.trial.model.clone()),
+                .map(|report| report.canary.model.clone()),
         );
         second.merge(now, &digest);
     }
@@ -252,7 +252,7 @@
 // takes no more than its limit, and a halt that it leaves out does not spread.
 #[test]
 fn records_ten_models_fit_a_message() {
-    let mut board = Board::new("one");
+    let mut board = Registry::new("one");
     for model in 0..10 {
         let model = format!("a-model-with-a-rather-long-name-{model}");
         let mut record = Record::default();
@@ -270,7 +270,7 @@
             record.step(&format!("{model}@{version}"), step);
         }
         let model = model.as_str();
-        board.adopt(Instant::ORIGIN, model, &record);
+        board.merge_stored_record(Instant::ORIGIN, model, &record);
         let shared = board.records();
         let bytes = serde_json::to_string(&shared).expect("plain fields").len();
         assert!(bytes <= Replica::LARGEST, "{bytes} bytes");
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -2,7 +2,7 @@
 //! core's decision, and the session's token back to the caller.
 
 use fescuerack_config::key;
-use fescuerack_core::cascade::{self, Plan, Wanted, World};
+use fescuerack_core::cascade::{self, Context, Plan, Selector};
 use fescuerack_core::session::{Pins, Place};
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::{chat, header, token};
@@ -73,14 +73,14 @@
     let within = call.deadline.since(now).as_millis();
     let request = cascade::Request {
         organisation: call.organisation,
-        wanted,
+        selector: wanted,
         session: call.session.as_deref().unwrap_or(&call.request).as_bytes(),
         pinned,
         stream: asked.stream,
-        within_ms: u32::try_from(within).unwrap_or(u32::MAX),
+        remaining_ms: u32::try_from(within).unwrap_or(u32::MAX),
         input_tokens: u64::try_from(call.body.len() / 4).unwrap_or(u64::MAX),
         // What is tried once must not become the version of a session.
-        dice: if call.session.is_some() {
+        random: if call.session.is_some() {
             1.0
         } else {
             shared.dice()
@@ -88,10 +88,10 @@
     };
     let board = lock(&shared.versions.board);
     let learner = lock(&shared.versions.learner);
-    let world = World {
+    let world = Context {
         catalog: &force.catalog,
         names: &force.names,
-        board: &board,
+        rollouts: &board,
         learner: &learner,
         now,
     };
@@ -103,8 +103,8 @@
     drop(learner);
     drop(board);
     let class = match wanted {
-        Wanted::Class(class) => Some(class),
-        Wanted::Version(_) | Wanted::Model(_) => None,
+        Selector::Class(class) => Some(class),
+        Selector::Version(_) | Selector::Model(_) => None,
     };
     let priority = class.map(|class| force.catalog.classes[class].priority);
     Ok(Choice {
@@ -120,19 +120,19 @@
     Refusal::new(Kind::Forbidden, "the organisation may not use this model")
 }
 
-fn wanted(force: &Force, model: &str) -> Option<Wanted> {
+fn wanted(force: &Force, model: &str) -> Option<Selector> {
     if let Some(class) = model.strip_prefix("auto:") {
         let class = force.names.classes.get(class)?;
         return force
             .catalog
             .classes
             .contains_key(class)
-            .then_some(Wanted::Class(class));
+            .then_some(Selector::Class(class));
     }
     if let Some(version) = force.names.versions.get(model) {
-        return Some(Wanted::Version(version));
+        return Some(Selector::Version(version));
     }
-    force.names.models.get(model).map(Wanted::Model)
+    force.names.models.get(model).map(Selector::Model)
 }
 
 /// Returns what the caller's token says, if it is this session's.
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -96,7 +96,7 @@
         };
         let took = self.shared.now().since(self.start).as_secs_f64() * 1000.0;
         let tokens = u32::try_from(usage.completion_tokens).unwrap_or(u32::MAX);
-        lock(&self.shared.versions.learner).answered(class, self.version, took, tokens);
+        lock(&self.shared.versions.learner).record_answer(class, self.version, took, tokens);
         if let Some(text) = self.text {
             let version = self.version;
             ratings::submit(
--- a/crates/node/src/callers/service.rs
+++ b/crates/node/src/callers/service.rs
@@ -142,10 +142,10 @@
                     Ended::not_run()
                 };
                 claims::record(&self.shared, &claim, ended.state());
-                self.reply(ended, claim.record.bill())
+                self.reply(ended, claim.record.billing_id())
             }
             Outcome::Taken(verdict) => self.taken(verdict),
-            Outcome::Out { .. } => failure(
+            Outcome::StoreUnavailable { .. } => failure(
                 Kind::Unavailable,
                 "the claim could not be kept in the store; not run",
             ),
--- a/crates/node/src/callers/steps.rs
+++ b/crates/node/src/callers/steps.rs
@@ -177,7 +177,7 @@
     /// Asks for the rating of an answer; `None` when none came in time.
     async fn judge(&self, version: key::Version, answer: &Answer) -> Option<f64> {
         let class = self.choice.class?;
-        if !ratings::may_rate(self.shared, self.force, Purpose::Judge) {
+        if !ratings::may_rate(self.shared, self.force, Purpose::Cascade) {
             self.shared.metrics.count("ratings.over_rate");
             return None;
         }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -62,7 +62,7 @@
         match self {
             Self::End { claim, state } => Recording::new(claim, state.clone(), until),
             Self::Lost { name, nonce, lease } => {
-                Recording::with_lost(name.clone(), *nonce, *lease, until)
+                Recording::with_unconfirmed(name.clone(), *nonce, *lease, until)
             }
         }
     }
@@ -133,9 +133,7 @@
         take(shared, name, deadline)
     } else {
         shared.metrics.count("claim.too_many");
-        Outcome::Out {
-            perhaps_held: false,
-        }
+        Outcome::StoreUnavailable { may_be_held: false }
     };
     shared.claims.waiting.fetch_sub(1, Ordering::SeqCst);
     outcome
@@ -148,9 +146,9 @@
     let lease = lease(shared);
     let mut machine = Claiming::new(name.clone(), nonce, until, lease);
     let outcome = drive::run(&shared.store, &shared.wall, &mut machine);
-    if let Outcome::Out { perhaps_held } = outcome {
+    if let Outcome::StoreUnavailable { may_be_held } = outcome {
         shared.metrics.count("claim.out");
-        if perhaps_held {
+        if may_be_held {
             let name = name.clone();
             let job = Job::Lost { name, nonce, lease };
             let until = shared.wall.now().plus_millis(BACKLOG_MS);
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -13,7 +13,7 @@
 use fescuerack_core::cascade::Learner;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::poison::Suspects;
-use fescuerack_core::rollout::Board;
+use fescuerack_core::rollout::Registry;
 use fescuerack_core::{cascade, rollout};
 use serde_json::json;
 
@@ -22,7 +22,7 @@
 /// State of the slices that decide on versions.
 pub struct Versions {
     /// Roll-outs.
-    pub board: Mutex<Board>,
+    pub board: Mutex<Registry>,
     /// Learnt quality.
     pub learner: Mutex<Learner>,
     /// Requests that crashed servers.
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn new(incarnation: &str, platform: &str) -> Self {
         Self {
-            board: Mutex::new(Board::new(incarnation)),
+            board: Mutex::new(Registry::new(incarnation)),
             learner: Mutex::new(Learner::new(incarnation)),
             suspects: Mutex::new(Suspects::new()),
             ratings: ratings::Desk::new(platform),
@@ -75,7 +75,7 @@
     pub fn is_candidate(&self, model: key::Model, version: key::Version) -> bool {
         let board = lock(&self.board);
         board
-            .trial(model)
+            .canary(model)
             .is_some_and(|trial| trial.candidate == version)
     }
 }
@@ -93,7 +93,7 @@
     let mut news = false;
     let mut board = lock(&shared.versions.board);
     for (model, record) in records {
-        news |= board.merge_record(now, model, record);
+        news |= board.merge_peer_record(now, model, record);
     }
     drop(board);
     if news {
@@ -124,9 +124,9 @@
         rollouts.insert(
             name.clone(),
             json!({
-                "verdict": board.verdict_of(now, model),
+                "verdict": board.verdict(now, model),
                 "share_of_new_sessions": part,
-                "trial": board.trial(model),
+                "trial": board.canary(model),
                 "record": board.record(&name),
             }),
         );
--- a/crates/node/src/versions/ratings.rs
+++ b/crates/node/src/versions/ratings.rs
@@ -6,7 +6,7 @@
 
 use fescuerack_client::{HttpRating, Rating as _};
 use fescuerack_config::key;
-use fescuerack_core::cascade::{Bucket, Purpose};
+use fescuerack_core::cascade::{Purpose, TokenBucket};
 use fescuerack_core::clock::Instant;
 use fescuerack_core::rollout::Event;
 use fescuerack_wire::rating;
@@ -39,7 +39,7 @@
     service: HttpRating,
     waiting: Mutex<VecDeque<Answer>>,
     arrived: Condvar,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
 }
 
 impl Desk {
@@ -50,7 +50,7 @@
             service: HttpRating::new(address),
             waiting: Mutex::new(VecDeque::new()),
             arrived: Condvar::new(),
-            bucket: Mutex::new(Bucket::new(Instant::ORIGIN, 1.0)),
+            bucket: Mutex::new(TokenBucket::new(Instant::ORIGIN, 1.0)),
         }
     }
 
@@ -119,15 +119,15 @@
     let quality = match result {
         Ok(rating) if (0.0..=1.0).contains(&rating.quality) => rating.quality,
         Ok(_) | Err(_) => {
-            lock(&versions.learner).rating_failed(now);
+            lock(&versions.learner).record_rating_failure(now);
             shared.metrics.count("ratings.failed");
             return None;
         }
     };
     shared.metrics.count("ratings.done");
     let mut learner = lock(&versions.learner);
-    learner.rating_took(now.since(start).as_secs_f64() * 1000.0);
-    learner.rated(&force.catalog, answer.class, answer.version, quality);
+    learner.record_rating_ms(now.since(start).as_secs_f64() * 1000.0);
+    learner.record_rating(&force.catalog, answer.class, answer.version, quality);
     drop(learner);
     let class = force.catalog.classes.get(answer.class);
     let event = Event::Rated {
--- a/crates/node/src/versions/rollouts.rs
+++ b/crates/node/src/versions/rollouts.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use fescuerack_client::{Store as _, Swap};
 use fescuerack_core::clock::Instant;
-use fescuerack_core::rollout::{Act, Record, Step, record};
+use fescuerack_core::rollout::{Record, Step, StoreWrite, record};
 
 use crate::shared::{Shared, lock};
 use crate::stop::Stop;
@@ -45,7 +45,7 @@
         }
         let instances = super::instances(shared);
         let mut board = lock(&shared.versions.board);
-        board.with_peers(instances);
+        board.set_instances(instances);
         let acts = board.decide(now);
         drop(board);
         for act in acts {
@@ -69,7 +69,7 @@
         read_record(shared, model)?;
         seen.versions.insert(item.key.clone(), item.version);
     }
-    lock(&shared.versions.board).inform();
+    lock(&shared.versions.board).mark_informed();
     Ok(())
 }
 
@@ -87,8 +87,8 @@
 fn take_over(shared: &Shared, model: &str, found: &Record) {
     let now = shared.now();
     let mut board = lock(&shared.versions.board);
-    board.kept(model, found);
-    let news = board.adopt(now, model, found);
+    board.set_stored_record(model, found);
+    let news = board.merge_stored_record(now, model, found);
     drop(board);
     if news {
         log::info!(model = model; "a roll-out's record was news");
@@ -96,13 +96,13 @@
     }
 }
 
-fn perform(shared: &Shared, act: &Act) -> Result<()> {
+fn perform(shared: &Shared, act: &StoreWrite) -> Result<()> {
     match act {
-        Act::Keep(model) => {
+        StoreWrite::Halts(model) => {
             shared.metrics.count("rollouts.halts_to_keep");
             write(shared, model, None)
         }
-        Act::Step(model, candidate, step) => {
+        StoreWrite::Step(model, candidate, step) => {
             // All instances come to this conclusion at about the same time and
             // one write is enough.
             let instances = super::instances(shared);
--- a/crates/standin/tests/all/claim.rs
+++ b/crates/standin/tests/all/claim.rs
@@ -171,12 +171,12 @@
                     let sender = self.senders.swap_remove(index);
                     self.told(key, sender.started, verdict);
                 }
-                Step::Done(Outcome::Out { perhaps_held }) => {
+                Step::Done(Outcome::StoreUnavailable { may_be_held }) => {
                     self.senders.swap_remove(index);
                     self.count("not run: store out");
-                    if perhaps_held {
+                    if may_be_held {
                         let until = self.now.plus_millis(60_000);
-                        let machine = Recording::with_lost(name(key, 0), nonce, None, until);
+                        let machine = Recording::with_unconfirmed(name(key, 0), nonce, None, until);
                         self.backlog.push((key, machine));
                     }
                 }
@@ -413,7 +413,7 @@
     let ended = Recording::new(&running, State::NotRun, until);
     assert!(settle(&mut store, ended, false));
     let late = taking(&store, 2);
-    let given_up = Recording::with_lost(name(0, 0), 2, None, until);
+    let given_up = Recording::with_unconfirmed(name(0, 0), 2, None, until);
     assert!(settle(&mut store, given_up, is_old));
     assert!(matches!(make(&mut store, late), Err(Refusal::Conflict(_))));
     let again = taking(&store, 3);
