--- a/crates/core/src/rollout/canary.rs
+++ b/crates/core/src/rollout/canary.rs
@@ -1,5 +1,5 @@
-//! One trial: a candidate under one word of the operators, and the evidence
-//! for and against it.
+//! The canary analysis of one candidate in one generation of its roll-out: the evidence for and
+//! against it.
 
 use std::collections::BTreeMap;
 
@@ -11,74 +11,73 @@
 use super::sequential_test::{Base, Detector, passes};
 use crate::clock::Instant;
 
-/// What a trial is known by; counts of another trial are never mixed in.
+/// Identity of a canary; counters of different canaries are never mixed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version of today, which takes the work after a halt.
+    /// Current version, which takes over the requests after a halt.
     pub current: String,
-    /// Version that is being rolled out.
+    /// Candidate.
     pub candidate: String,
-    /// Number of the operator's word.
+    /// Generation of the roll-out, as the operators set it.
     pub word: u64,
 }
 
-/// Why a roll-out does not advance.
+/// The reason why a roll-out does not advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Hold {
-    /// An operator paused it, closed or withdrew the candidate, or it is at
-    /// its last stage.
+    /// An operator paused it, closed or withdrew the candidate, or it is at its last stage.
     Operator,
-    /// Neither the store nor a peer has told this instance of halts yet.
+    /// This instance has not received the halts from the store or from a peer yet.
     Uninformed,
     /// Too few answers in this stage.
     Evidence,
-    /// No rating came lately.
+    /// No rating of the candidate arrived within [`STALE_RATINGS_MS`].
     Stale,
-    /// The ratings of the candidate are lower.
+    /// The mean rating of the candidate is lower than that of the current version.
     Quality,
-    /// Too few answers are rated to stop in time at the next stage.
+    /// Too few answers are rated to halt within the exposure budget at the next stage.
     Exposure,
-    /// The stage has lasted too short a time.
+    /// The stage has not lasted [`MIN_DWELL_MS`] yet.
     Dwell,
 }
 
-/// What the evidence says.
+/// The result of the evaluation of the evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// Stay at this stage.
     Hold(Hold),
-    /// Go to the next stage.
+    /// Advance to the next stage.
     Step,
-    /// Stop and fall back.
+    /// Stop and fall back to the current version.
     Halt(Cause),
 }
 
-/// Milliseconds after which ratings count as stale.
+/// Time after the latest rating of the candidate at which its ratings count as stale.
 pub const STALE_RATINGS_MS: u64 = 600_000;
-/// Milliseconds that a stage lasts at least: some failures show only when
-/// caches and sessions have grown.
+/// Minimum duration of a stage: some failures appear only after caches and sessions have grown.
 pub const MIN_DWELL_MS: u64 = 600_000;
-/// Ratings that a wholly bad version needs to be rejected, with one to spare.
+/// Number of ratings after which a version with only bad answers is rejected, plus one in reserve.
 pub const RATINGS_TO_REJECT: f64 = 4.0;
-/// Mean rating by which the candidate may fall short of the current version.
-const SHORTFALL: f64 = 0.02;
-/// Incarnations of instances whose counts are kept; a trial that outlasts
-/// more of them holds.
-const MOST_SOURCES: usize = 2048;
+/// Maximum shortfall of the candidate's mean rating against that of the current version.
+const MAX_QUALITY_SHORTFALL: f64 = 0.02;
+/// Maximum number of incarnations of instances whose counters are kept. The counters of further
+/// incarnations are dropped, so a canary that outlasts more of them holds.
+const MAX_SOURCES: usize = 2048;
 
-/// Least rates of bad outcomes that are tested against, by channel. A
-/// version that never fails must not be rejected for a single failure.
-const FLOORS: [(Cause, f64); 4] = [
+/// Lowest base rate of bad outcomes to test against, by channel: when the current version never
+/// fails, a single failure must not reject the candidate.
+const MIN_BASE_RATES: [(Cause, f64); 4] = [
     (Cause::Errors, 0.01),
     (Cause::Crashes, 0.005),
     (Cause::Latency, 0.05),
     (Cause::Ratings, 0.02),
 ];
 
+/// The evidence on one kind of bad outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 struct Channel {
     cause: Cause,
@@ -90,16 +89,17 @@
     fn add(&mut self, delta: PairedCounters) {
         let (outcomes, bad) = outcomes(self.cause, delta.current);
         self.base.add(outcomes, bad);
-        let (outcomes, bad) = outcomes_of(self.cause, delta);
+        let (outcomes, bad) = candidate_outcomes(self.cause, delta);
         self.detector.add(self.base.rate(), outcomes - bad, bad);
     }
 }
 
-fn outcomes_of(cause: Cause, delta: PairedCounters) -> (u32, u32) {
+/// Returns the number of outcomes of the candidate and of bad ones among them.
+fn candidate_outcomes(cause: Cause, delta: PairedCounters) -> (u32, u32) {
     outcomes(cause, delta.candidate)
 }
 
-/// Returns the number of outcomes and of bad ones on a channel.
+/// Returns the number of outcomes on a channel and of bad ones among them.
 fn outcomes(cause: Cause, count: Counters) -> (u32, u32) {
     let (outcomes, bad) = match cause {
         Cause::Errors => (count.answers, count.errors),
@@ -110,23 +110,25 @@
     (outcomes, bad.min(outcomes))
 }
 
-/// The evidence of one trial.
+/// The evidence of one canary.
 #[derive(Clone, Debug, Serialize)]
 pub struct Canary {
-    /// What it is known by.
+    /// Identity.
     pub id: Id,
-    /// Version of today.
+    /// Current version.
     #[serde(skip)]
     pub current: key::Version,
-    /// Version that is being rolled out.
+    /// Candidate.
     #[serde(skip)]
     pub candidate: key::Version,
-    /// Bad answers that may reach callers.
+    /// Exposure budget: number of bad answers that may reach callers.
     pub exposure: u32,
-    /// Stage in force.
+    /// Active stage.
     pub stage: usize,
+    /// Counters by incarnation.
     sources: BTreeMap<String, PairedCounters>,
     total: PairedCounters,
+    /// Total at the start of the stage.
     at_stage: PairedCounters,
     stage_since: Instant,
     rated_at: Option<Instant>,
@@ -135,7 +137,7 @@
 }
 
 impl Canary {
-    /// Creates a trial with no evidence.
+    /// Creates a canary with no evidence.
     #[must_use]
     pub fn new(id: Id, current: key::Version, candidate: key::Version, now: Instant) -> Self {
         Self {
@@ -149,7 +151,7 @@
             at_stage: PairedCounters::default(),
             stage_since: now,
             rated_at: None,
-            channels: FLOORS.map(|(cause, floor)| Channel {
+            channels: MIN_BASE_RATES.map(|(cause, floor)| Channel {
                 cause,
                 base: Base::new(floor),
                 detector: Detector::default(),
@@ -158,8 +160,8 @@
         }
     }
 
-    /// Goes to another stage; evidence for the next step starts afresh.
-    pub fn enter(&mut self, now: Instant, stage: usize) {
+    /// Enters another stage; the evidence for the next step starts afresh.
+    pub fn enter_stage(&mut self, now: Instant, stage: usize) {
         if stage != self.stage {
             self.stage = stage;
             self.at_stage = self.total;
@@ -167,11 +169,11 @@
         }
     }
 
-    /// Takes over the counters of one incarnation; counters only rise, so a
-    /// repeated or an old message changes nothing.
-    pub fn learn(&mut self, now: Instant, source: &str, pair: PairedCounters) {
+    /// Merges the counters of one incarnation; counters only increase, so a repeated or an old
+    /// message changes nothing.
+    pub fn merge_counters(&mut self, now: Instant, source: &str, pair: PairedCounters) {
         let known = self.sources.get(source).copied();
-        if known.is_none() && self.sources.len() >= MOST_SOURCES {
+        if known.is_none() && self.sources.len() >= MAX_SOURCES {
             return;
         }
         let joined = known.unwrap_or_default().join(pair);
@@ -187,12 +189,14 @@
         for channel in &mut self.channels {
             channel.add(delta);
         }
-        self.judge();
+        self.update_halt();
     }
 
-    /// Once rejected, a trial stays rejected: later good answers must not
-    /// bring a version back that nobody has looked at.
-    fn judge(&mut self) {
+    /// Halts the canary if a channel rejects the candidate or the exposure budget is used up.
+    ///
+    /// The halt is permanent: later good answers must not reinstate a version that no operator has
+    /// inspected.
+    fn update_halt(&mut self) {
         if self.halted.is_some() {
             return;
         }
@@ -201,15 +205,15 @@
             .iter()
             .find(|channel| channel.detector.rejects());
         self.halted = rejected.map(|channel| channel.cause);
-        if self.halted.is_none() && self.exposed() >= f64::from(self.exposure) {
+        if self.halted.is_none() && self.excess_bad_answers() >= f64::from(self.exposure) {
             self.halted = Some(Cause::Exposure);
         }
     }
 
-    /// Returns the estimated number of bad answers that reached callers and
-    /// would not have with the current version.
+    /// Returns the estimated number of bad answers that reached callers beyond those expected from
+    /// the current version.
     #[must_use]
-    pub fn exposed(&self) -> f64 {
+    pub fn excess_bad_answers(&self) -> f64 {
         let count = self.total.candidate;
         if count.rated == 0 {
             return 0.0;
@@ -219,21 +223,20 @@
         excess.max(0.0) * (f64::from(count.answers) / rated).max(1.0)
     }
 
-    /// Returns the share of the candidate's answers of this stage that were
-    /// rated.
+    /// Returns the share of the candidate's answers in this stage that were rated.
     #[must_use]
     pub fn rated_share(&self) -> f64 {
         let count = self.total.since(self.at_stage).candidate;
         f64::from(count.rated) / f64::from(count.answers.max(1))
     }
 
-    /// Returns the counters of one source.
+    /// Returns the counters of one incarnation.
     #[must_use]
     pub fn source(&self, source: &str) -> PairedCounters {
         self.sources.get(source).copied().unwrap_or_default()
     }
 
-    /// Iterates over all sources.
+    /// Iterates over the counters of all incarnations.
     pub fn sources(&self) -> impl Iterator<Item = (&String, PairedCounters)> {
         self.sources.iter().map(|(source, pair)| (source, *pair))
     }
@@ -244,14 +247,14 @@
         self.total
     }
 
-    /// Returns whether a rating of the candidate came within the last `millis`.
+    /// Returns whether a rating of the candidate arrived within the last `millis` milliseconds.
     #[must_use]
     pub fn is_rated_within(&self, now: Instant, millis: u64) -> bool {
         self.rated_at.is_some_and(|at| now < at.plus_millis(millis))
     }
 
-    /// Says what the evidence allows; `growth` is by how much the next stage's
-    /// share is larger than this one's.
+    /// Returns the verdict that the evidence supports; `growth` is the ratio of the next stage's
+    /// share of new sessions to that of this stage.
     #[must_use]
     pub fn verdict(&self, now: Instant, growth: f64) -> Verdict {
         if let Some(cause) = self.halted {
@@ -264,9 +267,9 @@
             Hold::Stale
         } else if !self.passes(stage) {
             Hold::Evidence
-        } else if !is_as_good(stage) {
+        } else if !is_quality_sufficient(stage) {
             Hold::Quality
-        } else if !self.stops_in_time(growth) {
+        } else if !self.halts_within_budget(growth) {
             Hold::Exposure
         } else {
             return Verdict::Step;
@@ -274,24 +277,27 @@
         Verdict::Hold(hold)
     }
 
+    /// Returns whether the outcomes of the stage pass the test on every channel.
     fn passes(&self, stage: PairedCounters) -> bool {
         self.channels.iter().all(|channel| {
-            let (all, bad) = outcomes_of(channel.cause, stage);
+            let (all, bad) = candidate_outcomes(channel.cause, stage);
             passes(channel.base.rate(), all - bad, bad)
         })
     }
 
-    /// A version that turns wholly bad right after the step is rejected after
-    /// a few ratings; the answers that pass between them must fit the budget.
-    fn stops_in_time(&self, growth: f64) -> bool {
+    /// Returns whether a candidate that fails completely right after the step is halted within the
+    /// exposure budget: it is rejected after a few ratings, and the answers that reach callers
+    /// between those ratings must fit the budget.
+    fn halts_within_budget(&self, growth: f64) -> bool {
         let rated_after = (self.rated_share() / growth.max(1.0)).max(f64::MIN_POSITIVE);
         RATINGS_TO_REJECT / rated_after.min(1.0) <= f64::from(self.exposure)
     }
 }
 
-fn is_as_good(stage: PairedCounters) -> bool {
+/// Returns whether the mean rating of the candidate is close enough to that of the current version.
+fn is_quality_sufficient(stage: PairedCounters) -> bool {
     match (stage.candidate.quality(), stage.current.quality()) {
-        (Some(candidate), Some(current)) => candidate + SHORTFALL >= current,
+        (Some(candidate), Some(current)) => candidate + MAX_QUALITY_SHORTFALL >= current,
         (Some(_), None) => true,
         (None, _) => false,
     }
--- a/crates/core/src/rollout/counters.rs
+++ b/crates/core/src/rollout/counters.rs
@@ -1,16 +1,16 @@
-//! Counters of what a version's answers were like.
+//! Counters of the outcomes of a version's answers.
 //!
-//! Every counter only rises and is owned by one incarnation of one instance,
-//! so that taking the larger value merges repeated, reordered and old
-//! messages alike.
+//! Every counter only increases and is written by one incarnation of one instance. Two states of it
+//! are merged by taking the larger value (a grow-only counter), so repeated, reordered and old
+//! messages do no harm.
 
 use serde::{Deserialize, Serialize};
 
-/// What one incarnation has seen of one version in one trial.
+/// The outcomes that one incarnation counted for one version in one canary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counters {
-    /// Attempts that ended, well or not.
+    /// Attempts that ended, successfully or not.
     #[serde(rename = "a", skip_serializing_if = "is_zero")]
     pub answers: u32,
     /// Attempts that ended with an error.
@@ -19,7 +19,7 @@
     /// Attempts whose backend server crashed.
     #[serde(rename = "c", skip_serializing_if = "is_zero")]
     pub crashes: u32,
-    /// Answers whose first token came too late.
+    /// Answers whose time to first token exceeded the target.
     #[serde(rename = "l", skip_serializing_if = "is_zero")]
     pub late: u32,
     /// Answers that were rated.
@@ -33,7 +33,7 @@
     pub quality_milli: u32,
 }
 
-/// Whether a counter is left out of messages.
+/// Returns whether a counter is omitted from messages.
 fn is_zero<T: Default + PartialEq>(count: &T) -> bool {
     *count == T::default()
 }
@@ -69,20 +69,20 @@
         self.zip(earlier, u32::saturating_sub)
     }
 
-    /// Returns the mean rating, when there is one.
+    /// Returns the mean rating from 0 to 1, if there is any.
     #[must_use]
     pub fn quality(self) -> Option<f64> {
         (self.rated > 0).then(|| f64::from(self.quality_milli) / f64::from(self.rated) / 1000.0)
     }
 }
 
-/// Counters of both versions of a trial.
+/// Counters of both versions of a canary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PairedCounters {
-    /// The version of today.
+    /// The current version.
     pub current: Counters,
-    /// The version that is being rolled out.
+    /// The candidate.
     pub candidate: Counters,
 }
 
--- a/crates/core/src/rollout/digest.rs
+++ b/crates/core/src/rollout/digest.rs
@@ -1,14 +1,14 @@
-//! What instances tell each other about roll-outs.
+//! The messages that instances exchange about roll-outs.
 
 use serde::{Deserialize, Serialize};
 
 use super::canary::Id;
 use super::counters::PairedCounters;
 
-/// Counters of one incarnation in one trial.
+/// Counters of one incarnation in one canary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The trial.
+    /// The canary.
     #[serde(rename = "trial")]
     pub canary: Id,
     /// Incarnation that counted.
@@ -17,14 +17,15 @@
     pub pair: PairedCounters,
 }
 
-/// What one instance tells a peer. Peers pass on what they heard, so that a
-/// halt and the counts behind it reach everyone in a few rounds also when two
-/// instances cannot reach each other or the store is down.
+/// A digest that one instance sends to a peer.
+///
+/// Peers forward the reports that they receive, so that the counters behind a halt reach every
+/// instance in a few rounds even if two instances cannot reach each other or the store is down.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Whether the sender has heard of a record from the store or from others.
+    /// Whether the sender knows the records, from the store or from peers.
     pub informed: bool,
-    /// Counters: the sender's own and some that it heard.
+    /// Counters of the sender and some that it received from others.
     pub reports: Vec<Report>,
 }
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,26 +1,26 @@
-//! Roll-outs that stop by themselves.
+//! Automatic roll-outs of model versions: canary analysis, staged traffic shares and roll-back.
 //!
-//! Operators say in the configuration which version is the candidate, at which
-//! stage the roll-out starts and under which number of their word (`word`).
-//! Every instance counts what both versions' answers were like, hears its
-//! peers' counts and tests on their sum ([`mod@sequential_test`]). Three things follow:
+//! Operators set in the configuration which version is the candidate, the stage at which the
+//! roll-out starts and its generation (`word`), a number that operators raise to start the roll-out
+//! afresh. Every instance counts the outcomes of the answers of both versions, receives the
+//! counters of its peers and runs a sequential test on their sum ([`mod@sequential_test`]). The
+//! result is one of three:
 //!
-//! - **Halt**: the evidence rejects the candidate, or the budget of bad
-//!   answers is used up. The instance acts at once: the candidate is withdrawn
-//!   here. The halt spreads by peers and is kept in the store ([`record`]).
-//! - **Step**: the stage's evidence is good, fresh and rated often enough. The
-//!   next stage takes a compare-and-swap in the store: all instances must agree
-//!   on the shares, and a step must not win over a halt that its writer has
-//!   not heard of. With the store out, nothing steps.
-//! - **Hold**: everything else. Missing and stale evidence hold, and so does
-//!   an instance that has heard of no record yet ([`Hold::Uninformed`]).
+//! - **Halt**: the evidence rejects the candidate, or the budget of bad answers is used up. The
+//!   instance withdraws the candidate locally at once. The halt is propagated to peers and
+//!   persisted in the store ([`record`]).
+//! - **Step**: the stage has enough good, recent and rated answers. Going to the next stage takes a
+//!   compare-and-swap in the store: all instances must agree on the traffic shares, and a step must
+//!   not overwrite a halt that its writer has not received. While the store is unavailable, no
+//!   roll-out advances.
+//! - **Hold**: everything else. Missing or stale evidence holds the roll-out, and so does an
+//!   instance that has not received any record yet ([`Hold::Uninformed`]).
 //!
-//! While ratings fail to come, each instance lets only its part of the
-//! exposure budget of unrated answers pass; then new sessions start on the
-//! current version until ratings come back.
+//! When no ratings arrive, each instance lets only its part of the exposure budget pass as unrated
+//! answers. After that, new sessions start on the current version until ratings arrive again.
 //!
-//! Without this a version that turns bad at night publishes until the morning;
-//! stages by the clock only make that certain.
+//! Without this, a version that degrades at night serves bad answers until somebody intervenes in
+//! the morning; stages that advance on a timer would even increase its share meanwhile.
 
 mod canary;
 pub mod counters;
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -1,19 +1,19 @@
-//! What lasts of roll-outs: halts and steps.
+//! The persistent state of roll-outs: halts and steps.
 //!
-//! A halt names model, candidate and the number of the operator's word that
-//! it ended; a step names the same and a stage. Both only rise, so that
-//! merging takes the larger: an older message, a restart or an earlier
-//! configuration can undo neither. A word with a higher number starts afresh.
+//! A halt identifies model, candidate and the generation (`word`) of the roll-out that it ended; a
+//! step identifies the same and a stage. Both only increase, and merging takes the larger one, so
+//! an older message, a restart or an earlier configuration cannot undo them. A roll-out with a
+//! higher generation starts afresh.
 //!
-//! Halts and steps of one model stand under one key of the store: a step is a
-//! compare-and-swap against the very value that would hold a halt, so a step
-//! never wins over a halt that its writer did not know.
+//! The halts and steps of one model are stored under one key. A step is a compare-and-swap against
+//! the same value that would hold a halt, so it cannot overwrite a halt that its writer has not
+//! seen.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the keys in the store.
+/// Prefix of the keys of records in the store.
 pub const PREFIX: &str = "rollout/halt/";
 
 /// Returns the key of a model's record.
@@ -26,13 +26,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Errors.
+    /// Too many errors.
     Errors,
-    /// Crashes of backend servers.
+    /// Too many crashes of backend servers.
     Crashes,
-    /// First tokens that came too late.
+    /// Too many answers whose time to first token exceeded the target.
     Latency,
-    /// Ratings.
+    /// Too many bad ratings.
     Ratings,
     /// The budget of bad answers was used up.
     Exposure,
@@ -41,20 +41,20 @@
 /// A roll-out that was stopped and rolled back.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Halt {
-    /// Number of the operator's word that it ended; a higher one clears it.
+    /// Generation of the roll-out that it ended; a higher one clears the halt.
     pub word: u64,
-    /// Version that takes the work.
+    /// Version that takes over the requests.
     pub fallback: String,
-    /// Why.
+    /// Reason for the halt.
     pub cause: Cause,
 }
 
 /// A stage that the evidence allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Step {
-    /// Number of the operator's word that it belongs to.
+    /// Generation of the roll-out that it belongs to.
     pub word: u64,
-    /// Position in the roll-out's stages.
+    /// Index in the stages of the roll-out.
     pub stage: usize,
 }
 
@@ -69,57 +69,56 @@
 }
 
 impl Record {
-    /// Most candidates of one model that are remembered. The lowest words go
-    /// first: whoever names such a candidate again does so under a higher word,
-    /// which would clear its halt anyway. The bound keeps ten models' records
-    /// within a message of peers.
-    const MOST: usize = 2;
-
-    /// Returns whether `candidate` is halted under the operator's `word`.
+    /// Maximum number of candidates of one model that are kept.
+    ///
+    /// The lowest generations are evicted first: a later roll-out of such a candidate has a higher
+    /// generation, which would clear its halt anyway. The bound keeps the records of ten models
+    /// within one message between peers.
+    const MAX_CANDIDATES: usize = 2;
+
+    /// Returns the halt of `candidate` that applies to generation `word`, if any.
     #[must_use]
     pub fn halted(&self, candidate: &str, word: u64) -> Option<&Halt> {
         self.halts.get(candidate).filter(|halt| halt.word >= word)
     }
 
-    /// Returns the stage that the evidence allowed under the operator's `word`.
+    /// Returns the stage that the evidence allowed in generation `word`, if any.
     #[must_use]
     pub fn stage(&self, candidate: &str, word: u64) -> Option<usize> {
         let step = self.steps.get(candidate)?;
         (step.word == word).then_some(step.stage)
     }
 
-    /// Takes over a halt unless a later one is known; returns whether it was
-    /// news.
+    /// Merges a halt unless a later one is known; returns whether it changed the record.
     pub fn halt(&mut self, candidate: &str, halt: Halt) -> bool {
-        let news = raise(&mut self.halts, candidate, halt, Clone::clone);
-        trim(&mut self.halts, Self::MOST, |halt| halt.word);
-        news
+        let changed = raise(&mut self.halts, candidate, halt, Clone::clone);
+        trim(&mut self.halts, Self::MAX_CANDIDATES, |halt| halt.word);
+        changed
     }
 
-    /// Takes over a step unless a later one is known; returns whether it was
-    /// news.
+    /// Merges a step unless a later one is known; returns whether it changed the record.
     pub fn step(&mut self, candidate: &str, step: Step) -> bool {
-        let news = raise(&mut self.steps, candidate, step, |step| {
+        let changed = raise(&mut self.steps, candidate, step, |step| {
             (step.word, step.stage)
         });
-        trim(&mut self.steps, Self::MOST, |step| step.word);
-        news
+        trim(&mut self.steps, Self::MAX_CANDIDATES, |step| step.word);
+        changed
     }
 
-    /// Takes over everything that `other` knows better; returns whether there
-    /// was any.
+    /// Merges every later halt and step of `other`; returns whether any changed the record.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let mut news = false;
+        let mut changed = false;
         for (candidate, halt) in &other.halts {
-            news |= self.halt(candidate, halt.clone());
+            changed |= self.halt(candidate, halt.clone());
         }
         for (candidate, step) in &other.steps {
-            news |= self.step(candidate, *step);
+            changed |= self.step(candidate, *step);
         }
-        news
+        changed
     }
 }
 
+/// Inserts `offered` under `name` unless the present value ranks at least as high.
 fn raise<T, K: Ord>(
     known: &mut BTreeMap<String, T>,
     name: &str,
@@ -135,8 +134,9 @@
     }
 }
 
-fn trim<T>(known: &mut BTreeMap<String, T>, most: usize, rank: fn(&T) -> u64) {
-    while known.len() > most {
+/// Removes the entries of the lowest rank until at most `limit` are left.
+fn trim<T>(known: &mut BTreeMap<String, T>, limit: usize, rank: fn(&T) -> u64) {
+    while known.len() > limit {
         let lowest = known.iter().min_by_key(|(_, value)| rank(value));
         let Some(name) = lowest.map(|(name, _)| name.clone()) else {
             return;
--- a/crates/core/src/rollout/registry/configure.rs
+++ b/crates/core/src/rollout/registry/configure.rs
@@ -1,4 +1,4 @@
-//! Taking over the configuration in force.
+//! Application of the active configuration.
 
 use fescuerack_config::file::State;
 use fescuerack_config::{Catalog, Names, key};
@@ -9,7 +9,7 @@
 use crate::rollout::digest::Report;
 
 impl Registry {
-    /// Takes over the configuration in force; call it after every change.
+    /// Applies the active configuration; must be called after every change of it or of a record.
     pub fn configure(&mut self, now: Instant, catalog: &Catalog, names: &Names) {
         let models = &catalog.models;
         self.entries.retain(|model, _| models.contains_key(model));
@@ -23,8 +23,8 @@
             self.configure_model(now, catalog, names, model);
         }
         let entries = self.entries.values();
-        let trials: Vec<_> = entries.filter_map(|entry| entry.trial.as_ref()).collect();
-        let is_running = |report: &Report| trials.iter().any(|trial| trial.id == report.canary);
+        let canaries: Vec<_> = entries.filter_map(|entry| entry.canary.as_ref()).collect();
+        let is_running = |report: &Report| canaries.iter().any(|canary| canary.id == report.canary);
         self.relay.retain(is_running);
     }
 
@@ -48,13 +48,13 @@
         };
         let is_named = |version| rollout.candidate == Some(version) || rollout.current == version;
         let halted = |version: key::Version| {
-            // A newer word clears the halt of a version that it names, and of
-            // no other.
+            // A higher generation clears the halts of the versions that the roll-out names, and of
+            // no others.
             let word = if is_named(version) { rollout.word } else { 0 };
             record.halted(names.versions.name(version), word)
         };
-        // An operator who makes a halted candidate the version of today
-        // without a newer word has not seen the halt.
+        // An operator who makes a halted candidate the current version without raising the
+        // generation has not seen the halt, so the fallback of the halt stays current.
         let current = halted(rollout.current)
             .and_then(|halt| names.versions.get(&halt.fallback))
             .filter(|version| catalog.versions.contains_key(*version))
@@ -68,7 +68,7 @@
         let mut entry = Entry {
             share: None,
             stages: rollout.stages.clone(),
-            trial: None,
+            canary: None,
             open: false,
             steady: true,
             unrated: previous.as_ref().map_or(0, |entry| entry.unrated),
@@ -80,20 +80,20 @@
                 candidate: names.versions.name(candidate).to_string(),
                 word: rollout.word,
             };
-            let mut trial = previous
-                .and_then(|entry| entry.trial)
-                .filter(|trial| trial.id == id)
+            let mut canary = previous
+                .and_then(|entry| entry.canary)
+                .filter(|canary| canary.id == id)
                 .unwrap_or_else(|| {
                     entry.unrated = 0;
                     Canary::new(id.clone(), current, candidate, now)
                 });
-            trial.exposure = rollout.exposure;
+            canary.exposure = rollout.exposure;
             let stage = record
                 .stage(&id.candidate, id.word)
                 .unwrap_or(rollout.stage)
                 .max(rollout.stage)
                 .min(rollout.stages.len().saturating_sub(1));
-            trial.enter(now, stage);
+            canary.enter_stage(now, stage);
             entry.open = catalog.versions[candidate].state == State::Open;
             entry.steady = rollout.paused || !entry.open;
             let part = rollout.stages.get(stage).copied().filter(|_| entry.open);
@@ -101,7 +101,7 @@
                 current,
                 candidate: Some((candidate, part.unwrap_or(0.0))),
             });
-            entry.trial = Some(trial);
+            entry.canary = Some(canary);
         }
         entry.share = entry.share.or(Some(Share {
             current,
--- a/crates/core/src/rollout/registry/exchange.rs
+++ b/crates/core/src/rollout/registry/exchange.rs
@@ -1,4 +1,4 @@
-//! What peers are told and what they tell.
+//! Gossip with peers: the digests that an instance sends and receives.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,31 @@
 use crate::rollout::digest::{Digest, Report};
 use crate::rollout::record::Record;
 
-/// Reports of one digest: four take about 1 KB, and a message of peers carries
-/// little more. Own ones and relayed ones take turns.
-const MOST_REPORTS: usize = 4;
+/// Maximum number of reports in one digest: four take about 1 KB, and a message between peers
+/// carries little more. Local and forwarded reports rotate through these places.
+const MAX_REPORTS: usize = 4;
 
 impl Registry {
-    /// Returns what peers are told.
+    /// Returns the digest for a peer: a rotating selection of local and received reports.
     pub fn digest(&mut self) -> Digest {
-        let mut own = Vec::new();
+        let mut local = Vec::new();
         for entry in self.entries.values() {
-            if let Some(trial) = &entry.trial {
-                let pair = trial.source(&self.source);
+            if let Some(canary) = &entry.canary {
+                let pair = canary.source(&self.source);
                 if pair != PairedCounters::default() {
-                    own.push(Report {
-                        canary: trial.id.clone(),
+                    local.push(Report {
+                        canary: canary.id.clone(),
                         source: self.source.clone(),
                         pair,
                     });
                 }
             }
         }
-        let mut reports = take_turns(&own, self.turn, MOST_REPORTS / 2);
-        let room = MOST_REPORTS - reports.len();
-        reports.extend(take_turns(&self.relay, self.turn, room));
-        // By one, and not by as many as were taken: not every digest is sent,
-        // and with larger strides the same reports could be left out for ever.
+        let mut reports = rotate_reports(&local, self.turn, MAX_REPORTS / 2);
+        let room = MAX_REPORTS - reports.len();
+        reports.extend(rotate_reports(&self.relay, self.turn, room));
+        // Advances by one rather than by the number of reports taken: not every digest is sent,
+        // and a larger stride could omit the same reports from every digest that is.
         self.turn = self.turn.wrapping_add(1);
         Digest {
             informed: self.informed,
@@ -41,9 +41,10 @@
         }
     }
 
-    /// Returns the halts and steps that all instances should hold alike. With
-    /// more models or longer names than a message holds, steps are left to the
-    /// store: a halt must get through.
+    /// Returns the halts and steps that are replicated to all instances.
+    ///
+    /// When they exceed the size of a message, because of many models or long names, the steps are
+    /// omitted and spread by the store alone, so that halts still reach every peer.
     #[must_use]
     pub fn records(&self) -> BTreeMap<String, Record> {
         let mut records = self.records.clone();
@@ -57,49 +58,50 @@
         records
     }
 
-    /// Takes over a record that a peer holds; returns whether a halt or a step
-    /// was news: then [`Registry::configure`] must follow.
+    /// Merges a record that a peer holds.
+    ///
+    /// Returns whether it changed anything; if so, the caller must call [`Registry::configure`].
     pub fn merge_peer_record(&mut self, now: Instant, model: &str, record: &Record) -> bool {
         let known = self.records.entry(model.to_owned()).or_default();
-        let news = known.merge(record);
+        let changed = known.merge(record);
         self.enforce(now);
-        news
+        changed
     }
 
-    /// Takes over what a peer tells; repeated, reordered and old messages
-    /// change nothing.
+    /// Merges the digest of a peer; repeated, reordered and old digests change nothing.
     pub fn merge(&mut self, now: Instant, digest: &Digest) {
         self.informed |= digest.informed;
         for report in &digest.reports {
-            self.hear(now, report);
+            self.merge_report(now, report);
         }
         self.enforce(now);
     }
 
-    fn hear(&mut self, now: Instant, report: &Report) {
-        let trials = self.entries.values_mut();
-        let known = trials
-            .filter_map(|entry| entry.trial.as_mut())
-            .find(|trial| trial.id == report.canary);
-        let Some(trial) = known else {
+    fn merge_report(&mut self, now: Instant, report: &Report) {
+        let entries = self.entries.values_mut();
+        let known = entries
+            .filter_map(|entry| entry.canary.as_mut())
+            .find(|canary| canary.id == report.canary);
+        let Some(canary) = known else {
             return;
         };
-        let before = trial.source(&report.source);
-        // An instance that forgot a trial resumes its own counters from what
-        // its peers heard of them.
-        trial.learn(now, &report.source, report.pair);
-        if trial.source(&report.source) != before && report.source != self.source {
-            self.relay
-                .retain(|told| told.source != report.source || told.canary != report.canary);
+        let before = canary.source(&report.source);
+        // An instance that has lost its state of a canary resumes its own counters from the
+        // values that its peers received.
+        canary.merge_counters(now, &report.source, report.pair);
+        if canary.source(&report.source) != before && report.source != self.source {
+            self.relay.retain(|earlier| {
+                earlier.source != report.source || earlier.canary != report.canary
+            });
             self.relay.push(report.clone());
         }
     }
 }
 
-/// Returns up to `most` of the reports, beginning at `turn`.
-fn take_turns(reports: &[Report], turn: usize, most: usize) -> Vec<Report> {
+/// Returns up to `limit` of the reports, starting at position `turn`.
+fn rotate_reports(reports: &[Report], turn: usize, limit: usize) -> Vec<Report> {
     let count = reports.len();
     let start = turn.checked_rem(count).unwrap_or(0);
     let turns = reports.iter().cycle().skip(start);
-    turns.take(count.min(most)).cloned().collect()
+    turns.take(count.min(limit)).cloned().collect()
 }
--- a/crates/core/src/rollout/registry/mod.rs
+++ b/crates/core/src/rollout/registry/mod.rs
@@ -1,4 +1,4 @@
-//! All roll-outs as one instance sees them.
+//! The state of all roll-outs as one instance has recorded it.
 
 mod configure;
 mod exchange;
@@ -15,87 +15,100 @@
 use super::record::{Halt, Record, Step};
 use crate::clock::Instant;
 
-/// Milliseconds within which failures at one backend server count once: they
-/// have one cause, and counting each would condemn a version for its server.
-const CLUSTER_MS: u64 = 10_000;
-/// Milliseconds without a rating from anywhere after which the candidate gets
-/// no new session once this instance's part of the budget has passed unrated.
-const STARVED_MS: u64 = 30_000;
-/// Servers of which the last failure is remembered.
-const MOST_SERVERS: usize = 4096;
+/// Window in which failures at one backend server count once: they have one cause, and counting
+/// each would reject a version because of its server.
+const FAILURE_DEDUP_MS: u64 = 10_000;
+/// Time without a rating on any instance after which the candidate gets no new session, once this
+/// instance has passed its part of the exposure budget unrated.
+const RATING_STARVATION_MS: u64 = 30_000;
+/// Number of backend servers above which expired entries of the last failures are evicted.
+const MAX_FAILED_SERVERS: usize = 4096;
 
-/// What an instance saw of an answer.
+/// An event that an instance observes about an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It came.
+    /// The answer arrived.
     Answered {
-        /// Whether its first token came too late.
+        /// Whether the time to first token exceeded the target.
         late: bool,
     },
-    /// The backend server answered with an error or broke off.
+    /// The backend server answered with an error or broke off the answer.
     Failed(key::Server),
-    /// The backend server crashed, and not because of the request.
+    /// The backend server crashed, for a reason other than the request.
     Crashed(key::Server),
-    /// It was rated.
+    /// The answer was rated.
     Rated {
         /// Rating in thousandths.
         quality_milli: u32,
-        /// Whether it is a bad answer.
+        /// Whether the rating counts as a bad answer.
         bad: bool,
     },
 }
 
-/// Which version new sessions of a model start on.
+/// The split of new sessions of a model between its versions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Version of today.
+    /// Current version.
     pub current: key::Version,
-    /// Candidate and its share of new sessions.
+    /// Candidate and its share of new sessions, from 0 to 1.
     pub candidate: Option<(key::Version, f64)>,
 }
 
-/// What is to be made durable.
+/// A change that has to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreWrite {
-    /// Write the model's record, which holds a halt: the store lacks it.
+    /// Write the record of this model: it holds a halt that the store lacks.
     Halts(String),
-    /// Swap this step into the model's record; it counts only once the store
-    /// has taken it.
+    /// Swap a step into the record of a model, given as model, candidate and step. The step takes
+    /// effect only after the store has accepted it.
     Step(String, String, Step),
 }
 
+/// The roll-out of one model.
 #[derive(Clone, Debug, Serialize)]
 struct Entry {
     #[serde(skip)]
     share: Option<Share>,
     stages: Vec<f64>,
-    trial: Option<Canary>,
+    #[serde(rename = "trial")]
+    canary: Option<Canary>,
+    /// Whether the candidate takes new sessions.
     open: bool,
+    /// Whether the roll-out does not advance: paused, or the candidate is not open.
     steady: bool,
+    /// Answers of the candidate on this instance since its last rating here.
     unrated: u32,
 }
 
-/// The roll-outs.
+/// The roll-outs of all models on one instance.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Registry {
+    /// Incarnation of this instance.
     source: String,
+    /// Whether the records are known, from the store or from a peer.
     informed: bool,
     records: BTreeMap<String, Record>,
-    kept: BTreeMap<String, Record>,
+    /// Records as the store holds them.
+    #[serde(rename = "kept")]
+    stored: BTreeMap<String, Record>,
     entries: SecondaryMap<key::Model, Entry>,
     #[serde(skip)]
     withdrawn: SecondaryMap<key::Version, ()>,
+    /// Time of the last failure that counted, by backend server.
     #[serde(skip)]
     failures: BTreeMap<key::Server, Instant>,
+    /// Reports received from peers, to be forwarded.
     #[serde(skip)]
     relay: Vec<Report>,
+    /// Position from which the next digest takes its reports.
     #[serde(skip)]
     turn: usize,
-    peers: u32,
+    #[serde(rename = "peers")]
+    instances: u32,
 }
 
 impl Registry {
-    /// Creates a board of an incarnation that has heard of no record yet.
+    /// Creates the registry of an incarnation that has not received any record yet.
     #[must_use]
     pub fn new(source: &str) -> Self {
         Self {
@@ -104,133 +117,139 @@
         }
     }
 
-    /// Says among how many instances the exposure budget is divided.
-    pub fn set_instances(&mut self, peers: u32) {
-        self.peers = peers;
+    /// Sets the number of instances among which the exposure budget is divided.
+    pub fn set_instances(&mut self, instances: u32) {
+        self.instances = instances;
     }
 
-    /// Returns whether a record has been heard from the store or from a peer.
+    /// Returns whether the records are known, from the store or from a peer.
     #[must_use]
     pub fn is_informed(&self) -> bool {
         self.informed
     }
 
-    /// Notes that the store was read and holds no more than was adopted.
+    /// Records that the whole store was read and that all its records have been merged.
     pub fn mark_informed(&mut self) {
         self.informed = true;
     }
 
-    /// Returns which version new sessions start on; `None` when the model has
-    /// no roll-out.
+    /// Returns the version split of new sessions; `None` when the model has no roll-out.
+    ///
+    /// The candidate's share is 0 while no record is known, after the candidate has been withdrawn,
+    /// and while too many of its answers are unrated.
     #[must_use]
     pub fn share(&self, now: Instant, model: key::Model) -> Option<Share> {
         let entry = self.entries.get(model)?;
         let mut share = entry.share?;
         if let Some((candidate, _)) = share.candidate
-            && (!self.informed || self.is_withdrawn(candidate) || self.is_starved(now, entry))
+            && (!self.informed
+                || self.is_withdrawn(candidate)
+                || self.is_rating_starved(now, entry))
         {
             share.candidate = Some((candidate, 0.0));
         }
         Some(share)
     }
 
-    /// Returns whether a version takes no new work: withdrawn by operators or
-    /// halted by evidence.
+    /// Returns whether a version takes no new work, because operators withdrew it or the evidence
+    /// halted it.
     #[must_use]
     pub fn is_withdrawn(&self, version: key::Version) -> bool {
         self.withdrawn.contains_key(version)
     }
 
-    /// Returns whether answers to callers outrun the ratings by more than this
-    /// instance's part of the exposure budget.
-    fn is_starved(&self, now: Instant, entry: &Entry) -> bool {
-        let Some(trial) = &entry.trial else {
+    /// Returns whether the unrated answers of the candidate have reached this instance's part of
+    /// the exposure budget while ratings have stopped arriving.
+    fn is_rating_starved(&self, now: Instant, entry: &Entry) -> bool {
+        let Some(canary) = &entry.canary else {
             return false;
         };
-        let part = (trial.exposure / self.peers.max(1)).max(1);
-        entry.unrated >= part && !trial.is_rated_within(now, STARVED_MS)
+        let part = (canary.exposure / self.instances.max(1)).max(1);
+        entry.unrated >= part && !canary.is_rated_within(now, RATING_STARVATION_MS)
     }
 
-    /// Counts what this instance saw of an answer of `version`.
+    /// Counts an event that this instance observed about an answer of `version`.
     pub fn observe(&mut self, now: Instant, version: key::Version, event: Event) {
         if let Event::Failed(server) | Event::Crashed(server) = event
-            && !self.is_news(now, server)
+            && !self.is_new_failure(now, server)
         {
             return;
         }
         let source = self.source.clone();
         for entry in self.entries.values_mut() {
-            let Some(trial) = entry.trial.as_mut() else {
+            let Some(canary) = entry.canary.as_mut() else {
                 continue;
             };
-            let mut pair = trial.source(&source);
-            if version == trial.candidate {
+            let mut pair = canary.source(&source);
+            if version == canary.candidate {
                 add(&mut pair.candidate, event);
                 match event {
                     Event::Rated { .. } => entry.unrated = 0,
                     _ => entry.unrated = entry.unrated.saturating_add(1),
                 }
-            } else if version == trial.current {
+            } else if version == canary.current {
                 add(&mut pair.current, event);
             } else {
                 continue;
             }
-            trial.learn(now, &source, pair);
+            canary.merge_counters(now, &source, pair);
         }
         self.enforce(now);
     }
 
-    fn is_news(&mut self, now: Instant, server: key::Server) -> bool {
-        let recent = |at: &Instant| now < at.plus_millis(CLUSTER_MS);
+    /// Returns whether a failure at `server` counts, and records its time if so.
+    fn is_new_failure(&mut self, now: Instant, server: key::Server) -> bool {
+        let recent = |at: &Instant| now < at.plus_millis(FAILURE_DEDUP_MS);
         if self.failures.get(&server).is_some_and(recent) {
             return false;
         }
-        if self.failures.len() >= MOST_SERVERS {
+        if self.failures.len() >= MAX_FAILED_SERVERS {
             self.failures.retain(|_, at| recent(at));
         }
         self.failures.insert(server, now);
         true
     }
 
-    /// Takes over a model's record from the store or from a peer.
-    /// Returns whether anything was news; then [`Registry::configure`] must follow.
+    /// Merges the record of a model that was read from or written to the store.
+    ///
+    /// Returns whether it changed anything; if so, the caller must call [`Registry::configure`].
     pub fn merge_stored_record(&mut self, now: Instant, model: &str, record: &Record) -> bool {
         self.informed = true;
         let known = self.records.entry(model.to_owned()).or_default();
-        let news = known.merge(record);
+        let changed = known.merge(record);
         self.enforce(now);
-        news
+        changed
     }
 
-    /// Notes what the store holds of a model, so that only what it lacks is
-    /// written again.
+    /// Sets the record that the store holds of a model, so that only what it lacks is written.
     pub fn set_stored_record(&mut self, model: &str, record: &Record) {
-        self.kept.insert(model.to_owned(), record.clone());
+        self.stored.insert(model.to_owned(), record.clone());
     }
 
-    /// Returns what is known of a model's halts and steps.
+    /// Returns the known halts and steps of a model.
     #[must_use]
     pub fn record(&self, model: &str) -> Record {
         self.records.get(model).cloned().unwrap_or_default()
     }
 
-    /// Judges all roll-outs and returns what is to be made durable. A halt is
-    /// in force here when this returns.
+    /// Evaluates all roll-outs and returns the writes that the store needs.
+    ///
+    /// Halts are already active on this instance when this returns.
     ///
     /// # Panics
     ///
     /// When a halted candidate would get new sessions.
     pub fn decide(&mut self, now: Instant) -> Vec<StoreWrite> {
         self.enforce(now);
-        let mut acts = Vec::new();
+        let mut writes = Vec::new();
         for (model, record) in &self.records {
-            let mut kept = self.kept.get(model).cloned().unwrap_or_default();
-            let lacks = record
+            let mut stored = self.stored.get(model).cloned().unwrap_or_default();
+            let is_missing = record
                 .halts
                 .iter()
-                .any(|(candidate, halt)| kept.halt(candidate, halt.clone()));
-            if lacks {
-                acts.push(StoreWrite::Halts(model.clone()));
+                .any(|(candidate, halt)| stored.halt(candidate, halt.clone()));
+            if is_missing {
+                writes.push(StoreWrite::Halts(model.clone()));
             }
         }
         for (model, entry) in &self.entries {
@@ -242,59 +261,58 @@
                 );
             }
             if self.entry_verdict(now, entry) == Verdict::Step
-                && let Some(trial) = &entry.trial
+                && let Some(canary) = &entry.canary
             {
                 let step = Step {
-                    word: trial.id.word,
-                    stage: trial.stage + 1,
+                    word: canary.id.word,
+                    stage: canary.stage + 1,
                 };
-                let candidate = trial.id.candidate.clone();
-                acts.push(StoreWrite::Step(trial.id.model.clone(), candidate, step));
+                let candidate = canary.id.candidate.clone();
+                writes.push(StoreWrite::Step(canary.id.model.clone(), candidate, step));
             }
         }
-        acts
+        writes
     }
 
-    /// Returns what the evidence says of a model's roll-out, when it has one.
+    /// Returns the verdict on a model's roll-out, if it has one.
     #[must_use]
     pub fn verdict(&self, now: Instant, model: key::Model) -> Option<Verdict> {
         let entry = self.entries.get(model)?;
-        entry.trial.as_ref()?;
+        entry.canary.as_ref()?;
         Some(self.entry_verdict(now, entry))
     }
 
-    /// Returns the trial of a model, when there is one.
+    /// Returns the canary of a model, if there is one.
     #[must_use]
     pub fn canary(&self, model: key::Model) -> Option<&Canary> {
-        self.entries.get(model)?.trial.as_ref()
+        self.entries.get(model)?.canary.as_ref()
     }
 
     fn entry_verdict(&self, now: Instant, entry: &Entry) -> Verdict {
-        let Some(trial) = &entry.trial else {
+        let Some(canary) = &entry.canary else {
             return Verdict::Hold(Hold::Operator);
         };
-        let next = entry.stages.get(trial.stage + 1);
-        let here = entry.stages.get(trial.stage).copied().unwrap_or(1.0);
-        let growth = next.map_or(1.0, |next| next / here);
-        match trial.verdict(now, growth) {
+        let next = entry.stages.get(canary.stage + 1);
+        let share = entry.stages.get(canary.stage).copied().unwrap_or(1.0);
+        let growth = next.map_or(1.0, |next| next / share);
+        match canary.verdict(now, growth) {
             Verdict::Halt(cause) => Verdict::Halt(cause),
             _ if entry.steady || next.is_none() => Verdict::Hold(Hold::Operator),
-            _ if self.is_withdrawn(trial.candidate) => Verdict::Hold(Hold::Operator),
+            _ if self.is_withdrawn(canary.candidate) => Verdict::Hold(Hold::Operator),
             _ if !self.informed => Verdict::Hold(Hold::Uninformed),
             verdict => verdict,
         }
     }
 
-    /// Puts what is known of the running trials in force: halts, by own
-    /// evidence or heard, and steps.
+    /// Applies halts, from local evidence or received, and steps to the running canaries.
     fn enforce(&mut self, now: Instant) {
         for entry in self.entries.values_mut() {
-            let Some(trial) = entry.trial.as_mut() else {
+            let Some(canary) = entry.canary.as_mut() else {
                 continue;
             };
-            let id = trial.id.clone();
+            let id = canary.id.clone();
             let record = self.records.entry(id.model).or_default();
-            if let Verdict::Halt(cause) = trial.verdict(now, 1.0) {
+            if let Verdict::Halt(cause) = canary.verdict(now, 1.0) {
                 let halt = Halt {
                     word: id.word,
                     fallback: id.current,
@@ -305,16 +323,16 @@
                 }
             }
             if record.halted(&id.candidate, id.word).is_some() {
-                self.withdrawn.insert(trial.candidate, ());
+                self.withdrawn.insert(canary.candidate, ());
             }
             let last = entry.stages.len().saturating_sub(1);
             let stage = record.stage(&id.candidate, id.word).unwrap_or(0);
-            trial.enter(now, stage.max(trial.stage).min(last));
+            canary.enter_stage(now, stage.max(canary.stage).min(last));
             if let Some(share) = entry.share.as_mut()
                 && let Some((_, part)) = share.candidate.as_mut()
                 && entry.open
             {
-                *part = entry.stages.get(trial.stage).copied().unwrap_or(0.0);
+                *part = entry.stages.get(canary.stage).copied().unwrap_or(0.0);
             }
         }
     }
--- a/crates/core/src/rollout/sequential_test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -1,68 +1,67 @@
-//! The sequential test: is the candidate worse than the version of today?
+//! Sequential test of whether the candidate is worse than the current version.
 //!
-//! Each channel (errors, crashes, lateness, ratings) is a stream of good and
-//! bad outcomes. A bet is laid that the bad ones are more frequent than
-//! `base`, the rate of the current version: with a bet `c` the stake becomes
-//! `1 - c` times as large with a good outcome and `1 + c (1 - base) / base`
-//! times with a bad one. If the candidate is no worse, the expected stake
-//! never grows, so a large one is evidence at whatever moment somebody looks
-//! (an e-process; Ville's inequality). The best bet against a version whose
-//! bad outcomes are more frequent by `d` is about `c = d`; the mixture over
-//! [`BETS`] needs no guess of `d`.
+//! Each channel (errors, crashes, late answers, ratings) is a stream of good and bad outcomes. The
+//! test bets that bad outcomes of the candidate are more frequent than `base`, the rate of the
+//! current version: with a bet of the fraction `c`, the wealth is multiplied by `1 - c` at a good
+//! outcome and by `1 + c (1 - base) / base` at a bad one. If the candidate is not worse, the
+//! expected wealth never grows, so a large wealth is evidence no matter when it is inspected (an
+//! e-process; Ville's inequality). The best bet against a version whose bad outcomes are more
+//! frequent by `d` is about `c = d`; the mixture over [`BET_FRACTIONS`] needs no estimate of `d`.
 //!
-//! A version that turns bad after a thousand good answers has lost all its
-//! stakes by then. So every stake is put back to 1 when it falls below (an
-//! e-detector in the manner of CUSUM): the evidence then counts from the
-//! moment of the change.
+//! After a thousand good answers, the wealth against a version is almost zero, which would delay
+//! the rejection of a version that degrades then. So every wealth is reset to 1 when it falls below
+//! 1 (an e-detector in the manner of CUSUM): the evidence counts from the moment of the change.
 //!
-//! The stakes are a function of counts, so that the counts of peers can be
-//! added as they arrive.
+//! The wealth is a function of counters, so the counters of peers can be added as they arrive.
 
 use serde::Serialize;
 
-/// Bets, each the best one against an excess of that many bad outcomes in one.
-pub const BETS: [f64; 5] = [0.03, 0.08, 0.2, 0.5, 0.9];
-/// Natural logarithm of the stake at which a candidate is rejected. Measured
-/// in `benches/versions.rs`: 3 bad answers in a row reject at the least base
-/// rate, and few good roll-outs in a thousand are halted.
+/// Fractions of the wealth that are bet, each the best one against an equal excess in the rate of
+/// bad outcomes.
+pub const BET_FRACTIONS: [f64; 5] = [0.03, 0.08, 0.2, 0.5, 0.9];
+/// Natural logarithm of the wealth at which a candidate is rejected.
+///
+/// At the lowest base rate, 3 bad answers in a row reject a candidate, while few good roll-outs in
+/// a thousand are halted (see `benches/versions`).
 pub const REJECT_LOG_EVIDENCE: f64 = 9.7;
-/// Natural logarithm of the likelihood ratio at which a stage counts as
-/// passed: 20 to 1 that the candidate is not worse by [`MARGIN`].
-pub const PASS: f64 = 3.0;
-/// Excess of bad outcomes that a stage must rule out before the next one.
-pub const MARGIN: f64 = 0.05;
+/// Natural logarithm of the likelihood ratio at which a stage counts as passed: 20 to 1 that the
+/// candidate is not worse by [`NON_INFERIORITY_MARGIN`].
+pub const PASS_LOG_RATIO: f64 = 3.0;
+/// Excess in the rate of bad outcomes that a stage must rule out before the next one starts.
+pub const NON_INFERIORITY_MARGIN: f64 = 0.05;
 
 /// Evidence that a candidate is worse, on one channel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Detector {
-    stakes: [f64; BETS.len()],
+    #[serde(rename = "stakes")]
+    log_wealth: [f64; BET_FRACTIONS.len()],
 }
 
 impl Detector {
-    /// Adds outcomes against the current version's rate of bad ones, `base`.
+    /// Adds outcomes of the candidate; `base` is the rate of bad outcomes of the current version.
     ///
     /// # Panics
     ///
     /// When `base` is not a rate between 0 and 1.
     pub fn add(&mut self, base: f64, good: u32, bad: u32) {
         assert!(base > 0.0 && base < 1.0, "a base rate outside 0 to 1");
-        for (stake, bet) in self.stakes.iter_mut().zip(BETS) {
+        for (wealth, bet) in self.log_wealth.iter_mut().zip(BET_FRACTIONS) {
             let won = f64::from(bad) * (bet * (1.0 - base) / base).ln_1p();
             let lost = f64::from(good) * (-bet).ln_1p();
-            *stake = (*stake + won + lost).max(0.0);
+            *wealth = (*wealth + won + lost).max(0.0);
         }
     }
 
-    /// Returns the natural logarithm of the mixed stake.
+    /// Returns the natural logarithm of the mean wealth over all bets.
     #[must_use]
     pub fn evidence(&self) -> f64 {
-        let highest = self.stakes.iter().copied().fold(0.0, f64::max);
+        let highest = self.log_wealth.iter().copied().fold(0.0, f64::max);
         let sum: f64 = self
-            .stakes
+            .log_wealth
             .iter()
-            .map(|stake| (stake - highest).exp())
+            .map(|wealth| (wealth - highest).exp())
             .sum();
-        highest + (sum / f64::from(u32::try_from(BETS.len()).unwrap_or(1))).ln()
+        highest + (sum / f64::from(u32::try_from(BET_FRACTIONS.len()).unwrap_or(1))).ln()
     }
 
     /// Returns whether the candidate is rejected.
@@ -72,19 +71,18 @@
     }
 }
 
-/// Returns whether `good` and `bad` outcomes rule out, 20 to 1, that the
-/// candidate is worse than `base` by [`MARGIN`] (Wald's likelihood ratio).
+/// Returns whether `good` and `bad` outcomes rule out, with odds of 20 to 1, that the candidate is
+/// worse than `base` by [`NON_INFERIORITY_MARGIN`] (Wald's likelihood ratio).
 #[must_use]
 pub fn passes(base: f64, good: u32, bad: u32) -> bool {
-    let worse = (base + MARGIN).min(0.99);
+    let worse = (base + NON_INFERIORITY_MARGIN).min(0.99);
     let ratio = f64::from(bad) * (base / worse).ln()
         + f64::from(good) * ((1.0 - base) / (1.0 - worse)).ln();
-    ratio >= PASS
+    ratio >= PASS_LOG_RATIO
 }
 
-/// The current version's rate of bad outcomes, recent ones counting most: a
-/// failure of the platform that hits both versions must not be blamed on the
-/// candidate.
+/// The rate of bad outcomes of the current version, weighted towards recent ones: a failure of the
+/// platform that affects both versions must not be attributed to the candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Base {
     floor: f64,
@@ -93,28 +91,28 @@
 }
 
 impl Base {
-    /// Outcomes after which an old one counts a third.
-    const MEMORY: f64 = 1000.0;
-    /// Outcomes that the floor is worth before any have been seen.
-    const PRIOR: f64 = 100.0;
-    /// A candidate this much worse is still taken for no worse.
+    /// Number of outcomes after which the weight of an old one has decayed to about a third.
+    const DECAY_OUTCOMES: f64 = 1000.0;
+    /// Weight of the floor as the prior, in outcomes.
+    const PRIOR_OUTCOMES: f64 = 100.0;
+    /// Factor by which the candidate's rate may exceed this one and still count as no worse.
     const TOLERANCE: f64 = 1.25;
-    /// Highest rate that is tested against.
-    const CEILING: f64 = 0.6;
+    /// Highest rate to test against.
+    const MAX_RATE: f64 = 0.6;
 
     /// Creates a rate that never falls below `floor`.
     #[must_use]
     pub fn new(floor: f64) -> Self {
         Self {
             floor,
-            outcomes: Self::PRIOR,
-            bad: Self::PRIOR * floor,
+            outcomes: Self::PRIOR_OUTCOMES,
+            bad: Self::PRIOR_OUTCOMES * floor,
         }
     }
 
     /// Adds outcomes of the current version.
     pub fn add(&mut self, outcomes: u32, bad: u32) {
-        let keep = (-f64::from(outcomes) / Self::MEMORY).exp();
+        let keep = (-f64::from(outcomes) / Self::DECAY_OUTCOMES).exp();
         self.outcomes = self.outcomes * keep + f64::from(outcomes);
         self.bad = self.bad * keep + f64::from(bad);
     }
@@ -123,6 +121,6 @@
     #[must_use]
     pub fn rate(&self) -> f64 {
         let rate = (self.bad / self.outcomes).max(self.floor);
-        (rate * Self::TOLERANCE).min(Self::CEILING)
+        (rate * Self::TOLERANCE).min(Self::MAX_RATE)
     }
 }
--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs under random operators, ratings, faults and restarts.
+//! Property tests of roll-outs under random operator changes, ratings, faults and restarts.
 
 use std::fmt::Write as _;
 
@@ -12,9 +12,9 @@
 use crate::fleet::{Fleet, MODEL, compile, file};
 
 const INSTANCES: usize = 4;
-/// Seed of the short run; `FESCUERACK_SEED` replaces it.
+/// Default seed; `FESCUERACK_SEED` overrides it.
 const SEED: u64 = 41;
-/// Cases of the short run; `FESCUERACK_STEPS` replaces it.
+/// Default number of cases; `FESCUERACK_STEPS` overrides it.
 const CASES: u32 = 96;
 
 fn environment<T: std::str::FromStr>(name: &str, default: T) -> T {
@@ -24,8 +24,7 @@
         .unwrap_or(default)
 }
 
-/// Returns the short run's configuration, or that of the long run if the
-/// environment asks for one.
+/// Returns the configuration of the property tests, with the overrides from the environment.
 pub fn config() -> Config {
     Config {
         cases: environment("FESCUERACK_STEPS", CASES),
@@ -35,15 +34,22 @@
     }
 }
 
+/// An operation on the fleet; the first number is the index of an instance.
 #[derive(Clone, Debug)]
 enum Op {
+    /// An answer is rated: whether it is the candidate's and whether it is bad.
     Rated(usize, bool, bool),
     Failed(usize),
-    Tell(usize, usize),
+    /// An instance sends a digest to another.
+    Gossip(usize, usize),
     Sync(usize),
     Restart(usize),
+    /// The store goes down or comes back.
     Store(bool),
-    Word(bool, usize, &'static str),
+    /// Operators change the roll-out: whether to a new generation, its first stage and the state of
+    /// the candidate.
+    Configure(bool, usize, &'static str),
+    /// Seconds pass.
     Wait(u64),
 }
 
@@ -53,14 +59,14 @@
         8 => (instance.clone(), any::<bool>(), prop::bool::weighted(0.4))
             .prop_map(|(index, candidate, bad)| Op::Rated(index, candidate, bad)),
         1 => instance.clone().prop_map(Op::Failed),
-        6 => (instance.clone(), instance.clone()).prop_map(|(from, to)| Op::Tell(from, to)),
+        6 => (instance.clone(), instance.clone()).prop_map(|(from, to)| Op::Gossip(from, to)),
         3 => instance.clone().prop_map(Op::Sync),
         1 => instance.prop_map(Op::Restart),
         1 => any::<bool>().prop_map(Op::Store),
         1 => (prop::bool::weighted(0.3), 0..5_usize, prop_oneof!["open", "closed", "withdrawn"])
             .prop_map(|(newer, stage, state)| {
                 let state = match state.as_str() { "open" => "open", "closed" => "closed", _ => "withdrawn" };
-                Op::Word(newer, stage, state)
+                Op::Configure(newer, stage, state)
             }),
         2 => (1..900_u64).prop_map(Op::Wait),
     ]
@@ -69,8 +75,9 @@
 struct Run {
     fleet: Fleet,
     now: Instant,
+    /// Generation of the roll-out.
     word: u64,
-    /// Highest word that each instance, since its start, knew to be halted.
+    /// Highest generation that each instance, since its start, has recorded as halted.
     known: [u64; INSTANCES],
 }
 
@@ -113,7 +120,7 @@
                 self.fleet
                     .observe(self.now, index, self.fleet.candidate, event);
             }
-            Op::Tell(from, to) => self.fleet.tell(self.now, from, to),
+            Op::Gossip(from, to) => self.fleet.tell(self.now, from, to),
             Op::Sync(index) => {
                 let stepped = self.fleet.sync(self.now, index);
                 assert!(
@@ -126,7 +133,7 @@
                 self.known[index] = 0;
             }
             Op::Store(down) => self.fleet.store.down = down,
-            Op::Word(newer, start, state) => {
+            Op::Configure(newer, start, state) => {
                 self.word += u64::from(newer);
                 let file = file(self.word, start, 20, "", state);
                 self.fleet.accept(self.now, &file);
@@ -140,10 +147,7 @@
         for index in 0..INSTANCES {
             let record = self.fleet.boards[index].record(MODEL);
             let halted = record.halts.get("m@2").map_or(0, |halt| halt.word);
-            assert!(
-                halted >= self.known[index],
-                "instance {index} forgot a halt"
-            );
+            assert!(halted >= self.known[index], "instance {index} lost a halt");
             self.known[index] = halted;
             let share = self.fleet.boards[index].share(self.now, self.fleet.model);
             let part = share
@@ -151,7 +155,7 @@
                 .candidate
                 .map_or(0.0, |part| part.1);
             if halted >= self.word {
-                assert!(self.fleet.is_halted(index), "a halt that is not in force");
+                assert!(self.fleet.is_halted(index), "a halt that is not active");
                 assert!(part == 0.0, "a halted candidate gets new sessions");
             }
         }
@@ -162,7 +166,7 @@
         }
     }
 
-    /// With all faults gone, all instances agree within a few rounds.
+    /// Ends all faults and checks that all instances agree within a few rounds.
     fn settle(&mut self) {
         self.fleet.store.down = false;
         for _ in 0..3 {
@@ -196,9 +200,8 @@
     }
 }
 
-// Ten models are in roll-out at once and an instance has heard many peers. A
-// digest that is too large for a message is never carried, and then nobody
-// hears of any count.
+// Ten models are in roll-out at once and every canary has counters to send. A digest that exceeds
+// the size of a message is never sent, and then no peer receives any counters.
 #[test]
 fn digest_ten_rollouts_fits_a_message() {
     let models = (0..10).map(|model| format!("long-model-name-{model}"));
@@ -222,22 +225,22 @@
     let mut names = Names::new();
     let catalog = compile(1, &file, &mut names);
     let now = Instant::ORIGIN;
-    let mut boards = ["0123456789abcdef", "fedcba9876543210"].map(Registry::new);
-    for board in &mut boards {
-        board.configure(now, &catalog, &names);
+    let mut registries = ["0123456789abcdef", "fedcba9876543210"].map(Registry::new);
+    for registry in &mut registries {
+        registry.configure(now, &catalog, &names);
         for (version, _) in names.versions.iter() {
             for _ in 0..2000 {
-                board.observe(now, version, Event::Answered { late: true });
+                registry.observe(now, version, Event::Answered { late: true });
             }
         }
     }
-    let [first, second] = &mut boards;
-    let mut heard = std::collections::BTreeSet::new();
+    let [first, second] = &mut registries;
+    let mut received = std::collections::BTreeSet::new();
     for _ in 0..20 {
         let digest = first.digest();
         let bytes = serde_json::to_string(&digest).expect("plain fields").len();
         assert!(bytes <= Parcel::LARGEST / 2, "{bytes} bytes");
-        heard.extend(
+        received.extend(
             digest
                 .reports
                 .iter()
@@ -245,14 +248,18 @@
         );
         second.merge(now, &digest);
     }
-    assert_eq!(heard.len(), models.len(), "every roll-out gets its turn");
+    assert_eq!(
+        received.len(),
+        models.len(),
+        "every roll-out has been in a digest"
+    );
 }
 
-// The same with two halts and two steps of each: the shared state of peers
-// takes no more than its limit, and a halt that it leaves out does not spread.
+// Ten models have more halts and steps than a record keeps. The state that peers replicate must
+// stay within its size limit, and a halt that is omitted from it does not spread.
 #[test]
 fn records_ten_models_fit_a_message() {
-    let mut board = Registry::new("one");
+    let mut registry = Registry::new("one");
     for model in 0..10 {
         let model = format!("a-model-with-a-rather-long-name-{model}");
         let mut record = Record::default();
@@ -270,8 +277,8 @@
             record.step(&format!("{model}@{version}"), step);
         }
         let model = model.as_str();
-        board.merge_stored_record(Instant::ORIGIN, model, &record);
-        let shared = board.records();
+        registry.merge_stored_record(Instant::ORIGIN, model, &record);
+        let shared = registry.records();
         let bytes = serde_json::to_string(&shared).expect("plain fields").len();
         assert!(bytes <= Replica::LARGEST, "{bytes} bytes");
         assert_eq!(shared[model].halts.len(), 2);
