--- a/crates/core/src/cascade/choose/explore.rs
+++ b/crates/core/src/cascade/choose/explore.rs
@@ -1,4 +1,4 @@
-//! Plans that try a version whose quality is uncertain.
+//! Exploration: plans that use a version whose quality is uncertain.
 
 use fescuerack_config::Class;
 
@@ -7,30 +7,31 @@
 use crate::cascade::plan::{self, Basis, CERTAIN_MISS_ERRORS, Candidate, Constraints, Plan, Steps};
 
 impl Chooser<'_> {
-    /// Plans when no bound meets the target. The target is an expected quality:
-    /// a plan that is expected to meet it runs, or a version a little above
-    /// the target would be refused whenever its ratings happen to dip. Below
-    /// that a few requests find out whether the estimate is wrong, since a
-    /// class that is refused altogether would never be rated again.
-    pub(super) fn uncertain(
+    /// Returns the plans when no lower bound meets the target.
+    ///
+    /// The target is an expected quality, so a plan whose expected quality meets it runs. Otherwise
+    /// a version slightly above the target would be refused whenever its ratings happen to drop. If
+    /// there is no such plan, a few requests probe a version to detect a wrong estimate, since a
+    /// class that is always refused would never be rated again.
+    pub(super) fn uncertain_plans(
         &self,
         class: &Class,
-        limits: Constraints,
+        constraints: Constraints,
         candidates: &[Candidate],
     ) -> Result<Vec<Plan>, Refusal> {
-        let limits = Constraints {
+        let constraints = Constraints {
             confidence: 0.0,
-            ..limits
+            ..constraints
         };
-        let mut plans = plan::plan(candidates, limits);
+        let mut plans = plan::plan(candidates, constraints);
         for plan in &mut plans {
             plan.basis = Basis::Expected;
         }
         if plans.is_empty() && self.may_probe() {
-            let may = |candidate: &&Candidate| {
+            let may_meet = |candidate: &&Candidate| {
                 candidate.estimate.bound(0, 0.0, -CERTAIN_MISS_ERRORS) >= class.quality
             };
-            let probes = candidates.iter().filter(may).map(|candidate| Plan {
+            let probes = candidates.iter().filter(may_meet).map(|candidate| Plan {
                 basis: Basis::Probe,
                 ..plan::direct(candidate, 0.0)
             });
@@ -42,41 +43,43 @@
         Ok(plans)
     }
 
-    /// Returns whether this request is among the few that may try.
+    /// Returns whether this request is in the random share that explores.
     pub(super) fn may_probe(&self) -> bool {
         self.class()
             .is_some_and(|(_, class)| self.request.random < class.explore)
     }
 
-    /// Now and then tries a cheaper version than the best plan's, with its
-    /// answer rated before it is handed on, so that a version that has become
-    /// better than it was thought is found. A candidate of a roll-out is never
-    /// tried: its exposure is counted.
+    /// Adds a plan that explores a cheaper version than that of the best plan, for a small random
+    /// share of requests.
+    ///
+    /// The answer is rated before it is returned. This detects a version that has become better
+    /// than its estimate. The candidate of a roll-out is never explored, since its unrated answers
+    /// count towards the exposure budget.
     pub(super) fn explore(
         &self,
         class: &Class,
-        limits: Constraints,
+        constraints: Constraints,
         candidates: &[Candidate],
         plans: &mut Vec<Plan>,
     ) {
         let best = plans[0];
-        if !limits.cascade || self.request.random >= class.explore {
+        if !constraints.cascade || self.request.random >= class.explore {
             return;
         }
         let Steps::Direct(second) = best.steps else {
             return;
         };
-        let Some(dear) = candidates
+        let Some(expensive) = candidates
             .iter()
             .find(|candidate| candidate.version == second)
         else {
             return;
         };
         let cheaper = candidates.iter().find(|candidate| {
-            let held_ms = candidate.answer_ms + limits.rating_ms + dear.answer_ms;
-            candidate.cost < dear.cost
-                && held_ms <= limits.within_ms
-                && self.judged_as(candidate.version) == candidate.version
+            let total_ms = candidate.answer_ms + constraints.rating_ms + expensive.answer_ms;
+            candidate.cost < expensive.cost
+                && total_ms <= constraints.max_latency_ms
+                && self.estimated_as(candidate.version) == candidate.version
         });
         let Some(first) = cheaper else {
             return;
@@ -88,7 +91,7 @@
             second,
             accept,
         };
-        // What is handed on was rated at the target or is the best plan's.
+        // The returned answer either was rated at the target or comes from the best plan.
         plans.insert(0, Plan { steps, ..best });
     }
 }
--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -1,4 +1,4 @@
-//! The choice for one request.
+//! The choice of plans for one request.
 
 mod explore;
 
@@ -11,72 +11,73 @@
 use crate::rollout::Registry;
 use crate::session::{self, Place};
 
-/// What the caller asked for.
+/// The version, model or class of work that a caller requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selector {
     /// One version.
     Version(key::Version),
     /// Any version of a model.
     Model(key::Model),
-    /// Whatever meets the target of a class of work.
+    /// Any version that meets the target of a class of work.
     Class(key::Class),
 }
 
-/// A request as far as the choice needs it.
+/// The properties of a request that the choice depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Who asks.
+    /// Organisation of the caller.
     pub organisation: key::Organisation,
-    /// What is asked for.
+    /// Requested version, model or class.
     pub selector: Selector,
-    /// Identifier of the session, or of the request when it has none.
+    /// Identifier of the session, or of the request if it has no session.
     pub session: &'a [u8],
-    /// Version that the session is known to keep.
+    /// Version that the session is pinned to, if known.
     pub pinned: Option<key::Version>,
-    /// Whether the caller wants tokens as they come.
+    /// Whether the answer is streamed.
     pub stream: bool,
-    /// Milliseconds until its deadline.
+    /// Milliseconds until the deadline.
     pub remaining_ms: u32,
-    /// Input tokens, estimated.
+    /// Estimated number of input tokens.
     pub input_tokens: u64,
-    /// A random number from 0 to 1, which decides on exploration.
+    /// Random number from 0 to 1 that decides whether the request explores.
     pub random: f64,
 }
 
-/// What the choice rests on.
+/// The state that the choice depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// Configuration in force.
+    /// Active configuration.
     pub catalog: &'a Catalog,
-    /// Names.
+    /// Names of the configured items.
     pub names: &'a Names,
     /// Roll-outs.
     pub rollouts: &'a Registry,
-    /// Quality.
+    /// Estimates of quality and latency.
     pub learner: &'a Learner,
-    /// Present time.
+    /// Current time.
     pub now: Instant,
 }
 
-/// Why no version may answer.
+/// The reason why no version may answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The organisation may not use what it asked for.
+    /// The organisation may not use what it requested.
     Forbidden,
-    /// Every version that is allowed has been withdrawn.
+    /// Every allowed version has been withdrawn.
     Withdrawn,
-    /// The version takes no new session.
+    /// The version takes no new sessions.
     Closed,
-    /// No version that is allowed meets the target.
+    /// No allowed version meets the target.
     BelowTarget,
 }
 
-/// What was chosen.
+/// The result of the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Plans, to be tried in this order when a pool has run out. Never empty.
+    /// Plans in order of preference; the next one is tried when the pool of one has no server left.
+    /// Never empty.
     pub plans: Vec<Plan>,
-    /// The session's version, and whether it starts, keeps it or moves.
+    /// Version of the session, and whether the session starts on it, keeps it or moves to it.
     pub place: Place,
 }
 
@@ -88,8 +89,8 @@
 ///
 /// # Panics
 ///
-/// When a plan would run a version that the organisation may not use or that
-/// is withdrawn, or would miss the target without leave.
+/// When a plan would run a version that the organisation may not use or that is withdrawn, or would
+/// miss the target without permission.
 pub fn choose(context: Context<'_>, request: Request<'_>) -> Result<Choice, Refusal> {
     let chooser = Chooser { context, request };
     let pinned = request
@@ -98,11 +99,11 @@
     let mut plans = Vec::new();
     let withdrawn = |version| chooser.is_withdrawn(version);
     let place = session::place(pinned, withdrawn, || {
-        plans = chooser.fresh()?;
+        plans = chooser.plans_for_new_session()?;
         Ok(plans[0].first())
     })?;
     if let Place::Keep(version) = place {
-        plans = chooser.kept(version);
+        plans = chooser.plans_for_pinned_session(version);
     }
     chooser.check(&plans);
     Ok(Choice { plans, place })
@@ -132,7 +133,7 @@
                 .is_none_or(|entry| entry.state == State::Withdrawn)
     }
 
-    /// Returns whether an answer below the target is better than none.
+    /// Returns whether the organisation accepts an answer below the target rather than none.
     fn may_miss(&self) -> bool {
         let organisations = &self.context.catalog.organisations;
         let entry = organisations.get(self.request.organisation);
@@ -146,14 +147,14 @@
         }
     }
 
-    /// Returns the version of a model with which this session starts.
-    fn version_of(&self, model: key::Model) -> Option<key::Version> {
+    /// Returns the version of a model that a new session starts on.
+    fn start_version(&self, model: key::Model) -> Option<key::Version> {
         let catalog = self.context.catalog;
         if let Some(share) = self.context.rollouts.share(self.context.now, model) {
             let name = self.context.names.models.name(model);
             let position = session::position(name, self.request.session);
             let start = session::start(share, position);
-            // Those who may not use the candidate stay on the current version.
+            // An organisation that may not use the candidate stays on the current version.
             return Some(if self.is_allowed(start) {
                 start
             } else {
@@ -161,11 +162,12 @@
             });
         }
         let versions = catalog.models.get(model)?.iter().rev();
-        let mut open = versions.filter(|version| self.is_open(**version).is_ok());
+        let mut open = versions.filter(|version| self.check_open(**version).is_ok());
         open.next().or(catalog.models.get(model)?.last()).copied()
     }
 
-    fn is_open(&self, version: key::Version) -> Result<(), Refusal> {
+    /// Returns the reason for refusing a new session on `version`, if there is one.
+    fn check_open(&self, version: key::Version) -> Result<(), Refusal> {
         if !self.is_allowed(version) {
             return Err(Refusal::Forbidden);
         }
@@ -178,11 +180,11 @@
         }
     }
 
-    /// Plans of a request whose session starts here.
-    fn fresh(&self) -> Result<Vec<Plan>, Refusal> {
+    /// Returns the plans of a request that starts a session or has none.
+    fn plans_for_new_session(&self) -> Result<Vec<Plan>, Refusal> {
         let models: &[key::Model] = match &self.request.selector {
             Selector::Version(version) => {
-                self.is_open(*version)?;
+                self.check_open(*version)?;
                 return Ok(vec![named(*version)]);
             }
             Selector::Model(model) => std::slice::from_ref(model),
@@ -192,8 +194,8 @@
         let mut versions = Vec::new();
         for model in models {
             match self
-                .version_of(*model)
-                .map(|version| (version, self.is_open(version)))
+                .start_version(*model)
+                .map(|version| (version, self.check_open(version)))
             {
                 Some((version, Ok(()))) => versions.push(version),
                 Some((_, Err(reason))) if refusal == Refusal::Forbidden => refusal = reason,
@@ -211,45 +213,46 @@
             .iter()
             .map(|version| self.candidate(class, *version))
             .collect();
-        let limits = self.limits(entry);
-        let mut plans = plan::plan(&candidates, limits);
+        let constraints = self.constraints(entry);
+        let mut plans = plan::plan(&candidates, constraints);
         if plans.is_empty() && self.may_miss() {
-            let leave = |candidate| Plan {
+            let direct = |candidate| Plan {
                 basis: Basis::BelowTargetAllowed,
                 ..plan::direct(candidate, CONFIDENCE)
             };
-            plans = candidates.iter().map(leave).collect();
+            plans = candidates.iter().map(direct).collect();
             plans.sort_by(|one, other| other.bound.total_cmp(&one.bound));
         }
         if plans.is_empty() {
-            return self.uncertain(entry, limits, &candidates);
+            return self.uncertain_plans(entry, constraints, &candidates);
         }
-        self.explore(entry, limits, &candidates, &mut plans);
+        self.explore(entry, constraints, &candidates, &mut plans);
         Ok(plans)
     }
 
-    /// Plans of a request whose session keeps `version`. Whether the version
-    /// meets the target was judged when the session started; here an answer of
-    /// too low a bound is rated and escalated where the class allows it.
-    fn kept(&self, version: key::Version) -> Vec<Plan> {
+    /// Returns the plans of a request whose session keeps `version`.
+    ///
+    /// The target was checked when the session started. If the lower bound of the version is below
+    /// the target now, its answer is rated and escalated where the class allows it.
+    fn plans_for_pinned_session(&self, version: key::Version) -> Vec<Plan> {
         let Some((class, entry)) = self.class() else {
             return vec![named(version)];
         };
         let mut candidates = vec![self.candidate(class, version)];
         for model in &entry.models {
-            match self.version_of(*model) {
-                Some(other) if other != version && self.is_open(other).is_ok() => {
+            match self.start_version(*model) {
+                Some(other) if other != version && self.check_open(other).is_ok() => {
                     candidates.push(self.candidate(class, other));
                 }
                 _ => {}
             }
         }
-        let all = plan::plan(&candidates, self.limits(entry));
-        let own = all.iter().filter(|plan| plan.first() == version);
-        let mut plans: Vec<Plan> = own.copied().collect();
+        let all = plan::plan(&candidates, self.constraints(entry));
+        let with_version = all.iter().filter(|plan| plan.first() == version);
+        let mut plans: Vec<Plan> = with_version.copied().collect();
         if plans.is_empty() && entry.cascade {
-            // Its answers cannot be judged now: this one comes from a dearer
-            // version, as an escalated one would, and the session stays.
+            // Answers of this version cannot be rated now. A more expensive version answers, as
+            // after an escalation, and the session keeps its version.
             plans = all;
         }
         if plans.is_empty() {
@@ -262,47 +265,54 @@
         plans
     }
 
-    /// Returns the version whose ratings a version is judged by here: that of
-    /// today for the candidate of a roll-out. Its trial guards the candidate,
-    /// with a budget of its own; if a few bad ratings took it out of the
-    /// plans as well, its sessions would go to a dearer model and the trial
-    /// would get no evidence to end on.
-    fn judged_as(&self, version: key::Version) -> key::Version {
+    /// Returns the version whose estimate applies to `version`: for the candidate of a roll-out,
+    /// the current version.
+    ///
+    /// The roll-out protects callers from a bad candidate with an exposure budget of its own. If a
+    /// few bad ratings also removed the candidate from the plans, its sessions would move to a more
+    /// expensive model and the canary analysis would receive no evidence to reach a verdict.
+    fn estimated_as(&self, version: key::Version) -> key::Version {
         let model = self.context.catalog.versions[version].model;
-        let trial = self.context.rollouts.canary(model);
-        let trial = trial.filter(|trial| trial.candidate == version);
-        trial.map_or(version, |trial| trial.current)
+        let canary = self.context.rollouts.canary(model);
+        let canary = canary.filter(|canary| canary.candidate == version);
+        canary.map_or(version, |canary| canary.current)
     }
 
+    /// Returns a version with its estimated quality, cost and latency for this request.
     fn candidate(&self, class: key::Class, version: key::Version) -> Candidate {
         let Context {
             catalog, learner, ..
         } = self.context;
         let price = catalog.versions[version].cost;
         let input = u32::try_from(self.request.input_tokens).unwrap_or(u32::MAX);
-        let rate = |micro: u64| f64::from(u32::try_from(micro).unwrap_or(u32::MAX)) / 1000.0;
+        let per_token = |micro: u64| f64::from(u32::try_from(micro).unwrap_or(u32::MAX)) / 1000.0;
         Candidate {
             version,
-            estimate: learner.estimate(catalog, class, self.judged_as(version)),
-            cost: rate(price.input) * f64::from(input)
-                + rate(price.output) * learner.expected_output_tokens(class),
+            estimate: learner.estimate(catalog, class, self.estimated_as(version)),
+            cost: per_token(price.input) * f64::from(input)
+                + per_token(price.output) * learner.expected_output_tokens(class),
             answer_ms: learner.expected_answer_ms(class, version),
         }
     }
 
-    fn limits(&self, class: &Class) -> Constraints {
-        let whole = u32::try_from(class.deadline_ms).unwrap_or(u32::MAX);
-        let first = u32::try_from(class.first_token_ms).unwrap_or(u32::MAX);
-        let due = if self.request.stream { first } else { whole };
+    fn constraints(&self, class: &Class) -> Constraints {
+        let complete_ms = u32::try_from(class.deadline_ms).unwrap_or(u32::MAX);
+        let first_token_ms = u32::try_from(class.first_token_ms).unwrap_or(u32::MAX);
+        let target_ms = if self.request.stream {
+            first_token_ms
+        } else {
+            complete_ms
+        };
         Constraints {
             quality: class.quality,
             cascade: class.cascade && self.context.learner.can_rate(self.context.now),
-            within_ms: f64::from(due.min(self.request.remaining_ms)),
+            max_latency_ms: f64::from(target_ms.min(self.request.remaining_ms)),
             rating_ms: self.context.learner.expected_rating_ms(),
             confidence: CONFIDENCE,
         }
     }
 
+    /// Asserts the invariants of a choice.
     fn check(&self, plans: &[Plan]) {
         assert!(!plans.is_empty(), "a choice without a plan");
         let target = self.class().map_or(0.0, |(_, class)| class.quality);
@@ -328,11 +338,12 @@
                 Basis::Session => self.request.pinned == Some(plan.first()),
                 Basis::Named => self.class().is_none(),
             };
-            assert!(meets, "a plan would miss the target without leave");
+            assert!(meets, "a plan would miss the target without permission");
         }
     }
 }
 
+/// Returns the plan of a request that names the version or its model.
 fn named(version: key::Version) -> Plan {
     Plan {
         basis: Basis::Named,
--- a/crates/core/src/cascade/estimate.rs
+++ b/crates/core/src/cascade/estimate.rs
@@ -1,22 +1,24 @@
-//! How good the answers of one version are in one class: a distribution.
+//! The estimated quality distribution of the answers of one version in one class.
 
-/// Number of equal intervals into which ratings from 0 to 1 are sorted.
+/// Number of equal intervals of the histogram of ratings from 0 to 1.
 pub const BINS: usize = 50;
 const BINS_F: f64 = 50.0;
-/// Standard deviation of ratings that is expected before any have come.
-const PRIOR_SPREAD: f64 = 0.08;
-/// Ratings after which an old one counts a third, so that a version that has
-/// changed is seen as it is now.
-const MEMORY: f64 = 600.0;
+/// Standard deviation of the prior distribution of ratings.
+const PRIOR_STANDARD_DEVIATION: f64 = 0.08;
+/// Number of ratings after which the weight of an old one has decayed to about a third, so that the
+/// estimate follows a version whose quality changes.
+const DECAY_RATINGS: f64 = 600.0;
 
-/// A distribution of ratings.
+/// A weighted histogram of ratings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
+    /// Number of ratings in each interval, with decay.
     weights: [f64; BINS],
+    /// Sum of the ratings in each interval, with the same decay.
     sums: [f64; BINS],
 }
 
-/// Returns the interval of a rating.
+/// Returns the index of the interval of a rating.
 #[must_use]
 pub fn bin(quality: f64) -> usize {
     let scaled = (quality.clamp(0.0, 1.0) * BINS_F).floor();
@@ -31,8 +33,7 @@
 }
 
 impl Estimate {
-    /// Creates an estimate that expects `quality` with the weight of `weight`
-    /// ratings.
+    /// Creates an estimate from a prior with the mean `quality` and the weight of `weight` ratings.
     #[must_use]
     pub fn new(quality: f64, weight: f64) -> Self {
         let mut estimate = Self {
@@ -40,15 +41,16 @@
             sums: [0.0; BINS],
         };
         let density = |bin| {
-            let away = (middle(bin) - quality) / PRIOR_SPREAD;
-            (-away * away / 2.0).exp()
+            let deviation = (middle(bin) - quality) / PRIOR_STANDARD_DEVIATION;
+            (-deviation * deviation / 2.0).exp()
         };
         let total: f64 = (0..BINS).map(density).sum();
         for bin in 0..BINS {
             estimate.weights[bin] = weight * density(bin) / total;
             estimate.sums[bin] = estimate.weights[bin] * middle(bin);
         }
-        // Cut off at 1 the prior would expect less than it was told.
+        // The prior is truncated to 0 to 1, which moves its mean away from `quality`: shifts it
+        // back.
         let shift = quality - estimate.mean();
         for bin in 0..BINS {
             estimate.sums[bin] += shift * estimate.weights[bin];
@@ -56,20 +58,20 @@
         estimate
     }
 
-    /// Adds `count` ratings of one interval with the sum `sum`.
+    /// Adds `count` ratings in one interval whose sum is `sum`.
     pub fn add(&mut self, bin: usize, count: u32, sum: f64) {
-        let keep = (-f64::from(count) / MEMORY).exp();
+        let keep = (-f64::from(count) / DECAY_RATINGS).exp();
         for weight in &mut self.weights {
             *weight *= keep;
         }
-        for present in &mut self.sums {
-            *present *= keep;
+        for total in &mut self.sums {
+            *total *= keep;
         }
         self.weights[bin] += f64::from(count);
         self.sums[bin] += sum;
     }
 
-    /// Returns the number of ratings that the estimate is worth.
+    /// Returns the weight of the estimate as a number of ratings.
     #[must_use]
     pub fn weight(&self) -> f64 {
         self.weights.iter().sum()
@@ -81,31 +83,32 @@
         self.sums.iter().sum::<f64>() / self.weight().max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the share of answers rated below the interval `accept`.
+    /// Returns the share of answers that are rated below the interval `accept`.
     #[must_use]
-    pub fn below(&self, accept: usize) -> f64 {
+    pub fn share_below(&self, accept: usize) -> f64 {
         let below: f64 = self.weights[..accept.min(BINS)].iter().sum();
         below / self.weight().max(f64::MIN_POSITIVE)
     }
 
+    /// Returns the mean rating in an interval.
     fn value(&self, bin: usize) -> f64 {
         self.sums[bin] / self.weights[bin].max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the lowest interval from which a cascade may hand answers on so
-    /// that its bound, as [`Estimate::bound`] gives it, meets `target`.
+    /// Returns the lowest interval from which a cascade may return answers so that its lower bound,
+    /// as computed by [`Estimate::bound`], meets `target`; `None` if there is none.
     #[must_use]
-    pub fn threshold(&self, target: f64, instead: f64, confidence: f64) -> Option<usize> {
+    pub fn threshold(&self, target: f64, fallback: f64, confidence: f64) -> Option<usize> {
         let weight = self.weight().max(f64::MIN_POSITIVE);
         let mut sum: f64 = self.sums.iter().sum();
         let squares = (0..BINS).map(|bin| self.weights[bin] * self.value(bin).powi(2));
         let mut squares: f64 = squares.sum();
-        // One interval after the other changes sides: a search that computed
-        // each bound anew took nine tenths of a choice.
+        // Moves the threshold up interval by interval and updates the sums incrementally: computing
+        // each bound from scratch took nine tenths of the time of a choice.
         for accept in 1..=BINS {
             let (share, value) = (self.weights[accept - 1], self.value(accept - 1));
-            sum += share * (instead - value);
-            squares += share * (instead.powi(2) - value.powi(2));
+            sum += share * (fallback - value);
+            squares += share * (fallback.powi(2) - value.powi(2));
             let mean = sum / weight;
             let variance = (squares / weight - mean.powi(2)).max(0.0);
             if mean - confidence * (variance / weight).sqrt() >= target {
@@ -115,15 +118,15 @@
         None
     }
 
-    /// Returns the lower bound, `confidence` standard errors below the mean, of
-    /// the quality of a cascade that hands on answers from the interval
-    /// `accept` upwards and replaces the others by one of quality `instead`.
+    /// Returns the lower bound, `confidence` standard errors below the mean, of the quality of a
+    /// cascade that returns answers rated in the interval `accept` or above and replaces the others
+    /// by answers of the quality `fallback`.
     #[must_use]
-    pub fn bound(&self, accept: usize, instead: f64, confidence: f64) -> f64 {
+    pub fn bound(&self, accept: usize, fallback: f64, confidence: f64) -> f64 {
         let weight = self.weight().max(f64::MIN_POSITIVE);
         let value = |bin: usize| {
             if bin < accept {
-                instead
+                fallback
             } else {
                 self.value(bin)
             }
--- a/crates/core/src/cascade/learner.rs
+++ b/crates/core/src/cascade/learner.rs
@@ -1,4 +1,4 @@
-//! Learning of quality, latency and length by class and version.
+//! Estimates of quality, latency and output length by class and version.
 
 use std::collections::BTreeMap;
 
@@ -8,91 +8,95 @@
 use super::estimate::{Estimate, bin};
 use crate::clock::Instant;
 
-/// Reports of one digest; with more classes and versions they take turns.
-const MOST_REPORTS: usize = 2;
-/// Weight of a new measurement of latency or length.
-const SMOOTHING: f64 = 0.1;
-/// Output tokens that are expected before any answer of a class has ended.
-const OUTPUT_TOKENS: f64 = 300.0;
-/// Failed ratings in a row after which the service counts as down.
-const FAILURES: u32 = 3;
-/// Milliseconds after which a service that is down is tried again.
-const PROBE_MS: u64 = 5_000;
-/// Milliseconds that a rating takes before any has come.
-const RATING_MS: f64 = 200.0;
+/// Maximum number of reports in one digest; with more classes and versions, they rotate.
+const MAX_REPORTS: usize = 2;
+/// Weight of a new sample in the moving averages of latency and output length.
+const EWMA_WEIGHT: f64 = 0.1;
+/// Output tokens that are expected before any answer of a class is complete.
+const DEFAULT_OUTPUT_TOKENS: f64 = 300.0;
+/// Consecutive failed ratings after which the rating service counts as down.
+const MAX_RATING_FAILURES: u32 = 3;
+/// Time after which a rating service that is down is probed again.
+const RATING_PROBE_MS: u64 = 5_000;
+/// Latency of a rating that is assumed before the first one.
+const DEFAULT_RATING_MS: f64 = 200.0;
 
-/// Ratings of one version in one class, as one incarnation counted them: they
-/// only rise, so that repeated and old messages change nothing.
+/// Ratings of one version in one class, as one incarnation counted them.
+///
+/// The counts only increase, so repeated and old messages change nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Class of work.
+    /// Name of the class of work.
     pub class: String,
-    /// Version.
+    /// Name of the version.
     pub version: String,
-    /// Number and sum (in thousandths) of the ratings in each interval.
+    /// Number of the ratings in each interval and their sum in thousandths.
     pub bins: BTreeMap<usize, (u32, u64)>,
 }
 
-/// What one instance tells a peer of quality.
+/// The ratings that one instance sends to a peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
     /// Incarnation that counted.
     pub source: String,
-    /// Its counts.
+    /// Counts of that incarnation.
     pub reports: Vec<Report>,
 }
 
 type Pair = (key::Class, key::Version);
 type Bins = BTreeMap<usize, (u32, u64)>;
 
-/// A smoothed measurement with its mean deviation.
+/// An exponentially weighted moving average with its mean deviation.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-struct Smooth {
+struct MovingAverage {
     mean: f64,
     deviation: f64,
-    seen: bool,
+    has_samples: bool,
 }
 
-impl Smooth {
+impl MovingAverage {
     fn add(&mut self, value: f64) {
-        if self.seen {
+        if self.has_samples {
             let error = value - self.mean;
-            self.mean += SMOOTHING * error;
-            self.deviation += SMOOTHING * (error.abs() - self.deviation);
+            self.mean += EWMA_WEIGHT * error;
+            self.deviation += EWMA_WEIGHT * (error.abs() - self.deviation);
         } else {
             self.mean = value;
             self.deviation = value / 4.0;
-            self.seen = true;
+            self.has_samples = true;
         }
     }
 
-    /// A value that about 95 of 100 stay below.
-    fn high(&self) -> f64 {
+    /// Returns an estimate of the 95th percentile.
+    fn p95(&self) -> f64 {
         self.mean + 2.0 * self.deviation
     }
 }
 
-/// What has been learnt.
+/// The estimates of one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Learner {
     source: String,
     estimates: BTreeMap<Pair, Estimate>,
-    own: BTreeMap<Pair, Bins>,
-    heard: BTreeMap<(String, Pair), Bins>,
-    latency: BTreeMap<Pair, Smooth>,
-    output: BTreeMap<key::Class, Smooth>,
-    rating: Smooth,
+    /// Ratings counted by this incarnation.
+    local: BTreeMap<Pair, Bins>,
+    /// Ratings counted by the incarnations of peers.
+    received: BTreeMap<(String, Pair), Bins>,
+    answer_ms: BTreeMap<Pair, MovingAverage>,
+    output_tokens: BTreeMap<key::Class, MovingAverage>,
+    rating_ms: MovingAverage,
+    /// Consecutive failed ratings.
     failures: u32,
     probe_at: Instant,
     turn: usize,
 }
 
 impl Learner {
-    /// Most counts of peers that are remembered.
-    const MOST_HEARD: usize = 8192;
+    /// Maximum number of entries that are kept of the counts of peers.
+    const MAX_RECEIVED: usize = 8192;
 
-    /// Creates a learner of one incarnation.
+    /// Creates the learner of one incarnation.
     #[must_use]
     pub fn new(source: &str) -> Self {
         Self {
@@ -101,7 +105,7 @@
         }
     }
 
-    /// Returns what is known of a version in a class.
+    /// Returns the estimate of the quality of a version in a class.
     #[must_use]
     pub fn estimate(
         &self,
@@ -115,7 +119,7 @@
             .unwrap_or_else(|| prior(catalog, class, version))
     }
 
-    /// Adds a rating.
+    /// Records a local rating.
     pub fn record_rating(
         &mut self,
         catalog: &Catalog,
@@ -127,8 +131,8 @@
         let bin = bin(quality);
         self.estimate_mut(catalog, (class, version))
             .add(bin, 1, quality);
-        let own = self.own.entry((class, version)).or_default();
-        let (count, sum) = own.entry(bin).or_default();
+        let local = self.local.entry((class, version)).or_default();
+        let (count, sum) = local.entry(bin).or_default();
         *count = count.saturating_add(1);
         *sum = sum.saturating_add(u64::from(thousandths(quality)));
     }
@@ -139,35 +143,35 @@
             .or_insert_with(|| prior(catalog, pair.0, pair.1))
     }
 
-    /// Notes that a rating came after `millis`.
+    /// Records that a rating took `millis` milliseconds; the rating service is up.
     pub fn record_rating_ms(&mut self, millis: f64) {
-        self.rating.add(millis);
+        self.rating_ms.add(millis);
         self.failures = 0;
     }
 
-    /// Notes that a rating failed or was turned away.
+    /// Records that a rating failed or was refused.
     pub fn record_rating_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
-        self.probe_at = now.plus_millis(PROBE_MS);
+        self.probe_at = now.plus_millis(RATING_PROBE_MS);
     }
 
-    /// Returns whether a rating can be counted on.
+    /// Returns whether the rating service is expected to respond: it is up, or due for a probe.
     #[must_use]
     pub fn can_rate(&self, now: Instant) -> bool {
-        self.failures < FAILURES || now >= self.probe_at
+        self.failures < MAX_RATING_FAILURES || now >= self.probe_at
     }
 
-    /// Returns the milliseconds within which a rating is expected.
+    /// Returns the expected latency of a rating in milliseconds, at the 95th percentile.
     #[must_use]
     pub fn expected_rating_ms(&self) -> f64 {
-        if self.rating.seen {
-            self.rating.high()
+        if self.rating_ms.has_samples {
+            self.rating_ms.p95()
         } else {
-            RATING_MS
+            DEFAULT_RATING_MS
         }
     }
 
-    /// Notes how long a whole answer took and how many tokens it had.
+    /// Records the latency and the number of output tokens of a complete answer.
     pub fn record_answer(
         &mut self,
         class: key::Class,
@@ -175,41 +179,41 @@
         millis: f64,
         output_tokens: u32,
     ) {
-        self.latency
+        self.answer_ms
             .entry((class, version))
             .or_default()
             .add(millis);
-        let output = self.output.entry(class).or_default();
+        let output = self.output_tokens.entry(class).or_default();
         output.add(f64::from(output_tokens));
     }
 
-    /// Returns the milliseconds within which a whole answer is expected; 0
-    /// before any has come.
+    /// Returns the expected latency of a complete answer in milliseconds, at the 95th percentile; 0
+    /// before the first answer.
     #[must_use]
     pub fn expected_answer_ms(&self, class: key::Class, version: key::Version) -> f64 {
-        let known = self.latency.get(&(class, version));
-        known.map_or(0.0, Smooth::high)
+        let known = self.answer_ms.get(&(class, version));
+        known.map_or(0.0, MovingAverage::p95)
     }
 
-    /// Returns the output tokens that are expected of a class.
+    /// Returns the expected number of output tokens of an answer in a class.
     #[must_use]
     pub fn expected_output_tokens(&self, class: key::Class) -> f64 {
-        let known = self.output.get(&class);
-        known.map_or(OUTPUT_TOKENS, |output| output.mean)
+        let known = self.output_tokens.get(&class);
+        known.map_or(DEFAULT_OUTPUT_TOKENS, |output| output.mean)
     }
 
-    /// Returns what peers are told.
+    /// Returns the digest for a peer: a rotating selection of the local counts.
     pub fn digest(&mut self, names: &Names) -> Digest {
-        let count = self.own.len();
-        let start = if count > MOST_REPORTS {
+        let count = self.local.len();
+        let start = if count > MAX_REPORTS {
             self.turn % count
         } else {
             0
         };
-        self.turn = start + MOST_REPORTS;
-        let turns = self.own.iter().cycle().skip(start);
+        self.turn = start + MAX_REPORTS;
+        let turns = self.local.iter().cycle().skip(start);
         let reports = turns
-            .take(count.min(MOST_REPORTS))
+            .take(count.min(MAX_REPORTS))
             .map(|((class, version), bins)| Report {
                 class: names.classes.name(*class).to_string(),
                 version: names.versions.name(*version).to_string(),
@@ -221,8 +225,7 @@
         }
     }
 
-    /// Takes over what a peer tells; repeated, reordered and old messages
-    /// change nothing.
+    /// Merges the digest of a peer; repeated, reordered and old digests change nothing.
     pub fn merge(&mut self, catalog: &Catalog, names: &Names, digest: &Digest) {
         if digest.source == self.source {
             return;
@@ -231,33 +234,34 @@
             let class = names.classes.get(&report.class);
             let version = names.versions.get(&report.version);
             if let (Some(class), Some(version)) = (class, version) {
-                self.hear(catalog, &digest.source, (class, version), &report.bins);
+                self.merge_report(catalog, &digest.source, (class, version), &report.bins);
             }
         }
     }
 
-    fn hear(&mut self, catalog: &Catalog, source: &str, pair: Pair, bins: &Bins) {
-        let place = (source.to_owned(), pair);
-        if !self.heard.contains_key(&place) && self.heard.len() >= Self::MOST_HEARD {
+    fn merge_report(&mut self, catalog: &Catalog, source: &str, pair: Pair, bins: &Bins) {
+        let key = (source.to_owned(), pair);
+        if !self.received.contains_key(&key) && self.received.len() >= Self::MAX_RECEIVED {
             return;
         }
-        let known = self.heard.entry(place).or_default();
-        let mut news = Vec::new();
+        let known = self.received.entry(key).or_default();
+        let mut added = Vec::new();
         for (bin, (count, sum)) in bins {
             let before = known.entry(*bin).or_default();
             if *bin < super::BINS && *count > before.0 {
                 let milli = u32::try_from(sum.saturating_sub(before.1)).unwrap_or(u32::MAX);
-                news.push((*bin, count - before.0, f64::from(milli) / 1000.0));
+                added.push((*bin, count - before.0, f64::from(milli) / 1000.0));
                 *before = (*count, *sum);
             }
         }
         let estimate = self.estimate_mut(catalog, pair);
-        for (bin, count, sum) in news {
+        for (bin, count, sum) in added {
             estimate.add(bin, count, sum);
         }
     }
 }
 
+/// Returns the estimate from the configuration alone.
 fn prior(catalog: &Catalog, class: key::Class, version: key::Version) -> Estimate {
     let weight = catalog.versions.get(version);
     let weight = weight.map_or(1.0, |entry| entry.prior_weight.max(1.0));
@@ -266,7 +270,7 @@
 
 fn thousandths(quality: f64) -> u16 {
     let target = quality * 1000.0;
-    // The nearest whole number, without a cast that could lose the sign.
+    // Rounds to the nearest integer without a cast that could lose the sign.
     (0..=1000)
         .find(|milli| f64::from(*milli) + 0.5 > target)
         .unwrap_or(1000)
--- a/crates/core/src/cascade/mod.rs
+++ b/crates/core/src/cascade/mod.rs
@@ -1,26 +1,24 @@
-//! Which version answers a request: the cheapest plan that meets the target.
+//! Model cascades: the choice of the cheapest plan that meets the quality target of a request.
 //!
-//! The pattern: versions of unlike cost and quality serve classes of work with
-//! unlike targets. Always taking the strongest pays ten times for a shelf
-//! alert; taking the cheapest first with a fixed threshold misses the target
-//! when the cheap version is weaker than the threshold's author thought, and
-//! overpays when it is better.
+//! Versions of different cost and quality serve classes of work with different quality targets.
+//! Always using the strongest version costs ten times as much for a simple task such as a shelf
+//! alert. Trying the cheapest version first with a fixed threshold misses the target when that
+//! version is weaker than assumed when the threshold was set, and costs too much when it is better.
 //!
-//! - [`Learner`] learns from ratings, own and peers', how good each version's
-//!   answers are in each class, as a distribution with the configuration's
-//!   expectation as its prior.
-//! - [`plan()`] lists the plans of a request, cheapest first: one version
-//!   directly, or a cheap version whose answer is rated and handed on only at
-//!   or above a threshold, else a dearer one. The threshold is the lowest one
-//!   at which the lower confidence bound of the cascade's quality meets the
-//!   target, since a lower threshold escalates less and so costs less.
-//! - [`choose()`] adds what must always hold: allowed versions only, none that
-//!   is withdrawn, sessions keep theirs, and no plan whose bound misses the
-//!   target unless the organisation's configuration says so.
+//! - [`Learner`] estimates the quality of each version in each class from local ratings and those
+//!   of peers, as a distribution whose prior is the quality set in the configuration.
+//! - [`plan()`] lists the plans of a request, cheapest first. A plan uses one version directly, or
+//!   a cascade: the answer of a cheap version is rated and returned only at or above a threshold,
+//!   else a more expensive version answers. The threshold is the lowest one at which the lower
+//!   confidence bound of the cascade's quality meets the target, since a lower threshold escalates
+//!   less and so costs less.
+//! - [`choose()`] enforces the invariants: only allowed versions, none that is withdrawn, sessions
+//!   keep their version, and no plan's bound misses the target unless the organisation's
+//!   configuration permits it ([`Basis`] lists this and the other grounds).
 //!
-//! Without ratings (service down or slow) no cascade can be judged: what is
-//! left is the cheapest version whose bound meets the target by what is known,
-//! usually a dearer one. Cost rises; quality does not fall.
+//! While the rating service is down or slow, no cascade can be rated. What remains is the cheapest
+//! version whose bound meets the target by the estimates so far, usually a more expensive one: the
+//! cost rises, the quality does not fall.
 
 mod choose;
 mod estimate;
--- a/crates/core/src/cascade/plan.rs
+++ b/crates/core/src/cascade/plan.rs
@@ -1,42 +1,42 @@
-//! The plans of a request, cheapest first.
+//! The possible plans of a request, ordered by cost.
 
 use fescuerack_config::key;
 
 use super::estimate::{BINS, Estimate};
 
-/// Standard errors between an estimate and its lower bound: about 9 in 10
-/// bounds lie below the truth.
+/// Standard errors between the mean and the lower bound of an estimate: about 9 in 10 bounds lie
+/// below the true quality.
 pub const CONFIDENCE: f64 = 1.28;
-/// Standard errors above its estimate from which a version surely misses the
-/// target.
+/// Standard errors by which the target must exceed the mean of an estimate for the version to
+/// count as certain to miss it.
 pub const CERTAIN_MISS_ERRORS: f64 = 3.0;
 
 /// A version that may answer.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The version.
+    /// Version.
     pub version: key::Version,
-    /// What its answers are like in the request's class.
+    /// Quality of its answers in the class of the request.
     pub estimate: Estimate,
     /// Expected cost of one answer in micro-euro.
     pub cost: f64,
-    /// Milliseconds within which the whole answer is expected.
+    /// Expected latency of a complete answer in milliseconds, at the 95th percentile.
     pub answer_ms: f64,
 }
 
-/// What a plan must keep to.
+/// The constraints on a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct Constraints {
-    /// Least expected quality.
+    /// Target quality.
     pub quality: f64,
-    /// Whether answers may be held back, rated and escalated.
+    /// Whether an answer may be held back, rated and replaced by that of another version.
     pub cascade: bool,
-    /// Milliseconds within which a cascade must have handed on its answer: the
-    /// need for the first token of a stream, or for the whole answer.
-    pub within_ms: f64,
-    /// Milliseconds that a rating takes.
+    /// Milliseconds within which a cascade must return its answer: the target for the first token
+    /// of a stream, or for the complete answer.
+    pub max_latency_ms: f64,
+    /// Expected latency of a rating in milliseconds.
     pub rating_ms: f64,
-    /// Standard errors between estimates and bounds.
+    /// Standard errors between the mean and the lower bound of an estimate.
     pub confidence: f64,
 }
 
@@ -45,51 +45,51 @@
 pub enum Steps {
     /// One version answers.
     Direct(key::Version),
-    /// `first` answers, is rated, and is handed on from `accept` upwards;
+    /// `first` answers and its answer is rated; it is returned if the rating is at least `accept`,
     /// otherwise `second` answers.
     Cascade {
         /// Cheap version.
         first: key::Version,
-        /// Dearer version.
+        /// More expensive version.
         second: key::Version,
-        /// Least rating that is handed on.
+        /// Lowest rating of an answer that is returned.
         accept: f64,
     },
 }
 
-/// Why a plan may run.
+/// The reason why a plan may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// Its bound meets the target of the class.
+    /// Its lower bound meets the target of the class.
     Bound,
-    /// No plan's bound meets the target; this one's expected quality does.
+    /// No plan's lower bound meets the target, but the expected quality of this one does.
     Expected,
-    /// No plan's expected quality meets the target; this one's may, and the
-    /// request is among the few that find out.
+    /// No plan's expected quality meets the target, but that of this one may do so. The request is
+    /// in the small random share that explores.
     Probe,
-    /// The organisation takes an answer below the target rather than none.
+    /// The organisation accepts an answer below the target rather than none.
     BelowTargetAllowed,
-    /// The session keeps this version; the target was judged at its start.
+    /// The session keeps this version; the target was checked at its start.
     Session,
     /// The caller named the model or the version; no target applies.
     Named,
 }
 
-/// A plan.
+/// One way to answer a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plan {
-    /// Why it may run.
+    /// Reason why it may run.
     pub basis: Basis,
-    /// Its steps.
+    /// Steps.
     pub steps: Steps,
-    /// Lower bound of its quality.
+    /// Lower confidence bound of its quality.
     pub bound: f64,
     /// Expected cost in micro-euro.
     pub cost: f64,
 }
 
 impl Plan {
-    /// Returns the version that answers first; a session keeps it.
+    /// Returns the version that answers first, which the session keeps.
     #[must_use]
     pub fn first(&self) -> key::Version {
         match self.steps {
@@ -98,18 +98,18 @@
     }
 }
 
-/// Returns every plan that keeps to `limits`, cheapest first.
+/// Returns every plan that satisfies `constraints`, cheapest first.
 #[must_use]
-pub fn plan(candidates: &[Candidate], limits: Constraints) -> Vec<Plan> {
+pub fn plan(candidates: &[Candidate], constraints: Constraints) -> Vec<Plan> {
     let mut plans: Vec<Plan> = candidates
         .iter()
-        .map(|candidate| direct(candidate, limits.confidence))
-        .filter(|plan| plan.bound >= limits.quality)
+        .map(|candidate| direct(candidate, constraints.confidence))
+        .filter(|plan| plan.bound >= constraints.quality)
         .collect();
-    if limits.cascade {
+    if constraints.cascade {
         for first in candidates {
             for second in candidates {
-                plans.extend(cascade(first, second, limits));
+                plans.extend(cascade(first, second, constraints));
             }
         }
     }
@@ -117,7 +117,7 @@
     plans
 }
 
-/// Returns the plan that lets one version answer.
+/// Returns the plan in which one version answers.
 #[must_use]
 pub fn direct(candidate: &Candidate, confidence: f64) -> Plan {
     Plan {
@@ -128,20 +128,23 @@
     }
 }
 
-/// The lowest threshold that meets the target escalates least, so it is also
-/// the cheapest.
-fn cascade(first: &Candidate, second: &Candidate, limits: Constraints) -> Option<Plan> {
-    let held_ms = first.answer_ms + limits.rating_ms + second.answer_ms;
-    if first.cost >= second.cost || held_ms > limits.within_ms {
+/// Returns the cascade of two versions, if it satisfies `constraints`.
+///
+/// The lowest threshold that meets the target escalates least, so it is also the cheapest.
+fn cascade(first: &Candidate, second: &Candidate, constraints: Constraints) -> Option<Plan> {
+    let total_ms = first.answer_ms + constraints.rating_ms + second.answer_ms;
+    if first.cost >= second.cost || total_ms > constraints.max_latency_ms {
         return None;
     }
-    let instead = second.estimate.bound(0, 0.0, limits.confidence);
+    let fallback = second.estimate.bound(0, 0.0, constraints.confidence);
     let accept = first
         .estimate
-        .threshold(limits.quality, instead, limits.confidence)?;
-    // Rounding must not let a plan through that its own bound denies.
-    let bound = first.estimate.bound(accept, instead, limits.confidence);
-    if bound < limits.quality {
+        .threshold(constraints.quality, fallback, constraints.confidence)?;
+    // Rounding in the threshold search must not admit a plan whose bound misses the target.
+    let bound = first
+        .estimate
+        .bound(accept, fallback, constraints.confidence);
+    if bound < constraints.quality {
         return None;
     }
     Some(Plan {
@@ -152,6 +155,6 @@
             accept: f64::from(u32::try_from(accept).ok()?) / f64::from(u32::try_from(BINS).ok()?),
         },
         bound,
-        cost: first.cost + first.estimate.below(accept) * second.cost,
+        cost: first.cost + first.estimate.share_below(accept) * second.cost,
     })
 }
--- a/crates/core/src/cascade/token_bucket.rs
+++ b/crates/core/src/cascade/token_bucket.rs
@@ -1,63 +1,62 @@
-//! What an instance may ask of the rating service.
+//! Token bucket that limits the calls of an instance to the rating service, by priority.
 //!
-//! The service is rate-limited and shared by all instances. When it cannot
-//! rate everything, a judgement that a caller waits for goes first, then the
-//! candidate of a roll-out, whose exposure is counted, then samples of the
-//! rest: each takes from the same bucket, and only as long as more is left
-//! than those before it may need.
+//! The service is rate-limited and shared by all instances. When it cannot rate everything, a
+//! rating that a caller waits for has priority, then the candidate of a roll-out, whose unrated
+//! answers count towards the exposure budget, then samples of other traffic. All purposes take from
+//! the same bucket; a purpose of lower priority must leave a reserve for those above it.
 
 use crate::clock::Instant;
 
-/// What a rating is for.
+/// The purpose of a rating, by descending priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A cascade waits for it.
+    /// A cascade waits for the rating.
     Cascade,
-    /// The answer is a candidate's.
+    /// The answer is from the candidate of a roll-out.
     Candidate,
-    /// A sample of the usual traffic.
+    /// The answer is a sample of other traffic.
     Sample,
 }
 
-/// Tokens of one instance.
+/// The token bucket of one instance.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
-    /// Seconds of the rate that may be saved up.
-    const SAVED_S: f64 = 2.0;
+    /// Size of the bucket, in seconds of the rate.
+    const BURST_S: f64 = 2.0;
 
     /// Creates a full bucket of `rate` ratings a second.
     #[must_use]
     pub fn new(now: Instant, rate: f64) -> Self {
         Self {
-            tokens: Self::size(rate),
-            at: now,
+            tokens: Self::capacity(rate),
+            refilled_at: now,
         }
     }
 
-    fn size(rate: f64) -> f64 {
-        (rate * Self::SAVED_S).max(1.0)
+    fn capacity(rate: f64) -> f64 {
+        (rate * Self::BURST_S).max(1.0)
     }
 
-    /// Takes a rating if there is room for its purpose.
+    /// Takes a token if enough are left for `purpose`; returns whether it did.
     pub fn take(&mut self, now: Instant, rate: f64, purpose: Purpose) -> bool {
-        let size = Self::size(rate);
-        let earned = now.since(self.at).as_secs_f64() * rate;
-        self.tokens = (self.tokens + earned).min(size);
-        self.at = self.at.max(now);
-        let kept = match purpose {
+        let capacity = Self::capacity(rate);
+        let refill = now.since(self.refilled_at).as_secs_f64() * rate;
+        self.tokens = (self.tokens + refill).min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
+        let reserve = match purpose {
             Purpose::Cascade => 0.0,
-            Purpose::Candidate => size * 0.25,
-            Purpose::Sample => size * 0.5,
+            Purpose::Candidate => capacity * 0.25,
+            Purpose::Sample => capacity * 0.5,
         };
-        let room = self.tokens >= kept.min(size - 1.0) + 1.0;
-        if room {
+        let is_granted = self.tokens >= reserve.min(capacity - 1.0) + 1.0;
+        if is_granted {
             self.tokens -= 1.0;
         }
-        room
+        is_granted
     }
 }
--- a/crates/core/tests/all/choice.rs
+++ b/crates/core/tests/all/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of versions under random configurations, ratings and halts.
+//! Property tests of the choice of versions under random configurations, ratings and halts.
 
 use fescuerack_config::file::State;
 use fescuerack_config::{Catalog, Names, key};
@@ -31,8 +31,8 @@
     ratings: Vec<(usize, f64)>,
     pinned: Option<usize>,
     session: u64,
-    dice: f64,
-    wanted: usize,
+    random: f64,
+    selector: usize,
 }
 
 fn case() -> impl Strategy<Value = Case> {
@@ -68,19 +68,20 @@
             ratings: second.2,
             pinned: second.3,
             session: second.4,
-            dice: second.5,
-            wanted: second.6,
+            random: second.5,
+            selector: second.6,
         })
 }
 
-struct Market {
+/// The state that a choice depends on, built from a case.
+struct Setup {
     names: Names,
     catalog: Catalog,
-    board: Registry,
+    rollouts: Registry,
     learner: Learner,
 }
 
-impl Market {
+impl Setup {
     fn new(case: &Case) -> Self {
         let version = |place: usize| {
             format!(
@@ -108,8 +109,8 @@
         let mut names = Names::new();
         let catalog = compile(1, &file, &mut names);
         let now = Instant::ORIGIN;
-        let mut board = Registry::new("one");
-        board.mark_informed();
+        let mut rollouts = Registry::new("one");
+        rollouts.mark_informed();
         if case.halted {
             let mut record = Record::default();
             let halt = Halt {
@@ -118,9 +119,9 @@
                 cause: Cause::Ratings,
             };
             record.halt("a@2", halt);
-            board.merge_stored_record(now, "a", &record);
+            rollouts.merge_stored_record(now, "a", &record);
         }
-        board.configure(now, &catalog, &names);
+        rollouts.configure(now, &catalog, &names);
         let mut learner = Learner::new("one");
         let class = names.classes.get("work").expect("a class");
         for (place, quality) in &case.ratings {
@@ -130,7 +131,7 @@
         Self {
             names,
             catalog,
-            board,
+            rollouts,
             learner,
         }
     }
@@ -140,7 +141,7 @@
     }
 
     fn choose(&self, case: &Case) -> Result<Choice, Refusal> {
-        let wanted = match case.wanted {
+        let selector = match case.selector {
             0 => Selector::Class(self.names.classes.get("work").expect("a class")),
             1 => Selector::Model(self.names.models.get("a").expect("a model")),
             _ => Selector::Version(self.version(1)),
@@ -148,25 +149,26 @@
         let session = case.session.to_be_bytes();
         let request = Request {
             organisation: self.names.organisations.get("o").expect("an organisation"),
-            selector: wanted,
+            selector,
             session: &session,
             pinned: case.pinned.map(|place| self.version(place)),
             stream: false,
             remaining_ms: 60_000,
             input_tokens: 100,
-            random: case.dice,
+            random: case.random,
         };
-        let world = Context {
+        let context = Context {
             catalog: &self.catalog,
             names: &self.names,
-            rollouts: &self.board,
+            rollouts: &self.rollouts,
             learner: &self.learner,
             now: Instant::ORIGIN,
         };
-        choose(world, request)
+        choose(context, request)
     }
 
-    fn is_gone(&self, case: &Case, version: key::Version) -> bool {
+    /// Returns whether a version is withdrawn or halted.
+    fn is_withdrawn(&self, case: &Case, version: key::Version) -> bool {
         let place = (0..VERSIONS.len()).find(|place| self.version(*place) == version);
         let place = place.expect("a known version");
         case.states[place] == 2 || (case.halted && VERSIONS[place] == "a@2")
@@ -174,8 +176,8 @@
 }
 
 fn check(case: &Case) {
-    let market = Market::new(case);
-    let Ok(choice) = market.choose(case) else {
+    let setup = Setup::new(case);
+    let Ok(choice) = setup.choose(case) else {
         return;
     };
     for plan in &choice.plans {
@@ -184,31 +186,31 @@
             Steps::Cascade { first, second, .. } => vec![first, second],
         };
         for version in versions {
-            let place = (0..VERSIONS.len()).find(|place| market.version(*place) == version);
+            let place = (0..VERSIONS.len()).find(|place| setup.version(*place) == version);
             let place = place.expect("a known version");
             assert!(case.allowed[place], "{} is not allowed", VERSIONS[place]);
             assert!(
-                !market.is_gone(case, version),
-                "{} is gone",
+                !setup.is_withdrawn(case, version),
+                "{} is withdrawn",
                 VERSIONS[place]
             );
             let kept = case.pinned == Some(place);
-            let closed = market.catalog.versions[version].state == State::Closed;
+            let closed = setup.catalog.versions[version].state == State::Closed;
             assert!(kept || !closed, "a new session on {}", VERSIONS[place]);
         }
-        if case.wanted == 0 && !case.below_target && plan.basis == Basis::Bound {
+        if case.selector == 0 && !case.below_target && plan.basis == Basis::Bound {
             assert!(plan.bound >= case.target);
         }
     }
     let pinned = case.pinned.filter(|place| case.allowed[*place]);
-    if let Some(pinned) = pinned.map(|place| market.version(place)) {
+    if let Some(pinned) = pinned.map(|place| setup.version(place)) {
         let moved = matches!(choice.place, Place::Move { .. });
-        assert_eq!(moved, market.is_gone(case, pinned));
+        assert_eq!(moved, setup.is_withdrawn(case, pinned));
     }
 }
 
 #[test]
-fn choose_random_worlds_keeps_what_must_hold() {
+fn choose_random_states_keeps_invariants() {
     let mut runner = TestRunner::new(proptest::test_runner::Config {
         cases: config().cases * 8,
         ..config()
@@ -222,7 +224,8 @@
     }
 }
 
-fn usual() -> Case {
+/// Returns a case without faults in which one expensive version meets the target by itself.
+fn healthy() -> Case {
     Case {
         states: vec![0; VERSIONS.len()],
         qualities: vec![0.6, 0.6, 0.7, 0.95],
@@ -235,58 +238,58 @@
         ratings: Vec::new(),
         pinned: None,
         session: 7,
-        dice: 0.9,
-        wanted: 0,
+        random: 0.9,
+        selector: 0,
     }
 }
 
-// The rating service is down. Nobody can judge a cheap answer, so the version
-// whose bound meets the target by itself answers.
+// The rating service is down. The answer of a cheap version cannot be rated, so the version whose
+// bound meets the target by itself answers.
 #[test]
-fn choose_without_ratings_falls_back_to_the_dear_version() {
-    let case = usual();
-    let mut market = Market::new(&case);
-    let plan = market.choose(&case).expect("a plan").plans[0];
+fn choose_without_ratings_falls_back_to_the_expensive_version() {
+    let case = healthy();
+    let mut setup = Setup::new(&case);
+    let plan = setup.choose(&case).expect("a plan").plans[0];
     assert!(matches!(plan.steps, Steps::Cascade { .. }));
     for _ in 0..3 {
-        market.learner.record_rating_failure(Instant::ORIGIN);
+        setup.learner.record_rating_failure(Instant::ORIGIN);
     }
-    let plan = market.choose(&case).expect("a plan").plans[0];
-    assert_eq!(plan.steps, Steps::Direct(market.version(3)));
+    let plan = setup.choose(&case).expect("a plan").plans[0];
+    assert_eq!(plan.steps, Steps::Direct(setup.version(3)));
 }
 
-// A session drafts with the cheap version, judged answer by answer. The rating
-// service goes down: its next answer must not be an unjudged cheap one, and the
-// session must not leave its version either.
+// The answers of a session on the cheap version are rated one by one. After the rating service
+// goes down, the next answer must not be an unrated one of the cheap version, and the session must
+// keep its version.
 #[test]
-fn choose_for_session_without_ratings_does_not_hand_on_unjudged() {
-    let mut case = usual();
+fn choose_for_session_without_ratings_returns_no_unrated_answer() {
+    let mut case = healthy();
     case.pinned = Some(0);
-    let mut market = Market::new(&case);
-    let choice = market.choose(&case).expect("a plan");
+    let mut setup = Setup::new(&case);
+    let choice = setup.choose(&case).expect("a plan");
     assert!(
-        matches!(choice.plans[0].steps, Steps::Cascade { first, .. } if first == market.version(0))
+        matches!(choice.plans[0].steps, Steps::Cascade { first, .. } if first == setup.version(0))
     );
     for _ in 0..3 {
-        market.learner.record_rating_failure(Instant::ORIGIN);
+        setup.learner.record_rating_failure(Instant::ORIGIN);
     }
-    let choice = market.choose(&case).expect("a plan");
-    assert_eq!(choice.plans[0].steps, Steps::Direct(market.version(3)));
-    assert_eq!(choice.place, Place::Keep(market.version(0)));
+    let choice = setup.choose(&case).expect("a plan");
+    assert_eq!(choice.plans[0].steps, Steps::Direct(setup.version(3)));
+    assert_eq!(choice.place, Place::Keep(setup.version(0)));
 }
 
-// No version that is allowed meets the target: the refusal says so, unless the
-// organisation takes less rather than nothing.
+// No allowed version meets the target. The request is refused for this reason, unless the
+// organisation accepts answers below the target.
 #[rstest]
 #[case(false)]
 #[case(true)]
-fn choose_below_target_only_with_leave(#[case] leave: bool) {
-    let mut case = usual();
+fn choose_below_target_only_with_permission(#[case] is_permitted: bool) {
+    let mut case = healthy();
     case.allowed[3] = false;
-    case.below_target = leave;
-    let market = Market::new(&case);
-    let choice = market.choose(&case);
-    if leave {
+    case.below_target = is_permitted;
+    let setup = Setup::new(&case);
+    let choice = setup.choose(&case);
+    if is_permitted {
         assert_eq!(
             choice.expect("a plan").plans[0].basis,
             Basis::BelowTargetAllowed
