--- a/crates/core/src/claim/claiming.rs
+++ b/crates/core/src/claim/claiming.rs
@@ -1,18 +1,17 @@
-//! Taking a claim.
+//! The protocol that acquires a claim.
 //!
-//! The failures that it answers, and how:
+//! It handles these failures:
 //!
-//! - The answer to the swap is lost. The record is read back: one's own nonce
-//!   says that the swap took effect. Otherwise the same swap is made again; if
-//!   the first one arrives late, one of the two meets a conflict.
-//! - A read is old. A conflict names the version that stands, and a read below
-//!   it is not believed: a verdict is only given from a record that is at
-//!   least as new as a conflict that was met.
-//! - Two senders take over a claim that was not run. The swap names the
-//!   version of that record, so one of them wins.
-//! - The process is paused between the claim and the send. [`Outcome::Claimed`]
-//!   is only given before the deadline, and [`super::Claim`]'s holder checks it
-//!   again right before it sends.
+//! - The answer to the swap is lost. The record is read back; if it carries the nonce of this
+//!   attempt, the swap took effect. Otherwise the same swap is repeated; if the first one arrives
+//!   late, one of the two gets a conflict.
+//! - A read is stale. A conflict returns the current version, and a read below that version is
+//!   discarded: a verdict is only derived from a record at least as new as the last conflict.
+//! - Two senders acquire a claim that was not run. The swap expects the version of that record, so
+//!   one of them succeeds.
+//! - The process is paused between the claim and the send. [`Outcome::Claimed`] is only returned
+//!   before the deadline, and the holder of the [`super::Claim`] checks the deadline again right
+//!   before it sends.
 
 use bytes::Bytes;
 
@@ -21,17 +20,17 @@
 use crate::clock::Instant;
 use crate::store::{Backoff, Call, Machine, Reply, Step, Value};
 
-/// What came of claiming.
+/// The result of an attempt to acquire a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// This process may run the request.
     Claimed(Claim),
-    /// The sender gets this instead.
+    /// The key is already claimed; the sender gets this verdict.
     Taken(Verdict),
-    /// The store was out until the deadline; nothing was sent.
+    /// The store was unavailable until the deadline; nothing was sent.
     StoreUnavailable {
-        /// Whether a record of ours may stand all the same, or appear yet: it
-        /// should be settled as not run, so that the sender may try again.
+        /// Whether a record of this attempt may exist or still appear. If so, the caller should
+        /// settle it as not run, so that the sender may try again.
         may_be_held: bool,
     },
 }
@@ -49,22 +48,25 @@
     Done(Outcome),
 }
 
-/// The protocol.
+/// The state machine of the protocol.
 #[derive(Clone, Debug)]
 pub struct Claiming {
     name: Name,
     record: Record,
     lease: Option<u64>,
     phase: Phase,
-    at_least: u64,
-    lost: bool,
+    /// Lowest version of a read that is not stale; 0 while no conflict has returned a version.
+    min_version: u64,
+    /// Whether the answer to a swap was lost.
+    is_swap_lost: bool,
+    /// End of the current pause.
     wait: Option<Instant>,
     backoff: Backoff,
 }
 
 impl Claiming {
-    /// Prepares to take `name` for a run that ends by `deadline` on the wall
-    /// clock; `nonce` differs for every attempt to claim.
+    /// Creates the protocol that claims `name` for a request that ends by `deadline` on the wall
+    /// clock; `nonce` must differ for every attempt.
     #[must_use]
     pub fn new(name: Name, nonce: u64, deadline: Instant, lease: Option<u64>) -> Self {
         let record = Record {
@@ -78,13 +80,14 @@
             record,
             lease,
             phase: Phase::Swap { expected: 0 },
-            at_least: 0,
-            lost: false,
+            min_version: 0,
+            is_swap_lost: false,
             wait: None,
             backoff: Backoff::new(nonce),
         }
     }
 
+    /// Returns the final phase of a claim whose record has `version`.
     fn held(&self, version: u64) -> Phase {
         Phase::Done(Outcome::Claimed(Claim {
             key: self.name.key.clone(),
@@ -95,18 +98,18 @@
     }
 
     fn read(&mut self, now: Instant, value: Option<Value>) {
-        let Some(value) = value.filter(|value| value.version >= self.at_least) else {
-            // Absent, or an old read. A swap tells them apart; after a
-            // conflict it waits first, since it would only meet another.
-            if self.at_least > 0 {
-                self.at_least = 0;
+        let Some(value) = value.filter(|value| value.version >= self.min_version) else {
+            // The record is absent or the read is stale; a swap distinguishes the two. After a
+            // conflict, it waits first, since the swap would only conflict again.
+            if self.min_version > 0 {
+                self.min_version = 0;
                 self.pause(now);
             }
             self.phase = Phase::Swap { expected: 0 };
             return;
         };
         let Some(decoded) = codec::decode(&value.bytes) else {
-            // Never run what cannot be read: it may have run.
+            // A claim that cannot be decoded may have run, so it must not run again.
             self.phase = Phase::Done(Outcome::Taken(Verdict::Unknown));
             return;
         };
@@ -115,9 +118,9 @@
             self.phase = self.held(value.version);
             return;
         }
-        if self.at_least == 0 {
-            // Read back after a lost answer: perhaps old. A conflict will name
-            // the version that stands.
+        if self.min_version == 0 {
+            // Read back after a lost answer, so possibly stale. The next conflict returns the
+            // current version.
             self.phase = Phase::Swap { expected: 0 };
             return;
         }
@@ -133,6 +136,7 @@
         };
     }
 
+    /// Appends a part of the recorded body; the last one completes the answer.
     fn part(&mut self, now: Instant, value: Option<Value>) {
         let Some(value) = value else {
             return self.pause(now);
@@ -144,14 +148,14 @@
         if body.len() < decoded.parts {
             return;
         }
-        let whole = Bytes::from(body.concat());
-        let bill = decoded.record.billing_id();
+        let body = Bytes::from(body.concat());
+        let billing_id = decoded.record.billing_id();
         if let State::Done(answer) = &decoded.record.state {
             let answer = Answer {
-                body: whole,
+                body,
                 ..answer.clone()
             };
-            let verdict = Verdict::Replay(answer, bill);
+            let verdict = Verdict::Replay(answer, billing_id);
             self.phase = Phase::Done(Outcome::Taken(verdict));
         }
     }
@@ -160,13 +164,14 @@
         self.wait = Some(self.backoff.next(now));
     }
 
-    fn out(&self) -> Outcome {
+    /// Returns the outcome at the deadline.
+    fn expired(&self) -> Outcome {
         if let Phase::Parts { .. } = self.phase {
             return Outcome::Taken(Verdict::Unknown);
         }
         let held = matches!(self.phase, Phase::Done(Outcome::Claimed(_)));
         Outcome::StoreUnavailable {
-            may_be_held: held || self.lost,
+            may_be_held: held || self.is_swap_lost,
         }
     }
 }
@@ -176,11 +181,15 @@
 
     fn step(&mut self, now: Instant) -> Step<Outcome> {
         if let Phase::Done(outcome) = &self.phase {
-            let late = matches!(outcome, Outcome::Claimed(_)) && now >= self.record.deadline;
-            return Step::Done(if late { self.out() } else { outcome.clone() });
+            let is_late = matches!(outcome, Outcome::Claimed(_)) && now >= self.record.deadline;
+            return Step::Done(if is_late {
+                self.expired()
+            } else {
+                outcome.clone()
+            });
         }
         if now >= self.record.deadline {
-            return Step::Done(self.out());
+            return Step::Done(self.expired());
         }
         if let Some(until) = self.wait {
             if now < until {
@@ -207,9 +216,9 @@
         match reply {
             Reply::Swapped(version) => self.phase = self.held(version),
             Reply::Conflict(version) => {
-                self.at_least = version;
-                // Version 0: absent although another version was expected. The
-                // earlier record has vanished with its lease.
+                self.min_version = version;
+                // Version 0: the record is absent although a version was expected, because it has
+                // expired with its lease.
                 if version == 0 {
                     self.phase = Phase::Swap { expected: 0 };
                     self.pause(now);
@@ -227,8 +236,8 @@
             Reply::Refused => self.pause(now),
             Reply::Lost => {
                 if matches!(self.phase, Phase::Swap { .. }) {
-                    self.lost = true;
-                    self.at_least = 0;
+                    self.is_swap_lost = true;
+                    self.min_version = 0;
                     self.phase = Phase::Read;
                 }
                 self.pause(now);
--- a/crates/core/src/claim/codec.rs
+++ b/crates/core/src/claim/codec.rs
@@ -1,7 +1,8 @@
-//! How a record stands in the store: a line of JSON and, behind it, the body
-//! of the answer as it came. A body that would push the value over what the
-//! store holds stands in parts under keys of their own, written before the
-//! record that counts them: it is never cut.
+//! Encoding of records in the store.
+//!
+//! A value is a line of JSON followed by the unmodified body of the answer. A body that would
+//! exceed the size limit of a value is never truncated: it is split into parts under keys of their
+//! own, which are written before the record that holds their number.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -9,10 +10,10 @@
 use super::{Answer, Record, State};
 use crate::store::LARGEST_VALUE;
 
-/// Bytes of the largest part; the rest is left for the record's own line.
-pub const PART: usize = LARGEST_VALUE - (64 << 10);
+/// Maximum size of a part in bytes; the remainder of a value is left for the line of the record.
+pub const MAX_PART_BYTES: usize = LARGEST_VALUE - (64 << 10);
 
-/// The record's line.
+/// The line of JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Head {
     record: Record,
@@ -20,11 +21,11 @@
     parts: usize,
 }
 
-/// A record whose body may still have to be fetched.
+/// A decoded record, whose body may still have to be fetched.
 #[derive(Clone, Debug)]
 pub struct Decoded {
     pub record: Record,
-    /// Parts that the body stands in, 0 when it is at hand.
+    /// Number of parts of the body; 0 if it follows the line.
     pub parts: usize,
 }
 
@@ -35,13 +36,15 @@
     }
 }
 
-/// Returns the parts that a record's body must stand in.
+/// Returns the parts into which the body of a record is split; empty if it is not split.
 pub fn parts(record: &Record) -> Vec<Bytes> {
     let body = body(record);
-    if body.len() <= PART {
+    if body.len() <= MAX_PART_BYTES {
         return Vec::new();
     }
-    body.chunks(PART).map(Bytes::copy_from_slice).collect()
+    body.chunks(MAX_PART_BYTES)
+        .map(Bytes::copy_from_slice)
+        .collect()
 }
 
 /// Returns the key of a part.
@@ -49,7 +52,7 @@
     format!("{key}/part/{:016x}/{index}", record.nonce)
 }
 
-/// Returns the value of a record.
+/// Encodes a record as a value of the store.
 pub fn encode(record: &Record) -> Bytes {
     let parts = parts(record).len();
     let head = Head {
@@ -64,7 +67,7 @@
     Bytes::from(bytes)
 }
 
-/// Reads a record; none when it is malformed.
+/// Decodes a value of the store; `None` if it is malformed.
 pub fn decode(bytes: &Bytes) -> Option<Decoded> {
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let head: Head = serde_json::from_slice(&bytes[..end]).ok()?;
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -1,19 +1,19 @@
-//! Claims of non-idempotent requests: each runs at most once.
+//! Claims on idempotency keys, so that a non-idempotent request runs at most once.
 //!
-//! A claim is created in the store, if absent, before a byte of the request
-//! leaves for a backend server. Whoever creates it may run the request; every
-//! other sender of the same key gets what the record says.
+//! A claim is created in the store, if absent, before any byte of the request is sent to a backend
+//! server. The sender that creates it may run the request; every other sender of the same key gets
+//! the result that the record holds.
 //!
-//! What goes wrong without it: a caller loses the answer to a booking, sends
-//! it again through another instance, and two sitters stand at one door.
+//! Without claims, a caller that loses the answer to a booking and sends the request again through
+//! another instance books twice.
 //!
-//! - [`Claiming`] takes a claim, or learns what became of it.
-//! - [`Recording`] records how a claimed request ended.
-//! - [`Record`] is what the store holds; its states only move along
-//!   [`Record::transition`], which is asserted.
+//! - [`Claiming`] acquires a claim or returns the state of the one that exists.
+//! - [`Recording`] records the end of a claimed request.
+//! - [`Record`] is the value in the store. Its state changes only by [`Record::transition`], which
+//!   asserts that the change is allowed.
 //!
-//! A record vanishes with a lease after [`RETENTION_MS`], so that the store
-//! does not fill. A key that is used again after that is a new request.
+//! A record expires with its lease after [`RETENTION_MS`], so that the store does not fill up. A
+//! request that reuses the key later counts as a new one.
 
 mod claiming;
 mod codec;
@@ -27,11 +27,11 @@
 
 use crate::clock::Instant;
 
-/// Milliseconds for which a claim is kept at least: a day, so that a caller
-/// whose night job failed may send it again in the morning.
+/// Minimum time for which a claim is kept: a day, so that the requests of a nightly job that failed
+/// can be sent again in the morning.
 pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
-/// Names one claim.
+/// Identity of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Name {
     /// Key in the store.
@@ -40,54 +40,55 @@
     pub digest: String,
 }
 
-/// What the store holds of a claim.
+/// The value of a claim in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Digest of the request; another request under the same key is refused.
+    /// Digest of the request; a different request with the same key is refused.
     pub digest: String,
-    /// Nonce of the claim's taker, read back after an ambiguous answer of the
-    /// store.
+    /// Nonce of the attempt that acquired the claim; it identifies that attempt when the record is
+    /// read back after the answer of the store was lost.
     pub nonce: u64,
-    /// Wall-clock time after which a claim that still runs counts as unknown.
+    /// Wall-clock time after which a claim that is still running counts as unknown.
     pub deadline: Instant,
-    /// How far the request is.
+    /// State of the request.
     pub state: State,
 }
 
-/// How far a claimed request is.
+/// The state of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Claimed; perhaps sent.
+    /// Claimed, and possibly sent.
     Running,
     /// Answered.
     Done(Answer),
-    /// Sent, and the answer was lost.
+    /// Sent, but the answer was lost.
     Unknown,
-    /// Surely not sent; the key may be claimed again.
+    /// Certainly not sent; the key may be claimed again.
     NotRun,
 }
 
-/// An answer that is recorded.
+/// A recorded answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Content type, when the service named one.
+    /// Content type, if the service set one.
     #[serde(default)]
     pub content_type: Option<String>,
-    /// Body; it stands behind the record or, when it is large, in parts.
+    /// Body; it is stored behind the record or, if it is large, in parts.
     #[serde(skip)]
     pub body: Bytes,
 }
 
 impl Record {
-    /// Returns the record with another state.
+    /// Returns the record with the new state.
     ///
     /// # Panics
     ///
-    /// When the move could let a request run twice: only a claim that surely
-    /// was not sent may run again, and an end is never taken back.
+    /// When the change could let a request run twice. Only a running claim may change, since a
+    /// recorded end is final; a request that was certainly not sent may run again under a new
+    /// record.
     #[must_use]
     pub fn transition(&self, state: State) -> Self {
         let allowed = matches!(
@@ -99,7 +100,7 @@
         );
         assert!(
             allowed,
-            "a claim would move from {:?} to {state:?}",
+            "a claim would change from {:?} to {state:?}",
             self.state
         );
         Self {
@@ -108,43 +109,43 @@
         }
     }
 
-    /// Returns the identity under which the request is billed: the same one
-    /// for every instance that hands on its recorded answer.
+    /// Returns the identity under which the request is billed, which is the same on every instance
+    /// that replays the recorded answer.
     #[must_use]
     pub fn billing_id(&self) -> String {
         format!("claim-{:016x}-{}", self.nonce, self.digest)
     }
 }
 
-/// A claim that this process holds.
+/// A claim held by this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Key in the store.
     pub key: String,
-    /// Version of its record.
+    /// Version of the record in the store.
     pub version: u64,
-    /// Its record.
+    /// Record.
     pub record: Record,
-    /// Lease with which it vanishes.
+    /// Lease with which the record expires.
     pub lease: Option<u64>,
 }
 
-/// What to tell a sender whose key is already claimed.
+/// The result for a sender whose key is already claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The recorded answer, with the identity under which it is billed.
     Replay(Answer, String),
-    /// Another sender's run has not ended.
+    /// The request of another sender is still running.
     StillRunning,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The key was used with another request.
+    /// The key was used with a different request.
     Mismatch,
-    /// The earlier claim was surely not sent; it may be claimed again by a swap.
+    /// The request was certainly not sent; the key may be claimed again by a swap.
     Reclaim,
 }
 
-/// Decides what a sender of a request `digest` gets from an existing record.
+/// Returns the verdict of an existing record for a sender of the request with `digest`.
 #[must_use]
 pub fn verdict_for(record: &Record, digest: &str, now: Instant) -> Verdict {
     if record.digest != digest {
--- a/crates/core/src/claim/recording.rs
+++ b/crates/core/src/claim/recording.rs
@@ -1,16 +1,14 @@
-//! Recording how a claimed request ended.
+//! The protocol that records the end of a claimed request.
 //!
-//! The record moves from running to its end by a swap that names the version
-//! of the claim. Nobody else changes a running claim, so a conflict means that
-//! an earlier try of ours took effect and its answer was lost. While the store
-//! is out the record stays running and counts as unknown after its deadline,
-//! which is true.
+//! The record changes from running to its end by a swap that expects the version of the claim.
+//! Only the holder changes a running claim, so a conflict means that an earlier swap of this
+//! protocol took effect and its answer was lost. While the store is unavailable, the record stays
+//! running; after its deadline it counts as unknown, which is correct.
 //!
-//! A claim that was given up without an answer from the store is settled as
-//! not run ([`Recording::with_unconfirmed`]), so that the sender may try again. Its
-//! swap may still be under way. Settling therefore never waits to see it: it
-//! writes "not run" over whatever that swap expects, after which it can only
-//! meet a conflict.
+//! A claim that was abandoned without an answer from the store is settled as not run
+//! ([`Recording::with_unconfirmed`]), so that the sender may try again. The swap of that claim may
+//! still be in transit. Settling therefore does not wait for it to arrive: it writes "not run" over
+//! the version that the swap expects, after which the swap can only get a conflict.
 
 use bytes::Bytes;
 
@@ -19,18 +17,21 @@
 use crate::clock::Instant;
 use crate::store::{Backoff, Call, Machine, Reply, Step, Value};
 
-/// The protocol; its output says whether the end is surely recorded.
+/// The state machine of the protocol; its output is whether the end is certainly recorded.
 #[derive(Clone, Debug)]
 pub struct Recording {
     key: String,
     lease: Option<u64>,
     record: Record,
-    /// Version that the record's swap expects; none while it has to be read.
+    /// Version that the swap of the record expects; `None` while the record has to be read.
     version: Option<u64>,
-    /// Whether the claim is being settled, and not known to stand.
+    /// Whether the protocol settles a claim that may not exist.
     settles: bool,
-    at_least: u64,
+    /// Lowest version of a read that is not stale.
+    min_version: u64,
+    /// Parts of the body.
     parts: Vec<Bytes>,
+    /// Number of the parts that are written.
     written: usize,
     done: bool,
     deadline: Instant,
@@ -39,7 +40,7 @@
 }
 
 impl Recording {
-    /// Prepares to record `state`, trying until `deadline`.
+    /// Creates the protocol that records `state` and retries until `deadline`.
     #[must_use]
     pub fn new(claim: &Claim, state: State, deadline: Instant) -> Self {
         let record = claim.record.transition(state);
@@ -49,7 +50,7 @@
             parts: codec::parts(&record),
             version: Some(claim.version),
             settles: false,
-            at_least: 0,
+            min_version: 0,
             written: 0,
             done: false,
             deadline,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Prepares to settle, as not run, a claim whose taker `nonce` gave up
-    /// without sending and without knowing whether it stands.
+    /// Creates the protocol that settles a claim as not run: the attempt `nonce` was abandoned
+    /// without sending the request and without confirmation that its claim exists.
     #[must_use]
     pub fn with_unconfirmed(name: Name, nonce: u64, lease: Option<u64>, deadline: Instant) -> Self {
         let record = Record {
@@ -73,10 +74,10 @@
             key: name.key,
             lease,
             parts: Vec::new(),
-            // The conflict names the version that stands, if one does.
+            // If a record exists, the conflict returns its version.
             version: Some(0),
             settles: true,
-            at_least: 0,
+            min_version: 0,
             written: 0,
             done: false,
             deadline,
@@ -90,27 +91,29 @@
         self.wait = Some(self.backoff.next(now));
     }
 
-    /// Looks at the record while settling: where ours may stand or yet arrive,
-    /// it is written over; where it cannot, nothing is left to do.
+    /// Handles a read of the record while settling.
+    ///
+    /// Where the record of the abandoned attempt exists or may still arrive, it is overwritten.
+    /// Otherwise the protocol is done.
     fn settle(&mut self, now: Instant, value: Option<&Value>) {
         let version = value.map_or(0, |value| value.version);
-        if version < self.at_least {
+        if version < self.min_version {
             return self.pause(now);
         }
         let found = value.and_then(|value| codec::decode(&value.bytes));
-        let is_over = match (value, found) {
+        let is_settled = match (value, found) {
             (None, _) => false,
             (Some(_), None) => true,
             (Some(_), Some(found)) => {
-                let ours = found.record.nonce == self.record.nonce;
+                let is_ours = found.record.nonce == self.record.nonce;
                 match found.record.state {
-                    State::NotRun => ours,
-                    State::Running => !ours,
+                    State::NotRun => is_ours,
+                    State::Running => !is_ours,
                     State::Done(_) | State::Unknown => true,
                 }
             }
         };
-        if is_over {
+        if is_settled {
             self.done = true;
         } else {
             self.version = Some(version);
@@ -153,7 +156,7 @@
     fn take(&mut self, now: Instant, reply: Reply) {
         match reply {
             Reply::Conflict(version) if self.settles => {
-                self.at_least = version;
+                self.min_version = version;
                 self.version = None;
             }
             Reply::Swapped(_) | Reply::Conflict(_) => {
--- a/crates/standin/tests/all/claim.rs
+++ b/crates/standin/tests/all/claim.rs
@@ -1,5 +1,5 @@
-//! Claims: no schedule of lost, late and old answers, kills, pauses and
-//! resends runs a request twice or makes "not run" a lie.
+//! Simulation tests of claims: no schedule of lost, late and stale answers of the store, killed and
+//! paused processes and resent requests runs a request twice or reports "not run" for one that ran.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,17 @@
 
 use crate::run::{Dice, schedules};
 
-/// Keys that are in use at a time; the window moves on, so that every schedule
-/// sees many first runs.
+/// Number of keys in use at a time; the window of keys advances, so that every schedule contains
+/// many first runs.
 const KEYS: usize = 4;
-/// Steps after which the window moves by one key.
-const MOVE: u64 = 25;
+/// Number of steps after which the window advances by one key.
+const STEPS_PER_KEY: u64 = 25;
 const SENDERS: usize = 6;
 
-/// One sender's request on some instance, between two of its steps.
+/// The state of a request on an instance, between two steps of its sender.
 enum Phase {
     Claiming(Claiming),
-    /// Checked its deadline; may be paused here, and is killed here.
+    /// The deadline has been checked; the process may be paused or killed here.
     Claimed(Claim),
     Recording(Recording),
 }
@@ -31,25 +31,28 @@
 struct Sender {
     key: usize,
     nonce: u64,
+    /// Step at which it started.
     started: u64,
-    /// Whether its recorded end is final, unlike "not run".
+    /// Whether the request ran, so that its recorded end is final, unlike "not run".
     ran: bool,
     phase: Phase,
     paused_until: Instant,
 }
 
+/// The simulation.
 struct World {
     dice: Dice,
     store: Chaos,
     now: Instant,
     senders: Vec<Sender>,
+    /// Claims to settle after their senders gave up, with their keys.
     backlog: Vec<(usize, Recording)>,
-    /// Answers of the service, per key: its own count of runs.
+    /// Answers of the service by key, one for each run.
     runs: BTreeMap<usize, Vec<Bytes>>,
-    /// Step at which the answer under a key was surely recorded.
+    /// Step at which the end of the request was certainly recorded, by key.
     recorded: BTreeMap<usize, u64>,
-    /// Whether a key may stay unknown for good: an instance was killed or a
-    /// backlog given up while it held the key.
+    /// Keys that may stay unknown permanently: an instance was killed, or its recording gave up,
+    /// while it held the key.
     stuck: BTreeMap<usize, bool>,
     steps: u64,
     counts: BTreeMap<&'static str, u64>,
@@ -83,7 +86,7 @@
     }
 
     fn first_key(&self) -> usize {
-        usize::try_from(self.steps / MOVE).expect("few steps")
+        usize::try_from(self.steps / STEPS_PER_KEY).expect("few steps")
     }
 
     fn step(&mut self) {
@@ -104,7 +107,7 @@
         }
         let index = self.dice.below(self.senders.len());
         if self.dice.chance(0.01) {
-            // Killed: nothing of it is left.
+            // The process is killed and loses all its state.
             let killed = self.senders.swap_remove(index);
             self.stuck.insert(killed.key, true);
             return self.count("kills");
@@ -135,6 +138,7 @@
         self.count("senders");
     }
 
+    /// Makes a step of the first claim in the backlog.
     fn settle(&mut self) {
         let (key, mut machine) = self.backlog.swap_remove(0);
         match machine.step(self.now) {
@@ -169,7 +173,7 @@
                 }
                 Step::Done(Outcome::Taken(verdict)) => {
                     let sender = self.senders.swap_remove(index);
-                    self.told(key, sender.started, verdict);
+                    self.check_verdict(key, sender.started, verdict);
                 }
                 Step::Done(Outcome::StoreUnavailable { may_be_held }) => {
                     self.senders.swap_remove(index);
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Sends the request to the service, whose own count must never be two.
+    /// Sends the request to the service, which must never run it twice.
     fn run(&mut self, index: usize, claim: &Claim) {
         let key = self.senders[index].key;
         let state = if self.now >= claim.record.deadline || self.dice.chance(0.2) {
@@ -230,30 +234,30 @@
         self.senders[index].phase = Phase::Recording(Recording::new(claim, state, until));
     }
 
-    fn told(&mut self, key: usize, started: u64, verdict: Verdict) {
+    /// Checks the verdict that a sender received.
+    fn check_verdict(&mut self, key: usize, started: u64, verdict: Verdict) {
         let has_end = self.recorded.get(&key).is_some_and(|step| *step < started);
-        let no_word = matches!(verdict, Verdict::StillRunning);
+        let is_running = matches!(verdict, Verdict::StillRunning);
         assert!(
-            !has_end || !no_word,
-            "key {key} has ended and is said to run"
+            !has_end || !is_running,
+            "key {key} has ended but is reported as running"
         );
         match verdict {
-            Verdict::Replay(answer, bill) => {
+            Verdict::Replay(answer, billing_id) => {
                 let run = self.runs.get(&key).and_then(|runs| runs.first());
                 assert_eq!(run, Some(&answer.body), "another answer was replayed");
-                assert!(!bill.is_empty());
+                assert!(!billing_id.is_empty());
                 self.count("replays");
             }
             Verdict::Mismatch => self.count("mismatches"),
             Verdict::StillRunning => self.count("still running"),
             Verdict::Unknown => self.count("unknown"),
-            Verdict::Reclaim => panic!("a claim that may be taken over was refused"),
+            Verdict::Reclaim => panic!("a claim that may be acquired was refused"),
         }
     }
 
-    /// Ends all faults and work; then each key has a final word: the recorded
-    /// answer if there is one, and a key that nobody ran and nobody was killed
-    /// over can still be run.
+    /// Ends all faults and work and checks that each key has a final result: the recorded answer if
+    /// there is one. A key whose request neither ran nor may stay unknown can still be run.
     fn finish(&mut self) {
         self.store.down = false;
         self.store.odds = Odds::default();
@@ -276,7 +280,7 @@
         }
         self.now = self.now.plus_millis(100_000);
         for key in 0..self.first_key() + KEYS {
-            let outcome = self.ask(key);
+            let outcome = self.claim(key);
             let ran = self.runs.contains_key(&key);
             let stuck = self.stuck.contains_key(&key);
             match outcome {
@@ -288,12 +292,13 @@
                 }
                 Outcome::Taken(Verdict::Mismatch) => {}
                 Outcome::Claimed(_) => assert!(!ran, "key {key} could run a second time"),
-                other => panic!("key {key} has no final word: {other:?}"),
+                other => panic!("key {key} has no final result: {other:?}"),
             }
         }
     }
 
-    fn ask(&mut self, key: usize) -> Outcome {
+    /// Claims a key without faults and returns the outcome.
+    fn claim(&mut self, key: usize) -> Outcome {
         let deadline = self.now.plus_millis(10_000);
         let mut machine = Claiming::new(name(key, 0), self.dice.number(), deadline, None);
         loop {
@@ -309,10 +314,9 @@
     }
 }
 
-// A coordinator's booking is lost on the way back and sent again, through
-// other instances, while the store loses answers, shows old values and goes
-// down, and instances are killed and paused between any two steps. The sitter
-// would be booked twice; the service's own count must stay at one.
+// The answer to a booking is lost and the request is sent again through other instances, while the
+// store loses answers, returns stale values and goes down, and instances are killed and paused
+// between any two steps. The service must run each request at most once, not book twice.
 #[test]
 fn claim_faults_run_once() {
     schedules("claim", |seed, steps| {
@@ -325,9 +329,8 @@
     });
 }
 
-/// Makes the calls of a machine until it ends; the first read is an old one if
-/// `is_old`.
-fn settle(store: &mut Store, mut machine: Recording, mut is_old: bool) -> bool {
+/// Performs the calls of `machine` until it ends; the first read is stale if `is_stale`.
+fn settle(store: &mut Store, mut machine: Recording, mut is_stale: bool) -> bool {
     let mut now = Instant::from_millis(1);
     loop {
         let call = match machine.step(now) {
@@ -339,8 +342,8 @@
             Step::Call(call) => call,
         };
         let reply = match call {
-            Call::Get { key } if is_old => {
-                is_old = false;
+            Call::Get { key } if is_stale => {
+                is_stale = false;
                 Reply::Value(store.get_old(&key))
             }
             Call::Get { key } => Reply::Value(store.get(&key)),
@@ -359,27 +362,28 @@
     }
 }
 
-/// Returns the swap with which a sender takes over what stands at `key`.
-fn taking(store: &Store, nonce: u64) -> Call {
+/// Returns the swap with which a sender acquires the claim on the key in its current state.
+fn acquiring_swap(store: &Store, nonce: u64) -> Call {
     let now = Instant::from_millis(1);
     let mut machine = Claiming::new(name(0, 0), nonce, now.plus_millis(1_000), None);
     loop {
         let Step::Call(call) = machine.step(now) else {
-            panic!("it only makes calls");
+            panic!("the protocol ended or waits");
         };
         let Call::Swap { expected, .. } = &call else {
             machine.take(now, Reply::Value(store.get("claim/0")));
             continue;
         };
-        let stands = store.get("claim/0").map_or(0, |value| value.version);
-        if *expected == stands {
+        let current = store.get("claim/0").map_or(0, |value| value.version);
+        if *expected == current {
             return call;
         }
-        machine.take(now, Reply::Conflict(stands));
+        machine.take(now, Reply::Conflict(current));
     }
 }
 
-fn make(store: &mut Store, call: Call) -> Result<u64, Refusal> {
+/// Performs a swap.
+fn perform(store: &mut Store, call: Call) -> Result<u64, Refusal> {
     let Call::Swap {
         key,
         expected,
@@ -387,22 +391,21 @@
         ..
     } = call
     else {
-        panic!("a swap");
+        panic!("not a swap");
     };
     store.swap(&key, expected, value, None)
 }
 
-// A booking was not run, and its caller sends it again. The second instance
-// takes it over, gets no answer until the deadline and gives up, while its
-// write is still under way. When that arrives, nobody runs the booking and
-// nobody ever may: the caller is told "unknown" for a day.
+// A booking was not run, and its caller sends it again. The second instance tries to acquire the
+// claim, gets no answer until the deadline and gives up while its swap is still in transit. If that
+// swap took effect later, nobody could run the booking, and its state would be unknown for a day.
 #[rstest::rstest]
 #[case::fresh_read(false)]
-#[case::old_read(true)]
-fn settle_late_takeover_meets_a_conflict(#[case] is_old: bool) {
+#[case::stale_read(true)]
+fn settle_late_takeover_meets_a_conflict(#[case] is_stale: bool) {
     let mut store = Store::new();
-    let first = taking(&store, 1);
-    let version = make(&mut store, first).expect("the first claim");
+    let first = acquiring_swap(&store, 1);
+    let version = perform(&mut store, first).expect("the first claim");
     let running = Claim {
         key: "claim/0".to_owned(),
         version,
@@ -412,12 +415,18 @@
     let until = Instant::from_millis(60_000);
     let ended = Recording::new(&running, State::NotRun, until);
     assert!(settle(&mut store, ended, false));
-    let late = taking(&store, 2);
+    let late = acquiring_swap(&store, 2);
     let given_up = Recording::with_unconfirmed(name(0, 0), 2, None, until);
-    assert!(settle(&mut store, given_up, is_old));
-    assert!(matches!(make(&mut store, late), Err(Refusal::Conflict(_))));
-    let again = taking(&store, 3);
-    assert!(make(&mut store, again).is_ok(), "the key cannot be claimed");
+    assert!(settle(&mut store, given_up, is_stale));
+    assert!(matches!(
+        perform(&mut store, late),
+        Err(Refusal::Conflict(_))
+    ));
+    let again = acquiring_swap(&store, 3);
+    assert!(
+        perform(&mut store, again).is_ok(),
+        "the key cannot be claimed"
+    );
 }
 
 fn claim_record(nonce: u64) -> Record {
