--- a/crates/client/src/limit.rs
+++ b/crates/client/src/limit.rs
@@ -68,7 +68,7 @@
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget
             .get_or_insert_with(|| Budget::new(Rate::FLEET, nodes, now))
-            .share(nodes);
+            .set_node_count(nodes);
     }
 
     /// Waits for a token.
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fescuerack_core::store::{LARGEST_VALUE, Lane};
+use fescuerack_core::store::{Lane, MAX_VALUE_BYTES};
 use fescuerack_wire::{header, kv};
 
 use crate::http::Response;
@@ -210,8 +210,8 @@
         value: Bytes,
         lease: Option<u64>,
     ) -> Result<Swap, Fault> {
-        if value.len() > LARGEST_VALUE {
-            let message = format!("{key}: {} bytes, over {LARGEST_VALUE}", value.len());
+        if value.len() > MAX_VALUE_BYTES {
+            let message = format!("{key}: {} bytes, over {MAX_VALUE_BYTES}", value.len());
             return Err(Fault::Refused {
                 status: 413,
                 message,
--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -9,7 +9,7 @@
 use super::plan::{self, Basis, CONFIDENCE, Candidate, Limits, Plan, Steps};
 use crate::clock::Instant;
 use crate::rollout::Board;
-use crate::session::{self, Place};
+use crate::session::{self, Placement};
 
 /// What the caller asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
     /// Plans, to be tried in this order when a pool has run out. Never empty.
     pub plans: Vec<Plan>,
     /// The session's version, and whether it starts, keeps it or moves.
-    pub place: Place,
+    pub place: Placement,
 }
 
 /// Chooses the plans of a request.
@@ -101,7 +101,7 @@
         plans = chooser.fresh()?;
         Ok(plans[0].first())
     })?;
-    if let Place::Keep(version) = place {
+    if let Placement::Keep(version) = place {
         plans = chooser.kept(version);
     }
     chooser.check(&plans);
@@ -152,7 +152,7 @@
         if let Some(share) = self.world.board.share(self.world.now, model) {
             let name = self.world.names.models.name(model);
             let position = session::position(name, self.request.session);
-            let start = session::start(share, position);
+            let start = session::starting_version(share, position);
             // Those who may not use the candidate stay on the current version.
             return Some(if self.is_allowed(start) {
                 start
--- a/crates/core/src/claim/codec.rs
+++ b/crates/core/src/claim/codec.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Answer, Record, State};
-use crate::store::LARGEST_VALUE;
+use crate::store::MAX_VALUE_BYTES;
 
 /// Bytes of the largest part; the rest is left for the record's own line.
-pub const PART: usize = LARGEST_VALUE - (64 << 10);
+pub const PART: usize = MAX_VALUE_BYTES - (64 << 10);
 
 /// The record's line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/core/src/force/apply/next.rs
+++ b/crates/core/src/force/apply/next.rs
@@ -7,7 +7,7 @@
 
 use super::super::{Change, File, LONGEST_REASON, Manifest};
 use super::{Applied, Apply, Phase, encode};
-use crate::store::LARGEST_VALUE;
+use crate::store::MAX_VALUE_BYTES;
 
 impl Apply {
     pub(super) fn oversize(&self) -> Option<Problem> {
@@ -15,10 +15,10 @@
         let (name, content) = files.find(|(_, content)| {
             content
                 .as_ref()
-                .is_some_and(|content| content.len() > LARGEST_VALUE)
+                .is_some_and(|content| content.len() > MAX_VALUE_BYTES)
         })?;
         let size = content.as_ref().map_or(0, Bytes::len);
-        let message = format!("{size} bytes; a file holds at most {LARGEST_VALUE}, split it");
+        let message = format!("{size} bytes; a file holds at most {MAX_VALUE_BYTES}, split it");
         Some(Problem::new(name, 0, message))
     }
 
@@ -96,8 +96,8 @@
         let merged = Merged::new(&merged)?;
         Catalog::new(self.next.revision, &merged, &mut Names::new())?;
         let size = encode(&self.next).len();
-        if size > LARGEST_VALUE {
-            let message = format!("the manifest has {size} bytes, over {LARGEST_VALUE}");
+        if size > MAX_VALUE_BYTES {
+            let message = format!("the manifest has {size} bytes, over {MAX_VALUE_BYTES}");
             return Err(vec![Problem::new("", 0, message)]);
         }
         Ok(())
--- a/crates/core/src/routed/affinity.rs
+++ b/crates/core/src/routed/affinity.rs
@@ -55,13 +55,13 @@
     /// Own work on it, in requests of usual size.
     pub load: f64,
     /// Requests that it runs at once.
-    pub places: u32,
+    pub slots: u32,
     /// Whether it is in this node's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether it counts as healthy.
     pub is_healthy: bool,
     /// Whether it is set aside for requests of this sort, see [`suits`].
-    pub is_suited: bool,
+    pub is_in_pool: bool,
 }
 
 /// Returns the index of the server to take; `part` is the hash of the prompt part (and
@@ -77,9 +77,9 @@
 
 /// The same for a part that [`stays_near`].
 #[must_use]
-pub fn choose_near(candidates: &[Candidate], part: u64, draw: u64) -> Option<usize> {
+pub fn choose_in_zone(candidates: &[Candidate], part: u64, draw: u64) -> Option<usize> {
     let order = by_hash(candidates, &usable(candidates), part);
-    let near = order.iter().find(|&&index| candidates[index].is_near);
+    let near = order.iter().find(|&&index| candidates[index].is_same_zone);
     let is_free = |index: &&usize| candidates[**index].load <= mean_load(candidates, &order);
     near.filter(is_free)
         .copied()
@@ -88,7 +88,7 @@
 
 /// Whether a prompt with `shared` tokens that others share too goes to a home in its own zone.
 #[must_use]
-pub const fn stays_near(shared: u32) -> bool {
+pub const fn prefers_local_zone(shared: u32) -> bool {
     shared < LONG_TOKENS
 }
 
@@ -113,7 +113,7 @@
 /// The suited ones of `usable`, or all of them if there are none, in the order in which they are
 /// homes of the part.
 fn by_hash(candidates: &[Candidate], usable: &[usize], part: u64) -> Vec<usize> {
-    let suited = |index: &usize| candidates[*index].is_suited;
+    let suited = |index: &usize| candidates[*index].is_in_pool;
     let mut order: Vec<usize> = usable.iter().copied().filter(suited).collect();
     if order.is_empty() {
         order = usable.to_vec();
@@ -132,7 +132,7 @@
 /// (`is_small`) or for the others. All nodes order servers alike, by the hash of
 /// their identity.
 #[must_use]
-pub fn suits(rank: usize, servers: usize, is_small: bool) -> bool {
+pub fn matches_pool(rank: usize, servers: usize, is_small: bool) -> bool {
     let count = |number: usize| f64::from(u32::try_from(number).unwrap_or(u32::MAX));
     let for_small = (count(servers) * SMALL).round().max(1.0);
     let is_for_small = count(rank) < for_small;
@@ -142,8 +142,8 @@
 fn by_load(candidates: &[Candidate], usable: &[usize], draw: u64) -> Option<usize> {
     let score = |index: usize| {
         let candidate = &candidates[index];
-        let far = if candidate.is_near { 0.0 } else { ZONE };
-        candidate.load / f64::from(candidate.places.max(1)) + far
+        let far = if candidate.is_same_zone { 0.0 } else { ZONE };
+        candidate.load / f64::from(candidate.slots.max(1)) + far
     };
     usable
         .iter()
--- a/crates/core/src/routed/canary.rs
+++ b/crates/core/src/routed/canary.rs
@@ -6,7 +6,7 @@
 //! exposes callers to it; too little proves nothing in time.
 //!
 //! - Up to [`LOADED`] of its time the new version gets [`SAMPLE`] of the allowed exposure, on
-//!   so few of its servers ([`Trial::servers`]) that each is somewhat busier than the old
+//!   so few of its servers ([`Canary::servers`]) that each is somewhat busier than the old
 //!   ones. Which sessions go there follows from a hash, so nodes agree without a message
 //!   and a session stays.
 //! - Then it gets most of the rest of the exposure, on servers that are `PRESSED` times
@@ -159,7 +159,7 @@
 
 /// One roll-out as a node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trial {
+pub struct Canary {
     /// When it was ordered.
     pub ordered: Instant,
     /// When it must be decided.
@@ -169,7 +169,7 @@
     pub exposure: f64,
 }
 
-impl Trial {
+impl Canary {
     /// Stage at `now`.
     #[must_use]
     pub fn stage(&self, now: Instant) -> Stage {
@@ -197,7 +197,7 @@
 
     /// Number of its `count` servers that the new version's share goes to.
     #[must_use]
-    pub fn servers(&self, stage: Stage, count: usize) -> usize {
+    pub fn server_count(&self, stage: Stage, count: usize) -> usize {
         let busier = match stage {
             Stage::Waiting | Stage::Sampled => 1.0,
             Stage::Loaded => PRESSED,
@@ -219,7 +219,7 @@
 
     /// Judges what all nodes have seen.
     #[must_use]
-    pub fn judge(&self, now: Instant, evidence: &Evidence) -> Verdict {
+    pub fn evaluate(&self, now: Instant, evidence: &Evidence) -> Verdict {
         let mut total = sum(&evidence.counts);
         if evidence.counts.values().any(is_worse) || is_worse(&total) {
             return Verdict::Reject;
@@ -231,7 +231,7 @@
         }
         let is_owing = total.new.waiting > OWED * total.new.loaded;
         let has_answered = total.new.all >= ENOUGH && !is_owing;
-        if self.is_proved(now) && has_answered {
+        if self.is_completion_allowed(now) && has_answered {
             return Verdict::Complete;
         }
         if self.passed(now) >= LAST {
@@ -242,7 +242,7 @@
 
     /// Whether enough of the time has passed for a version to be completed.
     #[must_use]
-    pub fn is_proved(&self, now: Instant) -> bool {
+    pub fn is_completion_allowed(&self, now: Instant) -> bool {
         self.passed(now) >= PROVED
     }
 
--- a/crates/core/src/routed/crash.rs
+++ b/crates/core/src/routed/crash.rs
@@ -3,7 +3,7 @@
 //! The pattern: one request ends its server, is sent again to the next and ends
 //! that too; its caller repeats it under a new identifier at another node. A
 //! request is known by the digest of caller, path and body. Each time a
-//! connection breaks under it, a crash is counted; from [`MOST`] crashes, here or
+//! connection breaks under it, a crash is counted; from [`CRASH_LIMIT`] crashes, here or
 //! at peers, it is refused for [`MEMORY_MS`].
 //!
 //! Many callers ask the same with an empty body, and one server that crashes breaks all that
@@ -16,7 +16,7 @@
 use crate::clock::Instant;
 
 /// Crashes from which a request is refused.
-pub const MOST: u32 = 3;
+pub const CRASH_LIMIT: u32 = 3;
 /// Milliseconds for which a crash is remembered.
 pub const MEMORY_MS: u64 = 60_000;
 /// Digests that are remembered at most.
@@ -39,7 +39,7 @@
 
 impl Suspects {
     /// Counts a crash that was seen here.
-    pub fn crashed(&mut self, now: Instant, digest: u64) {
+    pub fn record_crash(&mut self, now: Instant, digest: u64) {
         if self.is_sound(now, digest) {
             return;
         }
@@ -48,13 +48,13 @@
     }
 
     /// Takes in what a peer has counted itself.
-    pub fn hear(&mut self, now: Instant, digest: u64, crashes: u32) {
+    pub fn receive(&mut self, now: Instant, digest: u64, crashes: u32) {
         let count = self.entry(now, digest);
         count.peers = count.peers.max(crashes);
     }
 
     /// Clears a request that ended well.
-    pub fn ended_well(&mut self, now: Instant, digest: u64) {
+    pub fn record_success(&mut self, now: Instant, digest: u64) {
         self.counts.remove(&digest);
         if self.well.len() >= REMEMBERED {
             self.well.retain(|_, until| now < *until);
@@ -72,17 +72,17 @@
     /// Whether the request must not run.
     #[must_use]
     pub fn is_refused(&self, now: Instant, digest: u64) -> bool {
-        let is_guilty = |count: &Count| now < count.until && count.own + count.peers >= MOST;
+        let is_guilty = |count: &Count| now < count.until && count.own + count.peers >= CRASH_LIMIT;
         !self.is_sound(now, digest) && self.counts.get(&digest).is_some_and(is_guilty)
     }
 
     /// What was counted here, for peers: digests that crashed a server twice or
     /// more, since single crashes are the servers' own doing most of the time.
-    pub fn own(&self) -> impl Iterator<Item = (u64, u32)> + '_ {
+    pub fn local_crashes(&self) -> impl Iterator<Item = (u64, u32)> + '_ {
         let told = self
             .counts
             .iter()
-            .filter(|(_, count)| count.own >= MOST - 1);
+            .filter(|(_, count)| count.own >= CRASH_LIMIT - 1);
         told.map(|(&digest, count)| (digest, count.own))
     }
 
--- a/crates/core/src/routed/health.rs
+++ b/crates/core/src/routed/health.rs
@@ -6,7 +6,7 @@
 //! of the traffic, and a non-idempotent request that meets one is lost.
 //!
 //! Failures are weighed by recency: a mean of outcomes that halves with every
-//! [`HALF`] outcomes. A server whose mean is over a half is left out, for a time that
+//! [`HALF_LIFE_OUTCOMES`] outcomes. A server whose mean is over a half is left out, for a time that
 //! doubles while its first attempts after a return fail again. How many may be
 //! left out is for [`affinity`](super::affinity) to say: it prefers healthy servers, and
 //! falls back on all.
@@ -18,7 +18,7 @@
 /// about once in 300 outcomes.
 const NEWEST: f64 = 0.25;
 /// Outcomes after which an outcome counts for a half.
-pub const HALF: f64 = 2.4;
+pub const HALF_LIFE_OUTCOMES: f64 = 2.4;
 /// Mean of failures from which a server is left out.
 const FAILING: f64 = 0.55;
 /// Milliseconds for which a server is left out at first: about the time in which
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered.
-    Good,
+    Succeeded,
     /// Failed, or broke off.
     Failed,
     /// Could not be reached: left out at once.
@@ -51,7 +51,7 @@
 impl Health {
     /// Whether the server may be chosen.
     #[must_use]
-    pub fn is_in(&self, now: Instant) -> bool {
+    pub fn is_available(&self, now: Instant) -> bool {
         self.out_until.is_none_or(|until| now >= until)
     }
 
@@ -63,16 +63,20 @@
 
     /// Takes in an outcome; returns whether the server is left out because of it.
     pub fn observe(&mut self, now: Instant, outcome: Outcome) -> bool {
-        let failure = if outcome == Outcome::Good { 0.0 } else { 1.0 };
+        let failure = if outcome == Outcome::Succeeded {
+            0.0
+        } else {
+            1.0
+        };
         self.failures += NEWEST * (failure - self.failures);
-        if outcome == Outcome::Good {
+        if outcome == Outcome::Succeeded {
             if self.failures < RETURN / 2.0 {
                 self.out_ms = 0;
             }
             return false;
         }
         let out = outcome == Outcome::Unreached || self.failures >= FAILING;
-        if out && self.is_in(now) {
+        if out && self.is_available(now) {
             self.out_ms = (self.out_ms * 2).clamp(FIRST_MS, LONGEST_MS);
             self.out_until = Some(now.plus_millis(self.out_ms));
             self.failures = RETURN;
--- a/crates/core/src/routed/load.rs
+++ b/crates/core/src/routed/load.rs
@@ -3,11 +3,11 @@
 //! The pattern: each of many nodes sees a small part of the traffic. Balancing its
 //! own part well, it still sends a long prompt to a server on which three others
 //! have just put theirs, and all four wait. Servers' own reports are late and cost a
-//! call each, so nodes tell each other instead: every [`TELL_MS`] each tells one of
+//! call each, so nodes tell each other instead: every [`REPORT_INTERVAL_MS`] each tells one of
 //! them, the hub of its group, the work that it has on each server, and hears the
 //! sum of the others'. Messages grow with the number of nodes, not its square.
 //!
-//! Up to [`GROUP`] nodes form one group. Else a group is an availability zone, or a part of a large
+//! Up to [`MAX_GROUP_NODES`] nodes form one group. Else a group is an availability zone, or a part of a large
 //! one, as bytes between zones cost. Hubs tell one of them, the top, the sum of their groups and
 //! hear that of the other groups, so every node knows the work of all, at most two tellings old.
 //! With sums of one group that stood for the whole, a prompt of a node in the group counted four
@@ -24,9 +24,9 @@
 use crate::clock::Instant;
 
 /// Milliseconds between two tellings: about the time that a long prompt is read in.
-pub const TELL_MS: u64 = 250;
+pub const REPORT_INTERVAL_MS: u64 = 250;
 /// Nodes that share a hub at most. A hub answers four messages a second from each.
-pub const GROUP: usize = 24;
+pub const MAX_GROUP_NODES: usize = 24;
 /// Milliseconds after which what a node told is forgotten.
 const FORGET_MS: u64 = 1_200;
 /// Milliseconds in which what was heard counts for half: prompts are read and done.
@@ -37,7 +37,7 @@
 
 /// Work of others as this node knows it.
 #[derive(Clone, Debug, Default)]
-pub struct Others {
+pub struct PeerLoad {
     sums: HashMap<u32, f64>,
     heard: Option<Instant>,
 }
@@ -65,7 +65,13 @@
 #[must_use]
 pub fn duty<'a>(own: &str, nodes: &[Instance<'a>]) -> Duty<'a> {
     // Few nodes form one group: what they hear is a telling fresher.
-    let place = |zone: &'a str| if nodes.len() <= GROUP { "" } else { zone };
+    let place = |zone: &'a str| {
+        if nodes.len() <= MAX_GROUP_NODES {
+            ""
+        } else {
+            zone
+        }
+    };
     let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
     for member in nodes {
         *sizes.entry(place(member.zone)).or_default() += 1;
@@ -74,7 +80,7 @@
     let mut group_of_own = None;
     for member in nodes {
         let zone = place(member.zone);
-        let parts = u64::try_from(sizes[zone].div_ceil(GROUP)).unwrap_or(1);
+        let parts = u64::try_from(sizes[zone].div_ceil(MAX_GROUP_NODES)).unwrap_or(1);
         let group = (zone, affinity::hash(member.name.as_bytes()) % parts);
         if member.name == own {
             group_of_own = Some(group);
@@ -100,7 +106,7 @@
 
 /// Returns the short name of a server in tables.
 #[must_use]
-pub const fn short(identity: u64) -> u32 {
+pub const fn short_id(identity: u64) -> u32 {
     (identity >> 32) as u32
 }
 
@@ -117,7 +123,7 @@
 
 impl Hub {
     /// Takes in what `node` tells and answers with the sum of all others.
-    pub fn tell(&mut self, now: Instant, node: &str, table: Table) -> Table {
+    pub fn report(&mut self, now: Instant, node: &str, table: Table) -> Table {
         self.forget(now);
         self.told.insert(node.to_owned(), (now, table));
         let others = self.told.iter().filter(|(other, _)| *other != node);
@@ -126,7 +132,7 @@
     }
 
     /// Sum of the group, for the top.
-    pub fn group(&mut self, now: Instant) -> Table {
+    pub fn group_sum(&mut self, now: Instant) -> Table {
         self.forget(now);
         sum(now, self.told.values())
     }
@@ -138,7 +144,7 @@
     }
 
     /// Takes in the sum of the other groups.
-    pub fn hear(&mut self, now: Instant, elsewhere: Table) {
+    pub fn receive(&mut self, now: Instant, elsewhere: Table) {
         self.elsewhere = Some((now, elsewhere));
     }
 }
@@ -157,9 +163,9 @@
     sums.into_iter().collect()
 }
 
-impl Others {
+impl PeerLoad {
     /// Takes in the answer of a hub.
-    pub fn hear(&mut self, now: Instant, table: &Table) {
+    pub fn receive(&mut self, now: Instant, table: &Table) {
         self.heard = Some(now);
         self.sums = table
             .iter()
@@ -170,7 +176,7 @@
     /// Work of others on a server.
     #[must_use]
     pub fn work(&self, now: Instant, identity: u64) -> f64 {
-        let (Some(heard), Some(sum)) = (self.heard, self.sums.get(&short(identity))) else {
+        let (Some(heard), Some(sum)) = (self.heard, self.sums.get(&short_id(identity))) else {
             return 0.0;
         };
         let age_ms = now.since(heard).as_secs_f64() * 1_000.0;
--- a/crates/core/src/routed/outlier.rs
+++ b/crates/core/src/routed/outlier.rs
@@ -45,14 +45,14 @@
 /// Attempts on one server: a table's value holds both numbers, so that sums of values
 /// are values of sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct AttemptCounts {
     /// That ended.
     pub all: u32,
     /// That failed.
     pub failed: u32,
 }
 
-impl Ends {
+impl AttemptCounts {
     /// Returns the value for a table.
     #[must_use]
     pub fn pack(self) -> u32 {
@@ -73,7 +73,7 @@
 /// What this node has seen within the window.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    slots: VecDeque<(Instant, HashMap<u32, Ends>)>,
+    slots: VecDeque<(Instant, HashMap<u32, AttemptCounts>)>,
 }
 
 impl Window {
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Ends within the window by server.
+    /// AttemptCounts within the window by server.
     pub fn table(&mut self, now: Instant) -> Table {
         let is_over = |slot: &(Instant, _)| now >= slot.0.plus_millis(WINDOW_MS);
         while self.slots.front().is_some_and(is_over) {
             self.slots.pop_front();
         }
-        let mut sums: BTreeMap<u32, Ends> = BTreeMap::new();
+        let mut sums: BTreeMap<u32, AttemptCounts> = BTreeMap::new();
         for (&server, ends) in self.slots.iter().flat_map(|(_, slot)| slot) {
             let sum = sums.entry(server).or_default();
             sum.all += ends.all;
@@ -109,40 +109,50 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Out {
+struct Ejection {
     until: Instant,
     out_ms: u64,
 }
 
 /// Servers that are left out.
 #[derive(Clone, Debug, Default)]
-pub struct Grey {
-    out: HashMap<u32, Out>,
+pub struct Detector {
+    out: HashMap<u32, Ejection>,
 }
 
-impl Grey {
+impl Detector {
     /// Judges the servers of one service and version by what all nodes have seen; returns those that are
     /// left out from now on.
-    pub fn judge(&mut self, now: Instant, servers: &[u32], seen: &HashMap<u32, Ends>) -> Vec<u32> {
+    pub fn detect(
+        &mut self,
+        now: Instant,
+        servers: &[u32],
+        seen: &HashMap<u32, AttemptCounts>,
+    ) -> Vec<u32> {
         self.out
             .retain(|_, out| now < out.until.plus_millis(FORGIVEN_MS));
         let total = servers.iter().filter_map(|server| seen.get(server));
-        let total = total.fold(Ends::default(), |sum, ends| Ends {
+        let total = total.fold(AttemptCounts::default(), |sum, ends| AttemptCounts {
             all: sum.all + ends.all,
             failed: sum.failed + ends.failed,
         });
         let mut room = servers.len() / ONE_OF;
-        room = room.saturating_sub(servers.iter().filter(|one| self.is_out(now, **one)).count());
+        room = room.saturating_sub(
+            servers
+                .iter()
+                .filter(|one| self.is_ejected(now, **one))
+                .count(),
+        );
         let mut left_out = Vec::new();
         for &server in servers {
             let Some(&own) = seen.get(&server) else {
                 continue;
             };
-            let others = Ends {
+            let others = AttemptCounts {
                 all: total.all - own.all,
                 failed: total.failed - own.failed,
             };
-            if left_out.len() < room && !self.is_out(now, server) && is_worse(own, others) {
+            if left_out.len() < room && !self.is_ejected(now, server) && is_worse(own, others) {
                 self.leave_out(now, server);
                 left_out.push(server);
             }
@@ -152,7 +162,7 @@
 
     /// Whether a server is left out.
     #[must_use]
-    pub fn is_out(&self, now: Instant, server: u32) -> bool {
+    pub fn is_ejected(&self, now: Instant, server: u32) -> bool {
         self.out.get(&server).is_some_and(|out| now < out.until)
     }
 
@@ -160,11 +170,11 @@
         let before = self.out.get(&server).map_or(0, |out| out.out_ms);
         let out_ms = (before * 2).clamp(FIRST_MS, LONGEST_MS);
         let until = now.plus_millis(out_ms);
-        self.out.insert(server, Out { until, out_ms });
+        self.out.insert(server, Ejection { until, out_ms });
     }
 }
 
-fn is_worse(own: Ends, others: Ends) -> bool {
+fn is_worse(own: AttemptCounts, others: AttemptCounts) -> bool {
     if own.failed < FEWEST || others.all == 0 {
         return false;
     }
--- a/crates/core/src/routed/session.rs
+++ b/crates/core/src/routed/session.rs
@@ -27,7 +27,7 @@
 impl Recent {
     /// Notes that the session was served by the old version and goes on if its next
     /// request comes within `pause_ms`.
-    pub fn note(&mut self, now: Instant, session: u64, pause_ms: u64) {
+    pub fn record(&mut self, now: Instant, session: u64, pause_ms: u64) {
         if self.until.len() >= MOST {
             self.until.retain(|_, until| now < *until);
         }
@@ -37,7 +37,7 @@
     }
 
     /// Sessions that go on and that `wanted` picks.
-    pub fn going_on(&self, now: Instant, wanted: impl Fn(u64) -> bool) -> Vec<u64> {
+    pub fn ongoing(&self, now: Instant, wanted: impl Fn(u64) -> bool) -> Vec<u64> {
         let going_on = self.until.iter().filter(|(_, until)| now < **until);
         let sessions = going_on.map(|(&session, _)| session);
         sessions.filter(|&session| wanted(session)).collect()
@@ -45,7 +45,7 @@
 
     /// Whether the session goes on where it was.
     #[must_use]
-    pub fn goes_on(&self, now: Instant, session: u64) -> bool {
+    pub fn is_ongoing(&self, now: Instant, session: u64) -> bool {
         self.until.get(&session).is_some_and(|until| now < *until)
     }
 }
--- a/crates/core/src/routed/slowness.rs
+++ b/crates/core/src/routed/slowness.rs
@@ -23,27 +23,27 @@
 
 /// How fast an answer came.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Timing {
     /// Milliseconds until its head.
     pub head_ms: f64,
     /// Milliseconds until its head that the work on its server made likely.
     pub expected_ms: f64,
     /// Milliseconds between its events, if it has enough of them.
-    pub event_ms: Option<f64>,
+    pub event_interval_ms: Option<f64>,
 }
 
 /// How long answers of one route and model usually take.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usual {
+pub struct Baseline {
     head: Mean,
     event: Mean,
 }
 
-impl Usual {
+impl Baseline {
     /// Takes in an answer.
-    pub fn learn(&mut self, pace: &Pace) {
+    pub fn observe(&mut self, pace: &Timing) {
         self.head.add(pace.head_ms);
-        if let Some(millis) = pace.event_ms {
+        if let Some(millis) = pace.event_interval_ms {
             self.event.add(millis);
         }
     }
@@ -51,7 +51,7 @@
     /// Milliseconds from which a first token is slow that was expected after `expected_ms`; `None`
     /// while nothing is known to compare with.
     #[must_use]
-    pub fn slow_ms(&self, expected_ms: f64) -> Option<f64> {
+    pub fn slow_threshold_ms(&self, expected_ms: f64) -> Option<f64> {
         let usual = self.head.millis * SLOW;
         let expected = expected_ms * SLOW_EXPECTED;
         (self.head.count >= TRUSTED).then(|| usual.max(expected).max(SLOW_MS))
@@ -59,11 +59,13 @@
 
     /// Whether an answer came slowly.
     #[must_use]
-    pub fn is_slow(&self, pace: &Pace) -> bool {
-        let slow_ms = self.slow_ms(pace.expected_ms);
+    pub fn is_slow(&self, pace: &Timing) -> bool {
+        let slow_ms = self.slow_threshold_ms(pace.expected_ms);
         let is_late = slow_ms.is_some_and(|millis| pace.head_ms > millis);
         let dragging = self.event.millis * SLOW_EVENTS;
-        let drags = pace.event_ms.is_some_and(|millis| millis > dragging);
+        let drags = pace
+            .event_interval_ms
+            .is_some_and(|millis| millis > dragging);
         is_late || (self.event.count >= TRUSTED && drags)
     }
 }
--- a/crates/core/src/routed/warmup.rs
+++ b/crates/core/src/routed/warmup.rs
@@ -48,7 +48,7 @@
         clippy::cast_sign_loss,
         reason = "the cast saturates, and the quotient is never negative"
     )]
-    pub fn users(&self, nodes: usize) -> usize {
+    pub fn senders(&self, nodes: usize) -> usize {
         if self.within_second < 1.0 {
             return 0;
         }
@@ -64,7 +64,7 @@
         reason = "the cast saturates, and the quotient is positive"
     )]
     pub fn spacing_ms(&self, nodes: usize) -> u64 {
-        let users = f64::from(u32::try_from(self.users(nodes).max(1)).unwrap_or(u32::MAX));
+        let users = f64::from(u32::try_from(self.senders(nodes).max(1)).unwrap_or(u32::MAX));
         let refill = (self.within_second * USED / users - 1.0).max(LEAST_REFILL);
         (1_000.0 / refill).ceil() as u64
     }
@@ -73,7 +73,7 @@
 /// Whether the node `own` is among the first `users` for the server with the hash `server`; `nodes`
 /// are all that it knows, itself or not.
 #[must_use]
-pub fn is_user<'a>(
+pub fn is_sender<'a>(
     own: &str,
     nodes: impl Iterator<Item = &'a str>,
     server: u64,
@@ -87,11 +87,11 @@
 
 /// When a node may send a warming server its next request.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct Pacer {
     next: Instant,
 }
 
-impl Default for Turn {
+impl Default for Pacer {
     fn default() -> Self {
         Self {
             next: Instant::ORIGIN,
@@ -99,7 +99,7 @@
     }
 }
 
-impl Turn {
+impl Pacer {
     /// Whether a request may be sent now.
     #[must_use]
     pub fn is_due(&self, now: Instant) -> bool {
@@ -107,7 +107,7 @@
     }
 
     /// Notes that one is sent now; the next may follow `spacing_ms` later.
-    pub fn take(&mut self, now: Instant, spacing_ms: u64) {
+    pub fn record_send(&mut self, now: Instant, spacing_ms: u64) {
         self.next = now.plus_millis(spacing_ms);
     }
 }
--- a/crates/core/src/session/mod.rs
+++ b/crates/core/src/session/mod.rs
@@ -44,7 +44,7 @@
 
 /// Returns the version with which a session at `position` starts.
 #[must_use]
-pub fn start(share: Share, position: f64) -> key::Version {
+pub fn starting_version(share: Share, position: f64) -> key::Version {
     match share.candidate {
         Some((candidate, part)) if position < part => candidate,
         _ => share.current,
@@ -53,7 +53,7 @@
 
 /// Which version a request of a session runs on, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Placement {
     /// The session starts.
     Start(key::Version),
     /// The session keeps its version.
@@ -67,7 +67,7 @@
     },
 }
 
-impl Place {
+impl Placement {
     /// Returns the version that the request runs on.
     #[must_use]
     pub fn version(self) -> key::Version {
@@ -92,11 +92,11 @@
     pinned: Option<key::Version>,
     is_withdrawn: impl Fn(key::Version) -> bool,
     fresh: impl FnOnce() -> Result<key::Version, E>,
-) -> Result<Place, E> {
+) -> Result<Placement, E> {
     let place = match pinned {
-        None => Place::Start(fresh()?),
-        Some(from) if is_withdrawn(from) => Place::Move { from, to: fresh()? },
-        Some(version) => Place::Keep(version),
+        None => Placement::Start(fresh()?),
+        Some(from) if is_withdrawn(from) => Placement::Move { from, to: fresh()? },
+        Some(version) => Placement::Keep(version),
     };
     assert!(
         !is_withdrawn(place.version()),
--- a/crates/core/src/session/pins.rs
+++ b/crates/core/src/session/pins.rs
@@ -12,7 +12,7 @@
 
 impl Pins {
     /// Most scopes of one session; further ones are not pinned.
-    pub const MOST: usize = 8;
+    pub const MAX_SCOPES: usize = 8;
 
     /// Returns no pins.
     #[must_use]
@@ -40,7 +40,7 @@
     /// Pins a scope. Names that the text form cannot hold are left out.
     pub fn set(&mut self, scope: &str, version: &str) {
         let plain = |name: &str| !name.is_empty() && !name.contains(['=', ';']);
-        let room = self.versions.len() < Self::MOST || self.versions.contains_key(scope);
+        let room = self.versions.len() < Self::MAX_SCOPES || self.versions.contains_key(scope);
         if plain(scope) && !version.is_empty() && !version.contains([';']) && room {
             self.versions.insert(scope.to_owned(), version.to_owned());
         }
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -110,7 +110,7 @@
     }
 
     /// Takes over a new count of live instances.
-    pub fn share(&mut self, nodes: u32) {
+    pub fn set_node_count(&mut self, nodes: u32) {
         self.nodes = f64::from(nodes.max(1));
     }
 
--- a/crates/core/src/store/mod.rs
+++ b/crates/core/src/store/mod.rs
@@ -20,7 +20,7 @@
 use crate::clock::Instant;
 
 /// Largest value that the service holds, in bytes.
-pub const LARGEST_VALUE: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A version that no value ever has. A swap that expects it cannot take
 /// effect, and its conflict names the version that stands: a read that is
--- a/crates/core/tests/all/choice.rs
+++ b/crates/core/tests/all/choice.rs
@@ -7,7 +7,7 @@
 };
 use fescuerack_core::clock::Instant;
 use fescuerack_core::rollout::{Board, Cause, Halt, Record};
-use fescuerack_core::session::Place;
+use fescuerack_core::session::Placement;
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use rstest::rstest;
@@ -202,7 +202,7 @@
     }
     let pinned = case.pinned.filter(|place| case.allowed[*place]);
     if let Some(pinned) = pinned.map(|place| market.version(place)) {
-        let moved = matches!(choice.place, Place::Move { .. });
+        let moved = matches!(choice.place, Placement::Move { .. });
         assert_eq!(moved, market.is_gone(case, pinned));
     }
 }
@@ -272,7 +272,7 @@
     }
     let choice = market.choose(&case).expect("a plan");
     assert_eq!(choice.plans[0].steps, Steps::Direct(market.version(3)));
-    assert_eq!(choice.place, Place::Keep(market.version(0)));
+    assert_eq!(choice.place, Placement::Keep(market.version(0)));
 }
 
 // No version that is allowed meets the target: the refusal says so, unless the
--- a/crates/core/tests/all/fleet.rs
+++ b/crates/core/tests/all/fleet.rs
@@ -123,7 +123,7 @@
     pub fn start(&self, now: Instant, index: usize, session: &[u8]) -> key::Version {
         let share = self.boards[index].share(now, self.model);
         let share = share.expect("a roll-out");
-        session::start(share, session::position(MODEL, session))
+        session::starting_version(share, session::position(MODEL, session))
     }
 
     /// Tells an instance of an answer.
--- a/crates/core/tests/all/replay.rs
+++ b/crates/core/tests/all/replay.rs
@@ -6,7 +6,7 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_core::key;
 use fescuerack_core::rollout::{Cause, Event, Hold, Verdict};
-use fescuerack_core::session::{self, Place};
+use fescuerack_core::session::{self, Placement};
 use rstest::rstest;
 use serde::Deserialize;
 
@@ -193,7 +193,7 @@
             || Ok::<_, ()>(fresh),
         );
         let place = place.expect("the current version is open");
-        if let Place::Move { .. } = place {
+        if let Placement::Move { .. } = place {
             *self.moves.entry(session).or_default() += 1;
         }
         self.pins.insert(session, place.version());
--- a/crates/core/tests/all/routed/affinity.rs
+++ b/crates/core/tests/all/routed/affinity.rs
@@ -11,10 +11,10 @@
         .map(|number| Candidate {
             identity: affinity::hash(&number.to_be_bytes()),
             load: 0.0,
-            places: 6,
-            is_near: number % 4 == 0,
+            slots: 6,
+            is_same_zone: number % 4 == 0,
             is_healthy: true,
-            is_suited: true,
+            is_in_pool: true,
         })
         .collect()
 }
@@ -116,7 +116,7 @@
     let servers: Vec<Candidate> = servers(4)
         .into_iter()
         .map(|server| Candidate {
-            is_near: true,
+            is_same_zone: true,
             ..server
         })
         .collect();
@@ -138,28 +138,30 @@
 fn choose_keeps_long_prompts_apart() {
     let mut servers = servers(12);
     for (rank, server) in servers.iter_mut().enumerate() {
-        server.is_suited = affinity::suits(rank, 12, false);
+        server.is_in_pool = affinity::matches_pool(rank, 12, false);
     }
-    let suited = servers.iter().filter(|server| server.is_suited).count();
+    let suited = servers.iter().filter(|server| server.is_in_pool).count();
     assert_eq!(suited, 9);
-    for server in servers.iter_mut().filter(|server| server.is_suited) {
+    for server in servers.iter_mut().filter(|server| server.is_in_pool) {
         server.load = 400.0;
     }
     for part in 0..100 {
         let taken = affinity::choose(&servers, Some(affinity::mix(part)), 0).expect("a server");
-        assert!(servers[taken].is_suited);
+        assert!(servers[taken].is_in_pool);
     }
-    for server in servers.iter_mut().filter(|server| server.is_suited) {
+    for server in servers.iter_mut().filter(|server| server.is_in_pool) {
         server.is_healthy = false;
     }
     let taken = affinity::choose(&servers, Some(1), 0).expect("a server");
-    assert!(!servers[taken].is_suited);
+    assert!(!servers[taken].is_in_pool);
 }
 
 /// Three servers are too few to set some aside: all take everything.
 #[test]
 fn suits_few_servers_take_all() {
-    assert!((0..3).all(|rank| affinity::suits(rank, 3, true) && affinity::suits(rank, 3, false)));
+    assert!((0..3).all(
+        |rank| affinity::matches_pool(rank, 3, true) && affinity::matches_pool(rank, 3, false)
+    ));
 }
 
 /// Guards against short prompts whose text crosses zones although a server near by could read it,
@@ -169,9 +171,9 @@
     let servers = servers(12);
     for part in 0..200 {
         let part = affinity::mix(part);
-        let taken = affinity::choose_near(&servers, part, 0).expect("a server");
-        assert!(servers[taken].is_near);
-        assert_eq!(affinity::choose_near(&servers, part, 7), Some(taken));
+        let taken = affinity::choose_in_zone(&servers, part, 0).expect("a server");
+        assert!(servers[taken].is_same_zone);
+        assert_eq!(affinity::choose_in_zone(&servers, part, 7), Some(taken));
     }
 }
 
@@ -181,11 +183,11 @@
 fn choose_near_busy_zone_sends_parts_out() {
     let mut servers = servers(12);
     for server in &mut servers {
-        server.load = if server.is_near { 20.0 } else { 10.0 };
+        server.load = if server.is_same_zone { 20.0 } else { 10.0 };
     }
     for part in 0..200 {
         let part = affinity::mix(part);
-        let taken = affinity::choose_near(&servers, part, 0).expect("a server");
+        let taken = affinity::choose_in_zone(&servers, part, 0).expect("a server");
         assert_eq!(Some(taken), affinity::choose(&servers, Some(part), 0));
     }
 }
@@ -195,15 +197,15 @@
 fn choose_near_failing_zone_is_left() {
     let mut servers = servers(12);
     for server in &mut servers {
-        server.is_healthy = !server.is_near;
+        server.is_healthy = !server.is_same_zone;
     }
-    let taken = affinity::choose_near(&servers, affinity::mix(5), 0).expect("a server");
-    assert!(!servers[taken].is_near);
+    let taken = affinity::choose_in_zone(&servers, affinity::mix(5), 0).expect("a server");
+    assert!(!servers[taken].is_same_zone);
 }
 
 /// Guards against long parts that each zone reads anew.
 #[test]
 fn stays_near_long_parts_do_not() {
-    assert!(affinity::stays_near(172));
-    assert!(!affinity::stays_near(6_300));
+    assert!(affinity::prefers_local_zone(172));
+    assert!(!affinity::prefers_local_zone(6_300));
 }
--- a/crates/core/tests/all/routed/canary.rs
+++ b/crates/core/tests/all/routed/canary.rs
@@ -4,15 +4,15 @@
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::canary::{Count, Counts, Evidence, Pair, Stage, Trial, Verdict};
+use fescuerack_core::routed::canary::{Canary, Count, Counts, Evidence, Pair, Stage, Verdict};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
 const ORDERED: Instant = Instant::from_millis(2_000);
 
-const fn trial() -> Trial {
-    Trial {
+const fn trial() -> Canary {
+    Canary {
         ordered: ORDERED,
         due: ORDERED.plus_millis(24_000),
         exposure: 0.15,
@@ -51,7 +51,7 @@
         }
         // Nodes tell each other once a second.
         if passed % 1_000 == 0 && decided.is_none() {
-            let verdict = trial.judge(now, &evidence);
+            let verdict = trial.evaluate(now, &evidence);
             decided = (verdict != Verdict::Hold).then_some((verdict, passed));
         }
     }
@@ -103,7 +103,7 @@
         ..Count::default()
     };
     let counts = Counts::from([("r".to_owned(), Pair { old, new })]);
-    trial().judge(ORDERED.plus_millis(9_000), &Evidence { counts, crashed: 0 })
+    trial().evaluate(ORDERED.plus_millis(9_000), &Evidence { counts, crashed: 0 })
 }
 
 /// A good version was rolled back because five of its 33 answers and two of eight were
@@ -148,15 +148,15 @@
     let trial = trial();
     for (stage, least) in [(Stage::Sampled, 1.0), (Stage::Loaded, 3.0)] {
         for count in 9..200 {
-            let busy = trial.servers(stage, count);
+            let busy = trial.server_count(stage, count);
             let load = trial.share(stage) / f64::from(u32::try_from(busy).expect("few"));
             let later = 1.0 / f64::from(u32::try_from(count).expect("few"));
             assert!(load >= least * later - 1e-9, "{busy} of {count}");
         }
     }
-    let servers = |count| trial.servers(Stage::Sampled, count);
+    let servers = |count| trial.server_count(Stage::Sampled, count);
     assert_eq!((servers(12), servers(2), servers(0)), (1, 1, 1));
-    assert_eq!(trial.servers(Stage::Loaded, 60), 6);
+    assert_eq!(trial.server_count(Stage::Loaded, 60), 6);
 }
 
 /// A version fails half of its answers on a server that runs 32 requests or more, and
@@ -167,7 +167,7 @@
     // Twelve servers run 240 requests at the peak, as long as 3.2 s each, 75 a second.
     let running = |stage: Stage| {
         let trial = trial();
-        let servers = f64::from(u32::try_from(trial.servers(stage, 12)).expect("few"));
+        let servers = f64::from(u32::try_from(trial.server_count(stage, 12)).expect("few"));
         240.0 * trial.share(stage) / servers
     };
     assert!(running(Stage::Sampled) < 32.0);
@@ -207,7 +207,7 @@
     let counts = Counts::from([("r".to_owned(), pair)]);
     let evidence = Evidence { counts, crashed };
     let at = ORDERED.plus_millis(9_000);
-    assert_eq!(trial().judge(at, &evidence), verdict);
+    assert_eq!(trial().evaluate(at, &evidence), verdict);
 }
 
 /// In a burst the answers of both versions are slow. Slowness was counted for the new version
@@ -231,7 +231,7 @@
     let counts = Counts::from([("r".to_owned(), pair)]);
     let evidence = Evidence { counts, crashed: 0 };
     let at = ORDERED.plus_millis(9_000);
-    assert_eq!(trial().judge(at, &evidence), verdict);
+    assert_eq!(trial().evaluate(at, &evidence), verdict);
 }
 
 /// A version fails half of its answers on busy servers. Its one loaded server had so much to read
@@ -262,7 +262,7 @@
     let counts = Counts::from([("r".to_owned(), Pair { old, new })]);
     let evidence = Evidence { counts, crashed: 0 };
     let at = ORDERED + Duration::from_secs_f64(24.0 * passed);
-    assert_eq!(trial().judge(at, &evidence), verdict);
+    assert_eq!(trial().evaluate(at, &evidence), verdict);
 }
 
 /// A version fails one in fourteen of its answers, the old one none of a thousand. Four failures
@@ -284,5 +284,5 @@
     let counts = Counts::from([("r".to_owned(), Pair { old, new })]);
     let evidence = Evidence { counts, crashed: 0 };
     let at = ORDERED.plus_millis(9_000);
-    assert_eq!(trial().judge(at, &evidence), verdict);
+    assert_eq!(trial().evaluate(at, &evidence), verdict);
 }
--- a/crates/core/tests/all/routed/health.rs
+++ b/crates/core/tests/all/routed/health.rs
@@ -18,7 +18,7 @@
         let outcome = if failed {
             Outcome::Failed
         } else {
-            Outcome::Good
+            Outcome::Succeeded
         };
         out += u32::from(health.observe(now, outcome));
     }
@@ -47,7 +47,7 @@
     for _ in 0..5 {
         assert!(health.observe(now, Outcome::Unreached));
         let from = now;
-        while !health.is_in(now) {
+        while !health.is_available(now) {
             now = now.plus_millis(100);
         }
         waits.push(now.since(from).as_millis());
--- a/crates/core/tests/all/routed/load.rs
+++ b/crates/core/tests/all/routed/load.rs
@@ -2,7 +2,7 @@
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::load::{self, Duty, GROUP, Hub, Others};
+use fescuerack_core::routed::load::{self, Duty, Hub, MAX_GROUP_NODES, PeerLoad};
 use fescuerack_core::routed::rank::Instance;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
@@ -16,10 +16,10 @@
 #[test]
 fn tell_answers_with_the_others_only() {
     let mut hub = Hub::default();
-    hub.tell(NOW, "a", vec![(1, 100), (2, 50)]);
-    let sum = hub.tell(NOW, "b", vec![(1, 700)]);
+    hub.report(NOW, "a", vec![(1, 100), (2, 50)]);
+    let sum = hub.report(NOW, "b", vec![(1, 700)]);
     assert_eq!(sum, vec![(1, 100), (2, 50)]);
-    let sum = hub.tell(NOW, "a", vec![]);
+    let sum = hub.report(NOW, "a", vec![]);
     assert_eq!(sum, vec![(1, 700)]);
 }
 
@@ -28,19 +28,19 @@
 #[test]
 fn tell_a_dead_node_is_forgotten() {
     let mut hub = Hub::default();
-    hub.tell(NOW, "a", vec![(1, 100)]);
-    let sum = hub.tell(NOW.plus_millis(1_500), "b", vec![]);
+    hub.report(NOW, "a", vec![(1, 100)]);
+    let sum = hub.report(NOW.plus_millis(1_500), "b", vec![]);
     assert_eq!(sum, vec![]);
 }
 
 /// The hub dies: what was heard last fades instead of steering for seconds.
 #[test]
 fn work_fades_with_its_age() {
-    let mut others = Others::default();
+    let mut others = PeerLoad::default();
     let identity = 5 << 32;
     let mut hub = Hub::default();
-    hub.tell(NOW, "a", vec![(load::short(identity), 800)]);
-    others.hear(NOW, &hub.tell(NOW, "b", vec![]));
+    hub.report(NOW, "a", vec![(load::short_id(identity), 800)]);
+    others.receive(NOW, &hub.report(NOW, "b", vec![]));
     assert!((others.work(NOW, identity) - 8.0).abs() < 0.01);
     assert!(others.work(NOW.plus_millis(3_000), identity) < 0.3);
     assert!(others.work(NOW, 6 << 32) == 0.0);
@@ -51,19 +51,19 @@
 #[test]
 fn hear_other_groups_count_once() {
     let (mut near, mut far, mut top) = (Hub::default(), Hub::default(), Hub::default());
-    near.tell(NOW, "a", vec![(1, 100)]);
-    far.tell(NOW, "x", vec![(1, 30), (2, 5)]);
-    assert_eq!(top.tell(NOW, "near", near.group(NOW)), vec![]);
-    let elsewhere = top.tell(NOW, "far", far.group(NOW));
-    far.hear(NOW, elsewhere);
-    let elsewhere = top.tell(NOW, "near", near.group(NOW));
-    near.hear(NOW, elsewhere);
-    assert_eq!(near.tell(NOW, "b", vec![]), vec![(1, 130), (2, 5)]);
-    assert_eq!(near.tell(NOW, "a", vec![(1, 100)]), vec![(1, 30), (2, 5)]);
-    assert_eq!(far.tell(NOW, "x", vec![]), vec![(1, 100)]);
+    near.report(NOW, "a", vec![(1, 100)]);
+    far.report(NOW, "x", vec![(1, 30), (2, 5)]);
+    assert_eq!(top.report(NOW, "near", near.group_sum(NOW)), vec![]);
+    let elsewhere = top.report(NOW, "far", far.group_sum(NOW));
+    far.receive(NOW, elsewhere);
+    let elsewhere = top.report(NOW, "near", near.group_sum(NOW));
+    near.receive(NOW, elsewhere);
+    assert_eq!(near.report(NOW, "b", vec![]), vec![(1, 130), (2, 5)]);
+    assert_eq!(near.report(NOW, "a", vec![(1, 100)]), vec![(1, 30), (2, 5)]);
+    assert_eq!(far.report(NOW, "x", vec![]), vec![(1, 100)]);
     // The top dies: what it told last is forgotten.
     let later = NOW.plus_millis(1_500);
-    assert_eq!(near.tell(later, "b", vec![]), vec![]);
+    assert_eq!(near.report(later, "b", vec![]), vec![]);
 }
 
 /// Nodes in zones of unlike size; all must agree who is a hub and who the top.
@@ -113,7 +113,7 @@
                 assert!(!matches!(duties[at], Duty::Member(_)), "a hub tells a hub");
                 let is_near = nodes[at].zone == nodes[node].zone;
                 assert!(
-                    is_near || nodes.len() <= GROUP,
+                    is_near || nodes.len() <= MAX_GROUP_NODES,
                     "the hub is in another zone"
                 );
             }
@@ -127,11 +127,11 @@
     let group = |node: usize| node % hubs.len();
     let groups: Vec<usize> = (0..tables.len()).map(group).collect();
     for (number, hub) in hubs.iter_mut().enumerate() {
-        let elsewhere = top.tell(now, &number.to_string(), hub.group(now));
-        hub.hear(now, elsewhere);
+        let elsewhere = top.report(now, &number.to_string(), hub.group_sum(now));
+        hub.receive(now, elsewhere);
     }
     let told = tables.iter().enumerate();
-    told.map(|(node, table)| hubs[groups[node]].tell(now, &node.to_string(), table.clone()))
+    told.map(|(node, table)| hubs[groups[node]].report(now, &node.to_string(), table.clone()))
         .collect()
 }
 
@@ -142,24 +142,24 @@
     let mut random = Pcg64::seed_from_u64(17);
     let servers: Vec<u64> = (0..10_u8).map(|number| affinity::hash(&[number])).collect();
     let mut work = vec![vec![0.0_f64; servers.len()]; nodes];
-    let mut others = vec![Others::default(); nodes];
-    let mut hubs = vec![Hub::default(); nodes.div_ceil(GROUP)];
+    let mut others = vec![PeerLoad::default(); nodes];
+    let mut hubs = vec![Hub::default(); nodes.div_ceil(MAX_GROUP_NODES)];
     let mut top = Hub::default();
     let mut found = Vec::new();
     let steps = 20_000_u64;
     for step in 0..steps {
         let now = Instant::from_millis(step);
-        if shares && step % load::TELL_MS == 0 {
+        if shares && step % load::REPORT_INTERVAL_MS == 0 {
             let table = |work: &Vec<f64>| {
                 let table = servers.iter().zip(work);
                 table
-                    .map(|(&server, work)| (load::short(server), load::hundredths(*work)))
+                    .map(|(&server, work)| (load::short_id(server), load::hundredths(*work)))
                     .collect()
             };
             let tables: Vec<load::Table> = work.iter().map(table).collect();
             let heard = tell(now, &tables, &mut hubs, &mut top);
             for (others, table) in others.iter_mut().zip(&heard) {
-                others.hear(now, table);
+                others.receive(now, table);
             }
         }
         if random.random::<f64>() < 0.06 {
@@ -170,10 +170,10 @@
                 .map(|(index, &identity)| affinity::Candidate {
                     identity,
                     load: work[node][index] + others[node].work(now, identity),
-                    places: 64,
-                    is_near: true,
+                    slots: 64,
+                    is_same_zone: true,
                     is_healthy: true,
-                    is_suited: true,
+                    is_in_pool: true,
                 })
                 .collect();
             let part = affinity::mix(random.random_range(0..100));
@@ -201,8 +201,8 @@
 /// a telling older.
 #[rstest]
 #[case::nine(9)]
-#[case::several_groups(2 * GROUP + 10)]
-#[case::many_groups(8 * GROUP)]
+#[case::several_groups(2 * MAX_GROUP_NODES + 10)]
+#[case::many_groups(8 * MAX_GROUP_NODES)]
 fn hear_keeps_long_prompts_apart(#[case] nodes: usize) {
     let alone = queue(nodes, false);
     let told = queue(nodes, true);
--- a/crates/core/tests/all/routed/outlier.rs
+++ b/crates/core/tests/all/routed/outlier.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::outlier::{Ends, Grey, WINDOW_MS, Window};
+use fescuerack_core::routed::outlier::{AttemptCounts, Detector, WINDOW_MS, Window};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 fn play(seed: u64, seconds: u64, per_s: f64, usual: f64, grey: f64) -> (u32, u32) {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut window = Window::default();
-    let mut judge = Grey::default();
+    let mut judge = Detector::default();
     let mut told = [Vec::new(), Vec::new()];
     let (mut failed, mut wrong) = (0, 0);
     for passed in 0..seconds * 1_000 {
@@ -26,7 +26,7 @@
         if random.random::<f64>() < per_s / 1_000.0 {
             let sound: Vec<u32> = SERVERS
                 .into_iter()
-                .filter(|&server| !judge.is_out(now, server))
+                .filter(|&server| !judge.is_ejected(now, server))
                 .collect();
             let server = sound[random.random_range(0..sound.len())];
             let share = if server == 1 { usual + grey } else { usual };
@@ -37,11 +37,11 @@
         if passed % 250 == 0 {
             told.rotate_left(1);
             let heard = std::mem::replace(&mut told[1], window.table(now));
-            let ends: HashMap<u32, Ends> = heard
+            let ends: HashMap<u32, AttemptCounts> = heard
                 .into_iter()
-                .map(|(server, ends)| (server, Ends::unpack(ends)))
+                .map(|(server, ends)| (server, AttemptCounts::unpack(ends)))
                 .collect();
-            let left_out = judge.judge(now, &SERVERS, &ends);
+            let left_out = judge.detect(now, &SERVERS, &ends);
             wrong += u32::from(left_out.iter().any(|&server| server != 1));
         }
     }
@@ -75,11 +75,11 @@
 /// more than a third are left out.
 #[test]
 fn judge_leaves_out_a_third_at_most() {
-    let bad = Ends {
+    let bad = AttemptCounts {
         all: 100,
         failed: 90,
     };
-    let good = Ends {
+    let good = AttemptCounts {
         all: 100,
         failed: 0,
     };
@@ -88,31 +88,31 @@
         .iter()
         .map(|&server| (server, if server < 3 { bad } else { good }))
         .collect();
-    let mut judge = Grey::default();
-    assert_eq!(judge.judge(NOW, &servers, &seen).len(), 2);
-    assert_eq!(judge.judge(NOW.plus_millis(250), &servers, &seen).len(), 0);
+    let mut judge = Detector::default();
+    assert_eq!(judge.detect(NOW, &servers, &seen).len(), 2);
+    assert_eq!(judge.detect(NOW.plus_millis(250), &servers, &seen).len(), 0);
     // A service with two servers keeps both.
-    let mut judge = Grey::default();
-    assert!(judge.judge(NOW, &[0, 3], &seen).is_empty());
+    let mut judge = Detector::default();
+    assert!(judge.detect(NOW, &[0, 3], &seen).is_empty());
 }
 
 /// A server that is still bad when it returns is left out for twice as long.
 #[test]
 fn judge_time_doubles() {
-    let bad = Ends {
+    let bad = AttemptCounts {
         all: 20,
         failed: 15,
     };
-    let good = Ends { all: 20, failed: 0 };
-    let seen: HashMap<u32, Ends> = [(1, bad), (2, good), (3, good)].into();
-    let mut judge = Grey::default();
-    assert_eq!(judge.judge(NOW, &[1, 2, 3], &seen), [1]);
-    assert!(judge.is_out(NOW.plus_millis(2_999), 1));
+    let good = AttemptCounts { all: 20, failed: 0 };
+    let seen: HashMap<u32, AttemptCounts> = [(1, bad), (2, good), (3, good)].into();
+    let mut judge = Detector::default();
+    assert_eq!(judge.detect(NOW, &[1, 2, 3], &seen), [1]);
+    assert!(judge.is_ejected(NOW.plus_millis(2_999), 1));
     let returned = NOW.plus_millis(3_000);
-    assert!(!judge.is_out(returned, 1));
-    assert_eq!(judge.judge(returned, &[1, 2, 3], &seen), [1]);
-    assert!(judge.is_out(returned.plus_millis(5_999), 1));
-    assert!(!judge.is_out(returned.plus_millis(6_000), 1));
+    assert!(!judge.is_ejected(returned, 1));
+    assert_eq!(judge.detect(returned, &[1, 2, 3], &seen), [1]);
+    assert!(judge.is_ejected(returned.plus_millis(5_999), 1));
+    assert!(!judge.is_ejected(returned.plus_millis(6_000), 1));
 }
 
 /// Sums of what several nodes told are read as one, and the window forgets.
@@ -125,7 +125,7 @@
     let [(server, value)] = window.table(NOW)[..] else {
         panic!("one server");
     };
-    let twice = Ends::unpack(value + value);
+    let twice = AttemptCounts::unpack(value + value);
     assert_eq!((server, twice.all, twice.failed), (7, 20, 8));
     assert!(window.table(NOW.plus_millis(WINDOW_MS)).is_empty());
 }
--- a/crates/core/tests/all/routed/session.rs
+++ b/crates/core/tests/all/routed/session.rs
@@ -10,12 +10,12 @@
 #[test]
 fn goes_on_until_it_pauses() {
     let mut recent = Recent::default();
-    recent.note(NOW, 7, 5_000);
-    assert!(recent.goes_on(NOW.plus_millis(4_999), 7));
-    recent.note(NOW.plus_millis(4_000), 7, 5_000);
-    assert!(recent.goes_on(NOW.plus_millis(8_000), 7));
-    assert!(!recent.goes_on(NOW.plus_millis(9_000), 7));
-    assert!(!recent.goes_on(NOW, 8));
+    recent.record(NOW, 7, 5_000);
+    assert!(recent.is_ongoing(NOW.plus_millis(4_999), 7));
+    recent.record(NOW.plus_millis(4_000), 7, 5_000);
+    assert!(recent.is_ongoing(NOW.plus_millis(8_000), 7));
+    assert!(!recent.is_ongoing(NOW.plus_millis(9_000), 7));
+    assert!(!recent.is_ongoing(NOW, 8));
 }
 
 /// Only the few sessions that the trial would move are told to others.
@@ -23,10 +23,10 @@
 fn going_on_picks_what_is_wanted() {
     let mut recent = Recent::default();
     for session in 0..100 {
-        recent.note(NOW, session, 5_000);
+        recent.record(NOW, session, 5_000);
     }
-    let mut moved = recent.going_on(NOW, |session| session < 5);
+    let mut moved = recent.ongoing(NOW, |session| session < 5);
     moved.sort_unstable();
     assert_eq!(moved, [0, 1, 2, 3, 4]);
-    assert!(recent.going_on(NOW.plus_millis(5_000), |_| true).is_empty());
+    assert!(recent.ongoing(NOW.plus_millis(5_000), |_| true).is_empty());
 }
--- a/crates/core/tests/all/routed/slowness.rs
+++ b/crates/core/tests/all/routed/slowness.rs
@@ -1,18 +1,18 @@
 //! Which answers of a version on trial count as slow.
 
-use fescuerack_core::routed::slowness::{Pace, Usual};
+use fescuerack_core::routed::slowness::{Baseline, Timing};
 use fescuerack_core::routed::wait::Wait;
 use rstest::rstest;
 
 /// Answers of 200 ms behind 10 units of work.
-fn known() -> (Usual, Wait) {
-    let (mut usual, mut wait) = (Usual::default(), Wait::default());
+fn known() -> (Baseline, Wait) {
+    let (mut usual, mut wait) = (Baseline::default(), Wait::default());
     for _ in 0..200 {
         wait.observe(10.0, 200.0);
-        usual.learn(&Pace {
+        usual.observe(&Timing {
             head_ms: 200.0,
             expected_ms: wait.millis(10.0),
-            event_ms: Some(20.0),
+            event_interval_ms: Some(20.0),
         });
     }
     (usual, wait)
@@ -34,10 +34,10 @@
     #[case] is_slow: bool,
 ) {
     let (usual, wait) = known();
-    let pace = Pace {
+    let pace = Timing {
         head_ms,
         expected_ms: wait.millis(work),
-        event_ms: Some(event_ms),
+        event_interval_ms: Some(event_ms),
     };
     assert_eq!(usual.is_slow(&pace), is_slow);
 }
@@ -45,10 +45,10 @@
 /// Without answers of the old version nothing is known to be slow.
 #[test]
 fn is_slow_needs_something_to_compare_with() {
-    let pace = Pace {
+    let pace = Timing {
         head_ms: 9_000.0,
         expected_ms: 100.0,
-        event_ms: None,
+        event_interval_ms: None,
     };
-    assert!(!Usual::default().is_slow(&pace));
+    assert!(!Baseline::default().is_slow(&pace));
 }
--- a/crates/core/tests/all/routed/warmup.rs
+++ b/crates/core/tests/all/routed/warmup.rs
@@ -1,7 +1,7 @@
 //! A crowd of nodes before servers that are warming up.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::warmup::{Limit, Turn, is_user};
+use fescuerack_core::routed::warmup::{Limit, Pacer, is_sender};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -16,7 +16,7 @@
             .map(String::as_str)
             .filter(|other| sees(own, other))
             .collect();
-        is_user(own, known.iter().copied(), 17, limit.users(known.len()))
+        is_sender(own, known.iter().copied(), 17, limit.senders(known.len()))
     };
     names.iter().filter(is_one).collect()
 }
@@ -26,11 +26,11 @@
 fn most_within_second(users: &[(u64, u64)]) -> usize {
     let mut sent: Vec<u64> = Vec::new();
     for &(spacing_ms, first_ms) in users {
-        let mut turn = Turn::default();
+        let mut turn = Pacer::default();
         for millis in first_ms..4_000 {
             let now = Instant::from_millis(10_000 + millis);
             if turn.is_due(now) {
-                turn.take(now, spacing_ms);
+                turn.record_send(now, spacing_ms);
                 sent.push(millis);
             }
         }
@@ -46,7 +46,7 @@
 
 /// Users of a fleet in which all know each other and begin together.
 fn all_users(limit: Limit, nodes: usize) -> Vec<(u64, u64)> {
-    vec![(limit.spacing_ms(nodes), 0); limit.users(nodes)]
+    vec![(limit.spacing_ms(nodes), 0); limit.senders(nodes)]
 }
 
 /// Guards against a crowd at a cold server, whatever the size of the fleet.
@@ -62,7 +62,7 @@
     let limit = Limit::new(most, 1.0, 0.0);
     let names = names(nodes);
     let users = users(limit, &names, |_, _| true);
-    assert_eq!(users.len(), limit.users(nodes));
+    assert_eq!(users.len(), limit.senders(nodes));
     let sent = most_within_second(&all_users(limit, nodes));
     assert!(sent >= 1 && f64::from(u32::try_from(sent).expect("few")) <= most);
 }
@@ -82,7 +82,7 @@
 /// Guards against a server that bears nothing and gets one request from each node.
 #[test]
 fn users_of_a_server_that_bears_nothing_are_none() {
-    assert_eq!(Limit::new(0.0, 1.5, 0.0).users(78), 0);
+    assert_eq!(Limit::new(0.0, 1.5, 0.0).senders(78), 0);
 }
 
 /// Guards against the same few nodes that serve all cold servers of a zone.
@@ -92,7 +92,7 @@
     let all = || names.iter().map(String::as_str);
     let used = |own: &str| {
         (0..23)
-            .filter(|&server| is_user(own, all(), server * 7_919, 6))
+            .filter(|&server| is_sender(own, all(), server * 7_919, 6))
             .count()
     };
     let most = names.iter().map(|own| used(own)).max().expect("nodes");
--- a/crates/core/tests/all/routed/watcher.rs
+++ b/crates/core/tests/all/routed/watcher.rs
@@ -1,7 +1,7 @@
 //! Who watches the store.
 
 use fescuerack_core::routed::rank::Instance;
-use fescuerack_core::routed::watcher::{self, FEW, Role, WATCHERS};
+use fescuerack_core::routed::watcher::{self, MAX_DIRECT_NODES, Role, WATCHER_COUNT};
 
 fn nodes(count: usize) -> Vec<(String, String)> {
     (0..count)
@@ -15,13 +15,16 @@
         zone,
         link_mbps: 10,
     });
-    let names = watcher::choose(zone, members);
+    let names = watcher::hubs(zone, members);
     names.into_iter().map(str::to_owned).collect()
 }
 
 #[test]
 fn choose_few_nodes_watch_for_themselves() {
-    assert_eq!(chosen(&nodes(4 * FEW), "z0"), Vec::<String>::new());
+    assert_eq!(
+        chosen(&nodes(4 * MAX_DIRECT_NODES), "z0"),
+        Vec::<String>::new()
+    );
 }
 
 /// Every change wakes every watch. With 91 and with 340 nodes eight watch.
@@ -32,7 +35,7 @@
         let all: usize = (0..4)
             .map(|zone| chosen(&nodes, &format!("z{zone}")).len())
             .sum();
-        assert_eq!(all, 4 * WATCHERS);
+        assert_eq!(all, 4 * WATCHER_COUNT);
     }
 }
 
@@ -44,7 +47,7 @@
     nodes.retain(|(name, _)| *name != before[0]);
     let after = chosen(&nodes, "z1");
     assert_eq!(after[0], before[1]);
-    assert_eq!(after.len(), WATCHERS);
+    assert_eq!(after.len(), WATCHER_COUNT);
 }
 
 /// A change was late everywhere because the two that watch for twenty had the smallest links.
@@ -60,7 +63,7 @@
             10
         },
     });
-    let mut names = watcher::choose("z1", members);
+    let mut names = watcher::hubs("z1", members);
     names.sort_unstable();
     assert_eq!(names, ["n41", "n77"]);
 }
@@ -92,10 +95,10 @@
 fn role_two_watch_for_a_region() {
     for count in [40, 91, 340] {
         let nodes = nodes(count);
-        assert_eq!(watching(&roles(&members(&nodes), &[])), WATCHERS);
+        assert_eq!(watching(&roles(&members(&nodes), &[])), WATCHER_COUNT);
         assert_eq!(
             watching(&roles(&members(&nodes), &["z0", "z2"])),
-            2 * WATCHERS
+            2 * WATCHER_COUNT
         );
     }
 }
@@ -115,8 +118,8 @@
         let Role::Follower(asked) = role else {
             continue;
         };
-        assert_eq!(asked.len(), WATCHERS);
-        let hubs = watcher::choose(members[own].zone, members.iter().copied());
+        assert_eq!(asked.len(), WATCHER_COUNT);
+        let hubs = watcher::hubs(members[own].zone, members.iter().copied());
         for name in asked {
             let next = &roles[at(name)];
             if *next == Role::Watcher {
@@ -141,7 +144,12 @@
     let members = members(&nodes);
     let roles = roles(&members, &[]);
     for (member, role) in members.iter().zip(&roles) {
-        assert_eq!(*role == Role::Alone, member.zone != "z1", "{}", member.name);
+        assert_eq!(
+            *role == Role::Direct,
+            member.zone != "z1",
+            "{}",
+            member.name
+        );
     }
-    assert_eq!(watching(&roles), WATCHERS);
+    assert_eq!(watching(&roles), WATCHER_COUNT);
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -217,7 +217,7 @@
     let outcome = if is_failure {
         Outcome::Failed
     } else {
-        Outcome::Good
+        Outcome::Succeeded
     };
     note(
         node,
@@ -298,8 +298,8 @@
         if let Some(outcome) = outcome
             && word != "silent"
         {
-            let short = load::short(server.identity);
-            let is_failure = outcome != Outcome::Good;
+            let short = load::short_id(server.identity);
+            let is_failure = outcome != Outcome::Succeeded;
             node.ends.borrow_mut().observe(ended, short, is_failure);
         }
         if let Some(outcome) = outcome
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -120,7 +120,7 @@
 fn on_trial<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
     let trial = trials::trial(node, order);
-    let busy = trial.servers(trial.stage(now), new.len());
+    let busy = trial.server_count(trial.stage(now), new.len());
     new.sort_by_key(|server| (!is_healthy(node, server), affinity::mix(server.identity)));
     new.truncate(busy);
     new
@@ -131,7 +131,7 @@
 pub fn is_healthy(node: &Node, server: &Server) -> bool {
     let now = now();
     let grey = node.grey.borrow();
-    server.health.is_in(now) && !grey.is_out(now, load::short(server.identity))
+    server.health.is_available(now) && !grey.is_ejected(now, load::short_id(server.identity))
 }
 
 fn prefers_new(node: &Node, order: &Order, session: u64) -> bool {
@@ -143,8 +143,8 @@
             let trial = trials::trial(node, order);
             let stage = trial.stage(now);
             let is_moved = trial.includes(stage, session);
-            let goes_on = node.recent.borrow().goes_on(now, session)
-                || node.recent_elsewhere.borrow().goes_on(now, session);
+            let goes_on = node.recent.borrow().is_ongoing(now, session)
+                || node.recent_elsewhere.borrow().is_ongoing(now, session);
             let must_stay = goes_on && stage < Stage::Loaded;
             !order.is_halted && is_moved && !must_stay
         }
--- a/crates/gateway/src/fetch.rs
+++ b/crates/gateway/src/fetch.rs
@@ -88,7 +88,7 @@
             }
         }
     }
-    let is_away = node.view.borrow().outage.is_away();
+    let is_away = node.view.borrow().outage.is_ongoing();
     if is_away || now() < awaited.since.plus_millis(PEERS_MS) {
         return false;
     }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -65,14 +65,14 @@
             continue;
         }
         let source = source::source(&node);
-        let is_away = node.view.borrow().outage.is_away();
+        let is_away = node.view.borrow().outage.is_ongoing();
         let step = match &source {
             Source::Others(watchers) if is_away => seek(&node, &source, watchers).await,
             Source::Others(watchers) if now() >= own_until => {
                 if follow_watcher(&node, watchers, &mut failed).await {
                     continue;
                 }
-                own_until = now().plus_millis(watcher::OWN_MS);
+                own_until = now().plus_millis(watcher::DIRECT_WATCH_MS);
                 watch(&node, &source).await
             }
             _ => watch(&node, &source).await,
@@ -147,7 +147,7 @@
 async fn fresh_news(node: &Node, name: &str, address: SocketAddr) -> Option<News> {
     let after = node.view.borrow().revision;
     match news::ask(node, address, after).await {
-        Ok(news) if news.is_whole && news.age_ms <= watcher::FRESH_MS => return Some(news),
+        Ok(news) if news.is_whole && news.age_ms <= watcher::MAX_AGE_MS => return Some(news),
         Ok(news) => tracing::info!(
             event = "watcher-stale",
             peer = name,
@@ -172,7 +172,7 @@
     apply::take_items(node, &news.items).await;
     let mut view = node.view.borrow_mut();
     view.revision = view.revision.max(news.revision);
-    let is_back = view.outage.answer(now());
+    let is_back = view.outage.record_answer(now());
     drop(view);
     fetch::hear(node, &news.large, teller);
     if is_back {
@@ -185,11 +185,11 @@
 async fn watch(node: &Rc<Node>, source: &Source) -> Step {
     let (after, is_away) = {
         let view = node.view.borrow();
-        (view.revision, view.outage.is_away())
+        (view.revision, view.outage.is_ongoing())
     };
     let (wait_ms, gather_ms) = match source {
         Source::Store => (WAIT_MS, GATHER_MS),
-        Source::StoreForOthers | Source::Others(_) => (watcher::WAIT_MS, watcher::GATHER_MS),
+        Source::StoreForOthers | Source::Others(_) => (watcher::STORE_WAIT_MS, watcher::BATCH_MS),
     };
     let wait_ms = if is_away { PROBE_MS } else { wait_ms };
     let call = Call::Watch {
@@ -303,7 +303,7 @@
         .store
         .with_label_values(&[kind, "answered"])
         .inc();
-    if node.view.borrow_mut().outage.answer(now()) {
+    if node.view.borrow_mut().outage.record_answer(now()) {
         tracing::info!(event = "store-regained", call = kind);
     }
 }
@@ -314,7 +314,7 @@
         .with_label_values(&[kind, "failed"])
         .inc();
     let mut view = node.view.borrow_mut();
-    if view.outage.fail() {
+    if view.outage.record_failure() {
         tracing::warn!(event = "store-lost", call = kind, reason = %fault, revision = view.revision);
     }
 }
--- a/crates/gateway/src/judge.rs
+++ b/crates/gateway/src/judge.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use fescuerack_core::routed::slowness::Pace;
+use fescuerack_core::routed::slowness::Timing;
 use fescuerack_core::routed::{affinity, escalation};
 use http_body_util::{BodyExt as _, Limited};
 use hyper::{HeaderMap, Response, StatusCode};
@@ -51,10 +51,10 @@
             .dropped_answers
             .with_label_values(&[&*job.route.name])
             .inc();
-        let ended = Ended::Well(Pace {
+        let ended = Ended::Well(Timing {
             head_ms: headed.head_ms,
             expected_ms: headed.expected_ms,
-            event_ms: None,
+            event_interval_ms: None,
         });
         count(node, job, &headed.pick, course.model, ended);
         course.kept = Some(Kept::new(headed, rank, job));
@@ -104,10 +104,10 @@
     let ended = match &collected {
         Err(_) => Ended::Broken,
         Ok(_) if head.status.is_server_error() => Ended::Badly,
-        Ok(_) => Ended::Well(Pace {
+        Ok(_) => Ended::Well(Timing {
             head_ms: headed.head_ms,
             expected_ms: headed.expected_ms,
-            event_ms: None,
+            event_interval_ms: None,
         }),
     };
     count(node, job, &headed.pick, course.model, ended);
@@ -124,7 +124,7 @@
             if head.status.is_server_error() && course.kept.is_some() {
                 return Judged::Refuse(Refusal::Unknown);
             }
-            node.suspects.borrow_mut().ended_well(now(), job.digest);
+            node.suspects.borrow_mut().record_success(now(), job.digest);
             headers::strip(&mut head.headers);
             Judged::Answer(Response::from_parts(head, Answer::whole(body.to_bytes())))
         }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -55,7 +55,7 @@
 ///
 /// When no answer comes in time.
 pub async fn ask(node: &Node, address: SocketAddr, after: u64) -> anyhow::Result<News> {
-    let patience = Duration::from_millis(watcher::ASK_MS) + MARGIN;
+    let patience = Duration::from_millis(watcher::PEER_WAIT_MS) + MARGIN;
     let question = Question {
         after,
         takes_notices: true,
@@ -65,12 +65,12 @@
 
 /// Waits for news and tells them.
 pub async fn tell(node: &Node, question: Question) -> News {
-    if node.store_age_ms() > watcher::FRESH_MS {
+    if node.store_age_ms() > watcher::MAX_AGE_MS {
         // Whoever asks must look elsewhere, and soon.
         return known_since(node, question);
     }
     let mut changes = node.changes.subscribe();
-    let wait = Duration::from_millis(watcher::ASK_MS);
+    let wait = Duration::from_millis(watcher::PEER_WAIT_MS);
     let has_news = changes.wait_for(|revision| *revision > question.after);
     // Without news the answer says how fresh the watcher is.
     let _ = tokio::time::timeout(wait, has_news).await;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -8,10 +8,10 @@
 use fescuerack_core::routed::budget::Budget;
 use fescuerack_core::routed::canary::Counts;
 use fescuerack_core::routed::crash::Suspects;
-use fescuerack_core::routed::load::Others;
-use fescuerack_core::routed::outlier::{Grey, Window};
+use fescuerack_core::routed::load::PeerLoad;
+use fescuerack_core::routed::outlier::{Detector, Window};
 use fescuerack_core::routed::session::Recent;
-use fescuerack_core::routed::slowness::Usual;
+use fescuerack_core::routed::slowness::Baseline;
 use fescuerack_core::routed::wait::Wait;
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
@@ -73,19 +73,19 @@
     /// The same of other nodes, as far as a trial would move them.
     pub recent_elsewhere: RefCell<Recent>,
     /// Work of other nodes by server.
-    pub others: RefCell<Others>,
+    pub others: RefCell<PeerLoad>,
     /// What this node may send to servers that are warming up.
     pub warming: RefCell<Warming>,
     /// How attempts on servers ended here.
     pub ends: RefCell<Window>,
     /// Servers that all nodes leave out.
-    pub grey: RefCell<Grey>,
+    pub grey: RefCell<Detector>,
     /// What the nodes of its group have told this node as their hub.
     pub hub: RefCell<Hubs>,
     /// What hubs have told this node as the top.
     pub top: RefCell<Hubs>,
     /// How long answers usually take, by route and model.
-    pub usual: RefCell<HashMap<u64, Usual>>,
+    pub usual: RefCell<HashMap<u64, Baseline>>,
     /// What this node has learned of how long requests wait, by service.
     pub waits: RefCell<HashMap<Arc<str>, Wait>>,
     /// When changes of the store came.
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -189,7 +189,7 @@
         wants_items,
         takes_notices: true,
         rollouts: rollouts.collect(),
-        suspects: node.suspects.borrow().own().collect(),
+        suspects: node.suspects.borrow().local_crashes().collect(),
     }
 }
 
@@ -232,7 +232,7 @@
         return Vec::new();
     };
     let trial = trials::trial(node, order);
-    recent.going_on(now(), |session| trial.includes(Stage::Sampled, session))
+    recent.ongoing(now(), |session| trial.includes(Stage::Sampled, session))
 }
 
 /// Revision of the order for `service`, and milliseconds since it as far as this node knows.
@@ -262,14 +262,14 @@
     let pause_ms = node.settings.borrow().session_ms;
     let mut elsewhere = node.recent_elsewhere.borrow_mut();
     for &session in sessions {
-        elsewhere.note(now(), session, pause_ms);
+        elsewhere.record(now(), session, pause_ms);
     }
 }
 
 fn hear_suspects(node: &Node, suspects: &[(u64, u32)]) {
     let mut known = node.suspects.borrow_mut();
     for &(digest, crashes) in suspects {
-        known.hear(now(), digest, crashes);
+        known.receive(now(), digest, crashes);
     }
 }
 
@@ -366,7 +366,7 @@
         items,
         large,
         rollouts,
-        suspects: node.suspects.borrow().own().collect(),
+        suspects: node.suspects.borrow().local_crashes().collect(),
     }
 }
 
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -202,10 +202,10 @@
         .map(|(rank, server)| Candidate {
             identity: server.identity,
             load: server.work + others.work(now, server.identity),
-            places: server.listed.places,
-            is_near: *server.listed.zone == *settings.zone,
+            slots: server.listed.places,
+            is_same_zone: *server.listed.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
-            is_suited: route.models.len() < 2 || affinity::suits(rank, count, is_small),
+            is_in_pool: route.models.len() < 2 || affinity::matches_pool(rank, count, is_small),
         })
         .collect();
     let part = match route.kind {
@@ -215,8 +215,8 @@
     };
     let draw = affinity::hash(ask.id.as_bytes());
     let index = match part {
-        Some(part) if affinity::stays_near(shared_tokens(ask)) => {
-            affinity::choose_near(&candidates, part, draw)
+        Some(part) if affinity::prefers_local_zone(shared_tokens(ask)) => {
+            affinity::choose_in_zone(&candidates, part, draw)
         }
         part => affinity::choose(&candidates, part, draw),
     }?;
@@ -226,7 +226,7 @@
     let is_on_trial = order.is_some_and(|order| order.progress != Some(Progress::Completed));
     if order.is_none() && route.kind == Kind::Streaming {
         let mut recent = node.recent.borrow_mut();
-        recent.note(now, job.session, settings.session_ms);
+        recent.record(now, job.session, settings.session_ms);
     }
     warming::take(node, &view, server, now);
     Some(Pick {
@@ -235,7 +235,7 @@
         address: server.listed.address,
         version: server.listed.version.clone(),
         service: service.clone(),
-        is_near: candidates[index].is_near,
+        is_near: candidates[index].is_same_zone,
         is_on_trial,
         is_cold: server.is_cold(now),
         load: candidates[index].load,
@@ -257,7 +257,7 @@
     let loads: Vec<f64> = listed
         .iter()
         .enumerate()
-        .filter(|(place, _)| affinity::suits(*place, count, is_light))
+        .filter(|(place, _)| affinity::matches_pool(*place, count, is_light))
         .map(|(_, server)| server.work + others.work(now, server.identity))
         .collect();
     let servers = u32::try_from(loads.len())
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::slowness::Pace;
+use fescuerack_core::routed::slowness::Timing;
 use http_body_util::BodyExt as _;
 use http_body_util::channel::{Channel, Sender};
 use hyper::Response;
@@ -144,17 +144,17 @@
             let (headed_at, events) = (now(), self.splitter.count());
             match self.part(headed, sender).await {
                 Part::Done => {
-                    let pace = Pace {
+                    let pace = Timing {
                         head_ms,
                         expected_ms,
-                        event_ms: self.event_ms(headed_at, events),
+                        event_interval_ms: self.event_ms(headed_at, events),
                     };
                     let ended = Ended::Well(pace);
                     judge::count(&self.node, &self.job, &pick, self.model, ended);
                     self.node
                         .suspects
                         .borrow_mut()
-                        .ended_well(now(), self.job.digest);
+                        .record_success(now(), self.job.digest);
                     return Ok("whole");
                 }
                 Part::Left => return Ok("caller-left"),
@@ -163,7 +163,7 @@
                     self.node
                         .suspects
                         .borrow_mut()
-                        .crashed(now(), self.job.digest);
+                        .record_crash(now(), self.job.digest);
                     tracing::info!(
                         event = "stream-broken",
                         id = self.job.ask.id,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -233,7 +233,7 @@
                 };
                 judge::count(node, job, &pick, course.model, ended);
                 if matches!(tried, Tried::Unknown) {
-                    node.suspects.borrow_mut().crashed(now(), job.digest);
+                    node.suspects.borrow_mut().record_crash(now(), job.digest);
                 }
                 course.tried.push(pick.id.clone());
                 course.sent += 1;
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use fescuerack_core::routed::load::{self, Duty, Hub, Table};
-use fescuerack_core::routed::outlier::Ends;
+use fescuerack_core::routed::outlier::AttemptCounts;
 use serde::{Deserialize, Serialize};
 
 use crate::clock::now;
@@ -48,23 +48,23 @@
     /// Takes in what a node tells and answers with the sum of all others.
     fn tell(&mut self, work: Work) -> Tables {
         Tables {
-            load: self.load.tell(now(), &work.node, work.tables.load),
-            ends: self.ends.tell(now(), &work.node, work.tables.ends),
+            load: self.load.report(now(), &work.node, work.tables.load),
+            ends: self.ends.report(now(), &work.node, work.tables.ends),
         }
     }
 
     /// Sum of the group, for the top.
     fn group(&mut self) -> Tables {
         Tables {
-            load: self.load.group(now()),
-            ends: self.ends.group(now()),
+            load: self.load.group_sum(now()),
+            ends: self.ends.group_sum(now()),
         }
     }
 
     /// Takes in the sum of the other groups.
     fn hear(&mut self, elsewhere: Tables) {
-        self.load.hear(now(), elsewhere.load);
-        self.ends.hear(now(), elsewhere.ends);
+        self.load.receive(now(), elsewhere.load);
+        self.ends.receive(now(), elsewhere.ends);
     }
 }
 
@@ -79,7 +79,7 @@
 pub async fn run(node: Rc<Node>) {
     let mut was_idle = true;
     loop {
-        tokio::time::sleep(Duration::from_millis(load::TELL_MS)).await;
+        tokio::time::sleep(Duration::from_millis(load::REPORT_INTERVAL_MS)).await;
         let tables = own(&node);
         let role = role(&node);
         // The last telling says that nothing runs any more. A hub goes on: its group may
@@ -125,7 +125,7 @@
 
 /// Takes in what all others have told.
 fn hear(node: &Node, others: &Tables) {
-    node.others.borrow_mut().hear(now(), &others.load);
+    node.others.borrow_mut().receive(now(), &others.load);
     let own = node.ends.borrow_mut().table(now());
     let mut sums: HashMap<u32, u32> = HashMap::new();
     for &(server, ends) in own.iter().chain(&others.ends) {
@@ -133,25 +133,25 @@
         *sum = sum.saturating_add(ends);
     }
     let seen = sums.into_iter();
-    let seen = seen.map(|(server, ends)| (server, Ends::unpack(ends)));
+    let seen = seen.map(|(server, ends)| (server, AttemptCounts::unpack(ends)));
     judge(node, &seen.collect());
 }
 
 /// Leaves out the servers that fail more than the others of their service and version. A
 /// version on trial is judged by [`trials`](crate::trials): left out here, its one loaded
 /// server would stop to show what it does under load.
-fn judge(node: &Node, seen: &HashMap<u32, Ends>) {
+fn judge(node: &Node, seen: &HashMap<u32, AttemptCounts>) {
     let view = node.view.borrow();
     // In order, so that all nodes leave out the same ones of several.
     let mut alike: BTreeMap<(&str, &str), BTreeMap<u32, &str>> = BTreeMap::new();
     for server in view.servers.values() {
         let listed = &server.listed;
         let servers = alike.entry((&listed.service, &listed.version)).or_default();
-        servers.insert(load::short(server.identity), &server.listed.id);
+        servers.insert(load::short_id(server.identity), &server.listed.id);
     }
     for ((service, version), names) in alike {
         let servers: Vec<u32> = names.keys().copied().collect();
-        for server in node.grey.borrow_mut().judge(now(), &servers, seen) {
+        for server in node.grey.borrow_mut().detect(now(), &servers, seen) {
             tracing::warn!(
                 event = "server-left-out-by-all",
                 server = names[&server],
@@ -167,8 +167,13 @@
 fn own_work(node: &Node) -> Table {
     let view = node.view.borrow();
     let busy = view.servers.values().filter(|server| server.work > 0.0);
-    busy.map(|server| (load::short(server.identity), load::hundredths(server.work)))
-        .collect()
+    busy.map(|server| {
+        (
+            load::short_id(server.identity),
+            load::hundredths(server.work),
+        )
+    })
+    .collect()
 }
 
 fn group(node: &Node) -> Work {
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -32,7 +32,7 @@
     let region = settings.regions.get(&settings.zone);
     let is_near = |zone: &str| settings.regions.get(zone) == region;
     match watcher::role(&settings.instance, &settings.zone, &members, is_near) {
-        Role::Alone => Source::Store,
+        Role::Direct => Source::Store,
         Role::Watcher => Source::StoreForOthers,
         Role::Follower(names) => {
             let others = names.into_iter();
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::canary::{self, Stage, Trial, Verdict};
+use fescuerack_core::routed::canary::{self, Canary, Stage, Verdict};
 use fescuerack_core::routed::load;
-use fescuerack_core::routed::slowness::Pace;
+use fescuerack_core::routed::slowness::Timing;
 
 use crate::clock::now;
 use crate::edge::{Answer, Call, Progress, Status};
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ended {
     /// With success.
-    Well(Pace),
+    Well(Timing),
     /// With a failure that the server answered.
     Badly,
     /// Nothing came in the time that the attempt had.
@@ -61,8 +61,8 @@
 
 /// Returns the trial that an order stands for.
 #[must_use]
-pub fn trial(node: &Node, order: &Order) -> Trial {
-    Trial {
+pub fn trial(node: &Node, order: &Order) -> Canary {
+    Canary {
         ordered: order.given,
         due: order.given.plus_millis(order.rollout.within_ms),
         exposure: node.settings.borrow().exposure,
@@ -129,7 +129,7 @@
         (order.rollout.version == pick.version, is_loaded)
     };
     let usual = node.usual.borrow().get(&kind).copied();
-    let slow_ms = usual.and_then(|usual| usual.slow_ms(expected_ms));
+    let slow_ms = usual.and_then(|usual| usual.slow_threshold_ms(expected_ms));
     // Servers under load, and cold ones, are slower whatever their version is.
     let slow_ms = slow_ms.filter(|_| !is_loaded && !pick.is_cold);
     let awaited = Awaited {
@@ -191,7 +191,7 @@
     };
     if ended == Ended::Broken {
         if is_new {
-            known.crashed.insert(load::short(pick.identity));
+            known.crashed.insert(load::short_id(pick.identity));
         }
         return;
     }
@@ -219,7 +219,7 @@
 fn learn(node: &Node, kind: u64, ended: Ended) {
     if let Ended::Well(pace) = ended {
         let mut usual = node.usual.borrow_mut();
-        usual.entry(kind).or_default().learn(&pace);
+        usual.entry(kind).or_default().observe(&pace);
     }
 }
 
@@ -233,7 +233,7 @@
         None => record(node, order, Progress::Running).await,
     }
     let evidence = gather(node, order);
-    let verdict = trial(node, order).judge(now(), &evidence);
+    let verdict = trial(node, order).evaluate(now(), &evidence);
     match verdict {
         Verdict::Hold => {}
         Verdict::Reject => {
@@ -253,7 +253,7 @@
 /// when the collector has not done so.
 fn may_complete(node: &Node, order: &Order, now: Instant) -> bool {
     let trial = trial(node, order);
-    let is_left_open = trial.is_proved(now.minus_millis(DEFER_MS));
+    let is_left_open = trial.is_completion_allowed(now.minus_millis(DEFER_MS));
     peer::collector(node, &order.rollout.service).is_none() || is_left_open
 }
 
@@ -303,7 +303,7 @@
 }
 
 async fn record(node: &Rc<Node>, order: &Order, progress: Progress) {
-    if node.view.borrow().outage.is_away() {
+    if node.view.borrow().outage.is_ongoing() {
         return;
     }
     let status = Status {
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -365,7 +365,7 @@
     }
 
     fn lose_server(&mut self, now: Instant, id: &str) {
-        let held = self.outage.holds_until(now);
+        let held = self.outage.hold_until(now);
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::warmup::{self, Limit, SETTLE_MS, Turn};
+use fescuerack_core::routed::warmup::{self, Limit, Pacer, SETTLE_MS};
 
 use crate::node::Node;
 use crate::server::Server;
@@ -28,7 +28,7 @@
     is_user: bool,
     /// Until when that is believed.
     until: Instant,
-    turn: Turn,
+    turn: Pacer,
 }
 
 impl Warming {
@@ -86,7 +86,7 @@
     };
     let spacing_ms = limit.spacing_ms(view.node_count());
     if let Some(found) = node.warming.borrow_mut().turns.get_mut(&server.identity) {
-        found.turn.take(now, spacing_ms);
+        found.turn.record_send(now, spacing_ms);
     }
     let service = &*server.listed.service;
     node.metrics
@@ -98,8 +98,8 @@
 fn is_user(node: &Node, view: &View, server: &Server, limit: Limit) -> bool {
     let settings = node.settings.borrow();
     let names = view.nodes.keys().map(String::as_str);
-    let users = limit.users(view.node_count());
-    warmup::is_user(&settings.instance, names, server.identity, users)
+    let users = limit.senders(view.node_count());
+    warmup::is_sender(&settings.instance, names, server.identity, users)
 }
 
 /// What the server bears while it is cold; `None` if its service states no limit.
--- a/crates/node/src/aid.rs
+++ b/crates/node/src/aid.rs
@@ -13,7 +13,7 @@
 use anyhow::{Context as _, Result, bail};
 use fescuerack_core::ledger::{Entry, Hold};
 use fescuerack_core::member;
-use fescuerack_core::store::LARGEST_VALUE;
+use fescuerack_core::store::MAX_VALUE_BYTES;
 use fescuerack_wire::peer::{self, Sealed};
 use jsonrpsee::core::client::ClientT as _;
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
@@ -163,7 +163,7 @@
 pub async fn file(shared: &Shared, address: &str, digest: &str) -> Result<String> {
     let file: Option<String> = ask(shared, address, &Ask::File(digest.to_owned())).await?;
     let file = file.context("the peer does not have the file")?;
-    if file.len() > LARGEST_VALUE {
+    if file.len() > MAX_VALUE_BYTES {
         bail!("the peer's file is larger than the store holds");
     }
     Ok(file)
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -3,7 +3,7 @@
 
 use fescuerack_config::key;
 use fescuerack_core::cascade::{self, Plan, Wanted, World};
-use fescuerack_core::session::{Pins, Place};
+use fescuerack_core::session::{Pins, Placement};
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::{chat, header, token};
 
@@ -152,15 +152,15 @@
     call: &Call,
     model: &str,
     mut pins: Pins,
-    place: Place,
+    place: Placement,
 ) -> Option<Session> {
     let session = call.session.as_deref()?;
     let moved_from = match place {
-        Place::Move { from, .. } => {
+        Placement::Move { from, .. } => {
             shared.metrics.count("sessions.moved");
             Some(force.names.versions.name(from).to_string())
         }
-        Place::Start(_) | Place::Keep(_) => None,
+        Placement::Start(_) | Placement::Keep(_) => None,
     };
     pins.set(model, force.names.versions.name(place.version()));
     let secret = shared.settings.peer_key.as_bytes();
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::store::{LARGEST_VALUE, Value};
+use fescuerack_core::store::{MAX_VALUE_BYTES, Value};
 use fescuerack_wire::kv;
 
 #[derive(Clone, Debug)]
@@ -87,7 +87,7 @@
         bytes: Bytes,
         lease: Option<u64>,
     ) -> Result<u64, Refusal> {
-        if bytes.len() > LARGEST_VALUE {
+        if bytes.len() > MAX_VALUE_BYTES {
             return Err(Refusal::TooLarge);
         }
         if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
