--- a/crates/core/src/routed/affinity.rs
+++ b/crates/core/src/routed/affinity.rs
@@ -1,98 +1,101 @@
 //! Choice of the backend server that runs an attempt.
 //!
-//! The patterns of load, and what goes wrong without this:
+//! Each rule handles one kind of load:
 //!
-//! - **Shared prompt parts.** A prompt whose parts are cached is read many times
-//!   faster. Each part gets a home by rendezvous hashing over the servers, which
-//!   all nodes work out alike without a message, and which moves only the parts
-//!   of a server that comes or goes.
-//! - **A hot part.** Its home would be flooded, so a home is passed over while it has
-//!   more work than one and a quarter times the mean and a long prompt besides; the next
-//!   in the hash order is its second home.
-//! - **Text between zones.** Each prompt that goes to a home in another availability zone costs
-//!   bytes between zones, and a short part is read anew for less. So where [`stays_near`] says so, a
-//!   part has a home in each zone too, which is taken while it has no more work than the mean
-//!   ([`choose_near`]): zones have unequal traffic, and callers must not wait for it.
-//! - **Long prompts beside short answers.** An engine reads a long prompt in chunks, and
-//!   every other request on it waits a chunk for each of its tokens. So some engines
-//!   are set aside for what is read quickly ([`suits`]). Neither sort takes the other's
-//!   engines while one of its own is healthy: in a burst the long prompts would fill
-//!   all of them.
-//! - **Plain calls.** Without parts the server with least own work per place is
-//!   taken, the own availability zone first, since bytes between zones cost.
-//! - **A failing server.** Servers that [`health`](super::health) leaves out are
-//!   taken only when no other is left.
+//! - **Shared prompt prefixes.** A prompt whose prefix is in the server's prefix cache is processed
+//!   many times faster. Rendezvous hashing over the servers gives each prefix a home server. All
+//!   nodes compute the same home server without exchanging messages, and when a server joins or
+//!   leaves, only that server's prefixes move.
+//! - **Hot prefixes.** A very frequent prefix would overload its home server. A home server is
+//!   therefore skipped while its load exceeds 1.25 times the mean load plus the cost of one long
+//!   prompt, and the next server in hash order takes the request.
+//! - **Traffic between zones.** Sending a prompt to a home server in another availability zone
+//!   costs bytes between zones, and recomputing a short prefix costs less than that. Where
+//!   [`prefers_local_zone`] holds, a prefix also has a home server in each zone, which is used
+//!   while its load is not above the mean ([`choose_in_zone`]). Zones have unequal traffic, so
+//!   without the limit callers in a busy zone would wait.
+//! - **Long prompts beside short answers.** An engine processes a long prompt in chunks, and every
+//!   other request on it waits one chunk for each of its tokens. Some engines are therefore
+//!   reserved for prompts that are processed quickly ([`matches_pool`]). Neither pool uses the
+//!   other's engines while one of its own is healthy: in a burst, the long prompts would fill all
+//!   of them.
+//! - **Plain calls.** A request without a shared prefix goes to the server with the least load per
+//!   slot. Servers in the local availability zone are preferred, since bytes between zones cost.
+//! - **Failing servers.** Servers that [`health`](super::health) has ejected are used only when no
+//!   other server is left.
 
 use std::cmp::Ordering;
 
-/// A home may have this many times the mean work of the servers that a prompt may go
-/// to.
-const OVER: f64 = 1.25;
-/// Work, in requests of usual size, that a home may have beyond that: reading the
-/// shared parts of a long prompt anew takes as long. Less scatters parts, and so does weighing
-/// queue against cold prompt for each server.
-const SPARE: f64 = 12.0;
-/// Work that counts as much as leaving the own availability zone, for plain
-/// calls.
-const ZONE: f64 = 0.35;
-
-/// Shared tokens of a prompt from which reading them anew in each zone costs more than the text of
-/// its requests between zones.
-const LONG_TOKENS: u32 = 1_024;
-
-/// Part of the servers that is set aside for the smallest model. Its steps are ten
-/// times shorter, so that it hardly fills them, but they wait for every chunk of a
-/// prompt that a large model reads on the same server.
-const SMALL: f64 = 0.25;
-/// Servers from which some are set aside.
-const FEWEST: usize = 4;
+/// Load limit of a home server, as a multiple of the mean load of the servers that the prompt may
+/// go to.
+const MAX_LOAD_RATIO: f64 = 1.25;
+/// Load that a home server may have beyond that, in requests of usual size: recomputing the shared
+/// prefix of a long prompt takes as long. A lower value scatters prefixes over servers, and so does
+/// weighing queue length against an uncached prompt for each server.
+const LOAD_SLACK: f64 = 12.0;
+/// Load per slot that counts as much as leaving the local availability zone, for plain calls.
+const REMOTE_ZONE_PENALTY: f64 = 0.35;
+
+/// Shared tokens of a prompt from which recomputing them in each zone costs more than sending the
+/// text of its requests between zones.
+const MIN_CROSS_ZONE_TOKENS: u32 = 1_024;
+
+/// Share of the servers that is reserved for the smallest model. Its steps are ten times shorter,
+/// so it hardly fills them, but they wait for every prompt chunk that a large model processes on
+/// the same server.
+const SMALL_MODEL_SHARE: f64 = 0.25;
+/// Number of servers from which some are reserved.
+const MIN_SERVERS_FOR_POOLS: usize = 4;
 
 /// One server that may run the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Hash of the server's identity.
     pub identity: u64,
-    /// Own work on it, in requests of usual size.
+    /// Its current load, in requests of usual size.
     pub load: f64,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is in this node's availability zone.
+    /// Whether it is in the node's availability zone.
     pub is_same_zone: bool,
-    /// Whether it counts as healthy.
+    /// Whether it is considered healthy.
     pub is_healthy: bool,
-    /// Whether it is set aside for requests of this sort, see [`suits`].
+    /// Whether it belongs to the pool for requests of this kind, see [`matches_pool`].
     pub is_in_pool: bool,
 }
 
-/// Returns the index of the server to take; `part` is the hash of the prompt part (and
-/// model) that should be cached there.
+/// Returns the index of the server to use.
+///
+/// `prefix` is the hash of the prompt prefix (and model) that should be cached there; `draw` is a
+/// hash of the request that breaks ties between equal servers.
 #[must_use]
-pub fn choose(candidates: &[Candidate], part: Option<u64>, draw: u64) -> Option<usize> {
+pub fn choose(candidates: &[Candidate], prefix: Option<u64>, draw: u64) -> Option<usize> {
     let usable = usable(candidates);
-    match part {
-        Some(part) => by_part(candidates, &usable, part),
+    match prefix {
+        Some(prefix) => by_prefix(candidates, &usable, prefix),
         None => by_load(candidates, &usable, draw),
     }
 }
 
-/// The same for a part that [`stays_near`].
+/// Like [`choose`], for a prefix that [`prefers_local_zone`].
 #[must_use]
-pub fn choose_in_zone(candidates: &[Candidate], part: u64, draw: u64) -> Option<usize> {
-    let order = by_hash(candidates, &usable(candidates), part);
-    let near = order.iter().find(|&&index| candidates[index].is_same_zone);
+pub fn choose_in_zone(candidates: &[Candidate], prefix: u64, draw: u64) -> Option<usize> {
+    let order = by_hash(candidates, &usable(candidates), prefix);
+    let local = order.iter().find(|&&index| candidates[index].is_same_zone);
     let is_free = |index: &&usize| candidates[**index].load <= mean_load(candidates, &order);
-    near.filter(is_free)
+    local
+        .filter(is_free)
         .copied()
-        .or_else(|| choose(candidates, Some(part), draw))
+        .or_else(|| choose(candidates, Some(prefix), draw))
 }
 
-/// Whether a prompt with `shared` tokens that others share too goes to a home in its own zone.
+/// Whether a prompt whose shared prefix has `shared` tokens goes to a home server in its own zone.
 #[must_use]
 pub const fn prefers_local_zone(shared: u32) -> bool {
-    shared < LONG_TOKENS
+    shared < MIN_CROSS_ZONE_TOKENS
 }
 
-/// Healthy servers; failing those, all.
+/// Returns the healthy servers, or all servers if none is healthy.
 fn usable(candidates: &[Candidate]) -> Vec<usize> {
     let healthy: Vec<usize> = (0..candidates.len())
         .filter(|&index| candidates[index].is_healthy)
@@ -103,22 +106,24 @@
     healthy
 }
 
-fn by_part(candidates: &[Candidate], usable: &[usize], part: u64) -> Option<usize> {
-    let order = by_hash(candidates, usable, part);
-    let most = OVER * mean_load(candidates, &order) + SPARE;
-    let home = order.iter().find(|&&index| candidates[index].load < most);
+fn by_prefix(candidates: &[Candidate], usable: &[usize], prefix: u64) -> Option<usize> {
+    let order = by_hash(candidates, usable, prefix);
+    let max_load = MAX_LOAD_RATIO * mean_load(candidates, &order) + LOAD_SLACK;
+    let home = order
+        .iter()
+        .find(|&&index| candidates[index].load < max_load);
     home.or(order.first()).copied()
 }
 
-/// The suited ones of `usable`, or all of them if there are none, in the order in which they are
-/// homes of the part.
-fn by_hash(candidates: &[Candidate], usable: &[usize], part: u64) -> Vec<usize> {
-    let suited = |index: &usize| candidates[*index].is_in_pool;
-    let mut order: Vec<usize> = usable.iter().copied().filter(suited).collect();
+/// Returns the servers of `usable` that are in the pool, or all of `usable` if none is, in the
+/// rendezvous order of the prefix.
+fn by_hash(candidates: &[Candidate], usable: &[usize], prefix: u64) -> Vec<usize> {
+    let is_in_pool = |index: &usize| candidates[*index].is_in_pool;
+    let mut order: Vec<usize> = usable.iter().copied().filter(is_in_pool).collect();
     if order.is_empty() {
         order = usable.to_vec();
     }
-    order.sort_by_key(|&index| std::cmp::Reverse(mix(candidates[index].identity ^ part)));
+    order.sort_by_key(|&index| std::cmp::Reverse(mix(candidates[index].identity ^ prefix)));
     order
 }
 
@@ -128,22 +133,28 @@
     total / f64::from(count)
 }
 
-/// Whether the server at `rank` of `servers` is set aside for small models
-/// (`is_small`) or for the others. All nodes order servers alike, by the hash of
-/// their identity.
+/// Whether the server at `rank` of `servers` belongs to the pool for small models (`is_small`) or
+/// to the pool for the others.
+///
+/// All nodes order servers alike, by the hash of their identity. With fewer than
+/// `MIN_SERVERS_FOR_POOLS` servers there are no pools and every server matches.
 #[must_use]
 pub fn matches_pool(rank: usize, servers: usize, is_small: bool) -> bool {
     let count = |number: usize| f64::from(u32::try_from(number).unwrap_or(u32::MAX));
-    let for_small = (count(servers) * SMALL).round().max(1.0);
+    let for_small = (count(servers) * SMALL_MODEL_SHARE).round().max(1.0);
     let is_for_small = count(rank) < for_small;
-    is_for_small == is_small || servers < FEWEST
+    is_for_small == is_small || servers < MIN_SERVERS_FOR_POOLS
 }
 
 fn by_load(candidates: &[Candidate], usable: &[usize], draw: u64) -> Option<usize> {
     let score = |index: usize| {
         let candidate = &candidates[index];
-        let far = if candidate.is_same_zone { 0.0 } else { ZONE };
-        candidate.load / f64::from(candidate.slots.max(1)) + far
+        let penalty = if candidate.is_same_zone {
+            0.0
+        } else {
+            REMOTE_ZONE_PENALTY
+        };
+        candidate.load / f64::from(candidate.slots.max(1)) + penalty
     };
     usable
         .iter()
@@ -157,7 +168,7 @@
         })
 }
 
-/// Spreads the bits of `value` (the finaliser of `SplitMix64`).
+/// Mixes the bits of `value` (the finaliser of `SplitMix64`).
 #[must_use]
 pub const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -165,7 +176,8 @@
     value ^ (value >> 31)
 }
 
-/// Hashes text, alike on every node and in every version of the program.
+/// Hashes text (FNV-1a, then [`mix`]). The result is the same on every node and in every version of
+/// the program.
 #[must_use]
 pub fn hash(text: &[u8]) -> u64 {
     let mut state = 0xcbf2_9ce4_8422_2325_u64;
--- a/crates/core/src/routed/canary.rs
+++ b/crates/core/src/routed/canary.rs
@@ -1,29 +1,27 @@
-//! A new version of a service on trial.
+//! Canary of a new version of a service.
 //!
-//! The pattern: a version is brought in beside the old one and must have proved
-//! itself by a given time, with nobody watching. It may be bad at once, later,
-//! under load or on one route only, by failing or by being slow. Too much traffic
-//! exposes callers to it; too little proves nothing in time.
+//! A new version runs beside the old one and must be completed or rejected by a given time, without
+//! an operator. It may be bad from the start, later, under load or on one route only, and either
+//! fail or be slow. Too much traffic exposes callers to a bad version; too little gives no evidence
+//! in time.
 //!
-//! - Up to [`LOADED`] of its time the new version gets [`SAMPLE`] of the allowed exposure, on
-//!   so few of its servers ([`Canary::servers`]) that each is somewhat busier than the old
-//!   ones. Which sessions go there follows from a hash, so nodes agree without a message
-//!   and a session stays.
-//! - Then it gets most of the rest of the exposure, on servers that are `PRESSED` times
-//!   as busy as they will be. Sessions that go on keep the first half's share to about
-//!   half of what was meant, so a version that fails on busy servers only may show none of
-//!   its failures there.
-//! - It is not completed while its loaded servers owe most of their answers: the first
-//!   failures of such a version come with them.
-//! - Its answers are compared **by route** with those of the old version over the
-//!   same time, on counts summed over nodes. A route on which it is worse by
-//!   several standard errors and by a least difference rejects it.
-//! - From [`PROVED`] of its time on it may be completed if it has answered
-//!   [`ENOUGH`] requests well; by [`LAST`] it is decided either way. Missing
-//!   evidence never completes it.
-//! - A server that crashes breaks off all that it runs. That is one failure of the version
-//!   ([`Evidence::crashed`]), not as many as there were requests: else the crash of the one
-//!   server on trial rolls a good version back.
+//! - Until [`LOADED_FROM`] of its time the new version gets [`SAMPLE_SHARE`] of the allowed
+//!   exposure, on so few of its servers ([`Canary::server_count`]) that each is somewhat busier
+//!   than the old ones. A hash decides which sessions go there, so nodes agree without messages
+//!   and a session stays on its version.
+//! - Then it gets most of the remaining exposure, on servers that are `LOAD_FACTOR` times as busy
+//!   as after the roll-out. Ongoing sessions limit the share of the first half to about half of the
+//!   intended one, so a version that fails only on busy servers may not fail at all in that half.
+//! - It is not completed while most requests to its loaded servers are unanswered: the first
+//!   failures of a version that fails on busy servers come with these answers.
+//! - Its answers are compared **by route** with those of the old version over the same time, on
+//!   counts summed over all nodes. The version is rejected if on one route it is worse by several
+//!   standard errors and by a minimum difference.
+//! - From [`COMPLETION_FROM`] of its time it may be completed if it has answered [`MIN_ANSWERS`]
+//!   requests; by [`DECIDED_BY`] it is completed or rejected. Missing evidence never completes it.
+//! - A server that crashes breaks all requests that it runs. They count as one failure of the
+//!   version ([`Evidence::crashed`]), not as one for each request: otherwise the crash of the only
+//!   canary server would roll back a good version.
 
 use std::collections::BTreeMap;
 
@@ -31,68 +29,69 @@
 
 use crate::clock::Instant;
 
-/// Part of the allowed exposure, as a share of the sessions, that the new version gets at
-/// first. The rest covers that sessions are not all alike, so that a share of them is not
-/// quite that share of requests.
-pub const SAMPLE: f64 = 0.8;
-/// Part of the given time after which the new version's servers are loaded. Before its half
-/// no session may change to the new version; the rest covers that nodes hear of an
-/// order at different times.
-pub const LOADED: f64 = 0.55;
-/// Part of the given time after which a version may be completed: a fifth of its time
-/// under load, in which requests of several seconds pile up on its servers.
-pub const PROVED: f64 = 0.75;
-/// Part of the allowed exposure that has been used by [`PROVED`]; the rest is for the moment
-/// until all nodes know how it was decided.
-const USED: f64 = 0.9;
-/// How many times as busy as all servers will be those are that get the load: a version may fail
-/// only where half of the places are taken, as at a peak.
-const PRESSED: f64 = 3.0;
-/// Part of the given time by which the trial is decided. Until then a version waits to be completed
-/// whose servers owe more than `OWED` answers for each that they gave under load: one that fails on
-/// busy servers would be completed before the first of its failures is there.
-pub const LAST: f64 = 0.85;
-/// Requests under load that a version may owe for each that it has answered.
-const OWED: u32 = 2;
-/// Answers of the new version without which it is not completed.
-pub const ENOUGH: u32 = 30;
-/// Milliseconds from the order to the first request on the new version: two tellings
-/// of sessions, a second apart.
-const BEGIN_MS: u64 = 2_500;
-/// Standard errors by which the new version must be worse to be rejected, with a look each
+/// Share of the allowed exposure, as a share of the sessions, that the new version gets at first.
+/// The rest is a margin: sessions are not all alike, so a share of the sessions is not exactly that
+/// share of the requests.
+pub const SAMPLE_SHARE: f64 = 0.8;
+/// Fraction of the given time after which the new version's servers are loaded. Before half of the
+/// time no session may change to the new version; the rest is a margin, as nodes receive an order
+/// at different times.
+pub const LOADED_FROM: f64 = 0.55;
+/// Fraction of the given time from which a version may be completed. It leaves a fifth of the time
+/// for the stage under load, in which requests of several seconds accumulate on its servers.
+pub const COMPLETION_FROM: f64 = 0.75;
+/// Share of the allowed exposure that is used by [`COMPLETION_FROM`]. The rest is for the time until
+/// all nodes have received the decision.
+const USED_SHARE: f64 = 0.9;
+/// Load of the servers in the stage under load, as a multiple of the load of all servers after the
+/// roll-out: a version may fail only where half of the slots are in use, as at a peak.
+const LOAD_FACTOR: f64 = 3.0;
+/// Fraction of the given time by which the version is completed or rejected. Until then, completion
+/// waits while the version has more than `MAX_WAITING_RATIO` unanswered requests for each answer
+/// under load: otherwise a version that fails on busy servers would be completed before the first
+/// of its failures is counted.
+pub const DECIDED_BY: f64 = 0.85;
+/// Maximum number of unanswered requests under load for each answered one.
+const MAX_WAITING_RATIO: u32 = 2;
+/// Minimum number of answers of the new version for its completion.
+pub const MIN_ANSWERS: u32 = 30;
+/// Milliseconds from the order to the first request on the new version: two exchanges of sessions,
+/// a second apart.
+const START_DELAY_MS: u64 = 2_500;
+/// Standard errors by which the new version must be worse to be rejected, at one evaluation a
 /// second for half a minute on three routes.
-const SURE: f64 = 3.3;
+const MIN_STANDARD_ERRORS: f64 = 3.3;
 /// Difference of the share of bad answers below which a version is not rejected.
-const WORSE: f64 = 0.03;
-/// Bad answers without which a version is not rejected.
-const FEWEST_BAD: u32 = 4;
-/// Difference of the share of slow answers below which a version is not rejected. Its
-/// servers on trial are busier than the old ones and their caches are cold, so up to a
-/// third of a good version's answers on a route are slow.
-const SLOWER: f64 = 0.38;
-/// Slow answers without which a version is not rejected.
-const FEWEST_SLOW: u32 = 6;
+const MIN_BAD_DIFFERENCE: f64 = 0.03;
+/// Minimum number of bad answers for a rejection.
+const MIN_BAD: u32 = 4;
+/// Difference of the share of slow answers below which a version is not rejected. The canary
+/// servers are busier than the old ones and their caches are cold, so up to a third of a good
+/// version's answers on a route are slow.
+const MIN_SLOW_DIFFERENCE: f64 = 0.38;
+/// Minimum number of slow answers for a rejection.
+const MIN_SLOW: u32 = 6;
 
 /// Answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Answers, bad ones included.
+    /// Answers, including bad ones.
     pub all: u32,
     /// Answers that failed.
     pub bad: u32,
     /// Answers that took many times as long as usual.
     #[serde(default)]
     pub slow: u32,
-    /// Answers of the stage under load.
+    /// Answers in the stage under load.
     #[serde(default)]
     pub loaded: u32,
-    /// Requests of that stage that wait for an answer.
+    /// Requests of that stage that are not yet answered.
     #[serde(default)]
     pub waiting: u32,
 }
 
 impl Count {
-    /// Adds `other`.
+    /// Returns the sum of both counts.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -108,13 +107,13 @@
 /// Answers of both versions on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pair {
-    /// Of the version that is in use.
+    /// Answers of the current version.
     pub old: Count,
-    /// Of the version on trial.
+    /// Answers of the canary version.
     pub new: Count,
 }
 
-/// Answers by route; what nodes tell each other.
+/// Answers by route, as nodes exchange them.
 pub type Counts = BTreeMap<String, Pair>;
 
 /// Adds `other` to `sum`, route by route.
@@ -126,81 +125,81 @@
     }
 }
 
-/// What all nodes have seen of a version on trial.
+/// Evidence on a canary version, summed over all nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// Answers by route.
     pub counts: Counts,
-    /// Servers of the new version that broke off what they ran.
+    /// Servers of the new version that crashed and broke the requests that they ran.
     pub crashed: u32,
 }
 
-/// How far a trial is.
+/// Stage of a canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nodes tell each other which sessions go on.
+    /// Nodes exchange the ongoing sessions; the new version gets no requests yet.
     Waiting,
     /// A few sessions go to the new version.
     Sampled,
-    /// Its servers get more than they will bear later.
+    /// The servers in use get more load than after the roll-out.
     Loaded,
 }
 
-/// What the evidence says.
+/// Verdict on the evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Go on.
+    /// Continue the canary.
     Hold,
-    /// The new version is worse, or has proved nothing in its time.
+    /// The new version is worse, or gave too little evidence in its time.
     Reject,
-    /// The new version has proved itself.
+    /// The new version has given enough evidence that it is not worse.
     Complete,
 }
 
-/// One roll-out as a node sees it.
+/// Canary of one roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Canary {
-    /// When it was ordered.
+    /// When the roll-out was ordered.
     pub ordered: Instant,
-    /// When it must be decided.
+    /// When it must be completed or rejected.
     pub due: Instant,
-    /// Part of the service's requests that the new version may get, over the
-    /// whole time, if it turns out to be bad.
+    /// Share of the service's requests that the new version may get, over the whole time, if it
+    /// turns out to be bad.
     pub exposure: f64,
 }
 
 impl Canary {
-    /// Stage at `now`.
+    /// Returns the stage at `now`.
     #[must_use]
     pub fn stage(&self, now: Instant) -> Stage {
-        if now < self.ordered.plus_millis(BEGIN_MS) {
+        if now < self.ordered.plus_millis(START_DELAY_MS) {
             Stage::Waiting
-        } else if self.passed(now) < LOADED {
+        } else if self.passed(now) < LOADED_FROM {
             Stage::Sampled
         } else {
             Stage::Loaded
         }
     }
 
-    /// Share of the sessions that go to the new version from `stage` on.
+    /// Returns the share of the sessions that go to the new version from `stage` on.
     #[must_use]
     pub fn share(&self, stage: Stage) -> f64 {
         match stage {
             Stage::Waiting => 0.0,
-            Stage::Sampled => SAMPLE * self.exposure,
+            Stage::Sampled => SAMPLE_SHARE * self.exposure,
             Stage::Loaded => {
-                let rest = USED - LOADED * SAMPLE;
-                (rest / (PROVED - LOADED) * self.exposure).min(1.0)
+                let rest = USED_SHARE - LOADED_FROM * SAMPLE_SHARE;
+                (rest / (COMPLETION_FROM - LOADED_FROM) * self.exposure).min(1.0)
             }
         }
     }
 
-    /// Number of its `count` servers that the new version's share goes to.
+    /// Returns how many of the `count` servers of the new version get its share.
     #[must_use]
     pub fn server_count(&self, stage: Stage, count: usize) -> usize {
         let busier = match stage {
             Stage::Waiting | Stage::Sampled => 1.0,
-            Stage::Loaded => PRESSED,
+            Stage::Loaded => LOAD_FACTOR,
         };
         (1..=count)
             .rev()
@@ -208,8 +207,8 @@
             .unwrap_or(1)
     }
 
-    /// Whether the session with this hash goes to the new version from `stage` on. One that
-    /// does at a stage does at all later ones.
+    /// Whether the session with this hash goes to the new version from `stage` on. A session that
+    /// does so at one stage does so at all later ones.
     #[must_use]
     pub fn includes(&self, stage: Stage, session: u64) -> bool {
         let scale = 2f64.powi(32);
@@ -217,7 +216,7 @@
         draw < self.share(stage)
     }
 
-    /// Judges what all nodes have seen.
+    /// Evaluates the evidence of all nodes.
     #[must_use]
     pub fn evaluate(&self, now: Instant, evidence: &Evidence) -> Verdict {
         let mut total = sum(&evidence.counts);
@@ -229,12 +228,12 @@
         if is_worse(&total) {
             return Verdict::Reject;
         }
-        let is_owing = total.new.waiting > OWED * total.new.loaded;
-        let has_answered = total.new.all >= ENOUGH && !is_owing;
+        let is_mostly_waiting = total.new.waiting > MAX_WAITING_RATIO * total.new.loaded;
+        let has_answered = total.new.all >= MIN_ANSWERS && !is_mostly_waiting;
         if self.is_completion_allowed(now) && has_answered {
             return Verdict::Complete;
         }
-        if self.passed(now) >= LAST {
+        if self.passed(now) >= DECIDED_BY {
             return Verdict::Reject;
         }
         Verdict::Hold
@@ -243,10 +242,10 @@
     /// Whether enough of the time has passed for a version to be completed.
     #[must_use]
     pub fn is_completion_allowed(&self, now: Instant) -> bool {
-        self.passed(now) >= PROVED
+        self.passed(now) >= COMPLETION_FROM
     }
 
-    /// Part of the given time that has passed.
+    /// Returns the fraction of the given time that has passed.
     fn passed(&self, now: Instant) -> f64 {
         let given = self.due.since(self.ordered).as_secs_f64().max(0.001);
         now.since(self.ordered).as_secs_f64() / given
@@ -264,23 +263,29 @@
     })
 }
 
-/// Whether the new version surely fails, or drags, more than the old one.
+/// Whether the new version fails, or is slow, significantly more often than the old one.
 fn is_worse(pair: &Pair) -> bool {
     let (old, new) = (pair.old, pair.new);
-    let fails = new.bad >= FEWEST_BAD && exceeds((new.bad, new.all), (old.bad, old.all), WORSE);
-    let drags =
-        new.slow >= FEWEST_SLOW && exceeds((new.slow, new.all), (old.slow, old.all), SLOWER);
-    fails || drags
+    let fails =
+        new.bad >= MIN_BAD && exceeds((new.bad, new.all), (old.bad, old.all), MIN_BAD_DIFFERENCE);
+    let is_slow = new.slow >= MIN_SLOW
+        && exceeds(
+            (new.slow, new.all),
+            (old.slow, old.all),
+            MIN_SLOW_DIFFERENCE,
+        );
+    fails || is_slow
 }
 
-/// Whether the share `new` (some of all) is surely above `old`, by `least` at least.
-fn exceeds(new: (u32, u32), old: (u32, u32), least: f64) -> bool {
-    // One imagined bad answer in ten for an old version without answers keeps
-    // a route without traffic from rejecting on its own failures alone.
+/// Whether the share `new` exceeds `old` significantly and by at least `min_difference`. A share is
+/// a pair of the counted answers and all answers.
+fn exceeds(new: (u32, u32), old: (u32, u32), min_difference: f64) -> bool {
+    // One bad answer in ten is added to those of the old version. Otherwise a route on which the
+    // old version has no traffic would reject on the failures of the new version alone.
     let old_all = f64::from(old.1) + 10.0;
     let old_share = (f64::from(old.0) + 1.0) / old_all;
     let new_all = f64::from(new.1);
     let new_share = f64::from(new.0) / new_all;
     let error = (old_share * (1.0 - old_share) * (1.0 / new_all + 1.0 / old_all)).sqrt();
-    new_share - old_share > least.max(SURE * error)
+    new_share - old_share > min_difference.max(MIN_STANDARD_ERRORS * error)
 }
--- a/crates/core/src/routed/escalation.rs
+++ b/crates/core/src/routed/escalation.rs
@@ -1,53 +1,52 @@
-//! Which of a route's models answers.
+//! Escalation from the smallest to the largest model of a route.
 //!
-//! The pattern: small models answer fast and cheaply but too weakly for hard
-//! requests; large ones are ten times slower, and a fleet that sends everything
-//! to them queues for seconds. The smallest model is asked first. Its answer's
-//! head carries the model's own confidence; below a threshold the answer is
-//! dropped before the caller has any of it, and the largest model is asked.
+//! Small models answer fast and cheaply, but are too weak for hard requests. Large models are ten
+//! times slower, and a fleet that sends every request to them has queues of seconds. The smallest
+//! model therefore gets each request first. The head of its answer contains the model's confidence;
+//! below a threshold the answer is discarded before any of it is sent to the caller, and the
+//! largest model gets the request.
 //!
-//! Models between the two are left out: an answer that the smallest doubts is
-//! mostly too hard for the middle one as well, and then two answers are thrown
-//! away.
+//! Models between the two are skipped: a request for which the smallest model has low confidence is
+//! mostly too hard for the middle one as well, and then two answers would be discarded.
 //!
-//! Under load the threshold falls: a weaker answer now beats a strong one that
-//! comes too late.
+//! The threshold decreases under load: a weaker answer in time is better than a strong one that is
+//! too late.
 
-/// Confidence in percent below which an answer is asked for again while engines
-/// have room.
-pub const THRESHOLD: u8 = 50;
+/// Confidence in percent below which a request escalates while the servers have spare capacity.
+pub const CONFIDENCE_THRESHOLD: u8 = 50;
 
-/// Pressure up to which the threshold stands: less than a long prompt at each server.
-pub const CALM: f64 = 30.0;
-/// Pressure from which only [`LEAST`] of it stands: four long prompts at each server, so
-/// that another waits for two seconds and more.
-pub const FULL: f64 = 75.0;
-/// Part of the threshold that stands whatever the pressure.
-pub const LEAST: f64 = 0.2;
+/// Pressure up to which the full threshold applies: less than one long prompt on each server.
+pub const LOW_PRESSURE: f64 = 30.0;
+/// Pressure from which only [`MIN_THRESHOLD_SHARE`] of the threshold applies: four long prompts on
+/// each server, so that another one waits for two seconds or more.
+pub const HIGH_PRESSURE: f64 = 75.0;
+/// Share of the threshold that applies at any pressure.
+pub const MIN_THRESHOLD_SHARE: f64 = 0.2;
 
-/// Returns the model to ask first, as an index into a list ordered by size.
+/// Returns the model to use first, as an index into a list ordered by size.
 #[must_use]
 pub const fn first(models: usize) -> Option<usize> {
     if models == 0 { None } else { Some(0) }
 }
 
-/// Returns the model to ask next when `model` has answered with `confidence`, or
-/// `None` when the answer should stand.
+/// Returns the model to use next when `model` has answered with `confidence`, or `None` when the
+/// answer is kept.
 ///
-/// `pressure` is the mean work, in requests of usual size, of the servers that would run
-/// the larger model.
+/// `pressure` is the mean load, in requests of usual size, of the servers that would run the larger
+/// model.
 #[must_use]
 pub fn next(models: usize, model: usize, confidence: Option<u8>, pressure: f64) -> Option<usize> {
     let largest = models.checked_sub(1)?;
     if model >= largest {
         return None;
     }
-    let doubted = f64::from(confidence?) < f64::from(THRESHOLD) * room(pressure);
-    doubted.then_some(largest)
+    let threshold = f64::from(CONFIDENCE_THRESHOLD) * threshold_share(pressure);
+    let is_too_low = f64::from(confidence?) < threshold;
+    is_too_low.then_some(largest)
 }
 
-/// Part of the threshold that stands under `pressure`.
-fn room(pressure: f64) -> f64 {
-    let over = (pressure - CALM) / (FULL - CALM);
-    1.0 - over.clamp(0.0, 1.0) * (1.0 - LEAST)
+/// Returns the share of the threshold that applies at `pressure`.
+fn threshold_share(pressure: f64) -> f64 {
+    let excess = (pressure - LOW_PRESSURE) / (HIGH_PRESSURE - LOW_PRESSURE);
+    1.0 - excess.clamp(0.0, 1.0) * (1.0 - MIN_THRESHOLD_SHARE)
 }
--- a/crates/core/src/routed/health.rs
+++ b/crates/core/src/routed/health.rs
@@ -1,85 +1,84 @@
-//! Leaving out a backend server that fails or stays silent.
+//! Ejection of backend servers that fail or do not answer, by the outcomes on one node.
 //!
-//! The patterns: a server fails part of what it runs while it calls itself
-//! healthy; a server falls silent, and each attempt on it costs a time-out; a
-//! server answers many times slower. Without this each of them keeps its share
-//! of the traffic, and a non-idempotent request that meets one is lost.
+//! A server may fail part of its requests while it reports itself healthy, it may stop answering so
+//! that each attempt on it costs a time-out, or it may answer many times slower. Without ejection
+//! it would keep its share of the traffic, and each non-idempotent request that it fails is lost.
 //!
-//! Failures are weighed by recency: a mean of outcomes that halves with every
-//! [`HALF_LIFE_OUTCOMES`] outcomes. A server whose mean is over a half is left out, for a time that
-//! doubles while its first attempts after a return fail again. How many may be
-//! left out is for [`affinity`](super::affinity) to say: it prefers healthy servers, and
-//! falls back on all.
+//! Failures enter an exponentially weighted moving average of outcomes with a half-life of
+//! [`HALF_LIFE_OUTCOMES`] outcomes. A server whose average exceeds one half is ejected, for a time
+//! that doubles while its first attempts after a return fail again. This module does not limit how
+//! many servers are ejected: [`affinity`](super::affinity) prefers healthy servers and falls back
+//! to all of them.
 
 use crate::clock::Instant;
 
-/// Weight of the newest outcome. With 0.25 three failures in a row, or four of
-/// six, pass [`FAILING`]; a service that fails 14 in 100 by itself passes it
-/// about once in 300 outcomes.
-const NEWEST: f64 = 0.25;
-/// Outcomes after which an outcome counts for a half.
+/// Weight of the newest outcome in the average. With 0.25, three failures in a row, or four of six,
+/// exceed [`EJECTION_THRESHOLD`]; a service that always fails 14 in 100 exceeds it about once in
+/// 300 outcomes.
+const NEWEST_WEIGHT: f64 = 0.25;
+/// Number of outcomes after which the weight of an outcome has halved.
 pub const HALF_LIFE_OUTCOMES: f64 = 2.4;
-/// Mean of failures from which a server is left out.
-const FAILING: f64 = 0.55;
-/// Milliseconds for which a server is left out at first: about the time in which
-/// a crashed server is back or has left the list.
-const FIRST_MS: u64 = 1_000;
-/// Longest time in milliseconds for which a server is left out.
-const LONGEST_MS: u64 = 8_000;
-/// Mean that a server returns with: one more failure leaves it out again.
-const RETURN: f64 = 0.45;
+/// Average of failures from which a server is ejected.
+const EJECTION_THRESHOLD: f64 = 0.55;
+/// Duration of the first ejection, in milliseconds: about the time in which a crashed server has
+/// restarted or has been removed from the list.
+const BASE_EJECTION_MS: u64 = 1_000;
+/// Longest duration of an ejection, in milliseconds.
+const MAX_EJECTION_MS: u64 = 8_000;
+/// Average with which a server returns: one more failure ejects it again.
+const RETURN_AVERAGE: f64 = 0.45;
 
-/// How an attempt on a server ended, as far as the server's health goes.
+/// Outcome of an attempt on a server, as far as it concerns the server's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The server answered.
     Succeeded,
-    /// Failed, or broke off.
+    /// The attempt failed or the connection broke.
     Failed,
-    /// Could not be reached: left out at once.
+    /// The server could not be reached. It is ejected immediately.
     Unreached,
 }
 
-/// The health of one server as this node has seen it.
+/// Health of one server, by the attempts of the local node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Health {
     failures: f64,
-    out_until: Option<Instant>,
-    out_ms: u64,
+    ejected_until: Option<Instant>,
+    ejection_ms: u64,
 }
 
 impl Health {
-    /// Whether the server may be chosen.
+    /// Whether the server is not ejected.
     #[must_use]
     pub fn is_available(&self, now: Instant) -> bool {
-        self.out_until.is_none_or(|until| now >= until)
+        self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// Mean of failures, from 0 to 1.
+    /// Returns the average of failures, from 0 to 1.
     #[must_use]
     pub const fn failures(&self) -> f64 {
         self.failures
     }
 
-    /// Takes in an outcome; returns whether the server is left out because of it.
+    /// Records an outcome and returns whether it ejects the server.
     pub fn observe(&mut self, now: Instant, outcome: Outcome) -> bool {
         let failure = if outcome == Outcome::Succeeded {
             0.0
         } else {
             1.0
         };
-        self.failures += NEWEST * (failure - self.failures);
+        self.failures += NEWEST_WEIGHT * (failure - self.failures);
         if outcome == Outcome::Succeeded {
-            if self.failures < RETURN / 2.0 {
-                self.out_ms = 0;
+            if self.failures < RETURN_AVERAGE / 2.0 {
+                self.ejection_ms = 0;
             }
             return false;
         }
-        let out = outcome == Outcome::Unreached || self.failures >= FAILING;
-        if out && self.is_available(now) {
-            self.out_ms = (self.out_ms * 2).clamp(FIRST_MS, LONGEST_MS);
-            self.out_until = Some(now.plus_millis(self.out_ms));
-            self.failures = RETURN;
+        let is_ejected = outcome == Outcome::Unreached || self.failures >= EJECTION_THRESHOLD;
+        if is_ejected && self.is_available(now) {
+            self.ejection_ms = (self.ejection_ms * 2).clamp(BASE_EJECTION_MS, MAX_EJECTION_MS);
+            self.ejected_until = Some(now.plus_millis(self.ejection_ms));
+            self.failures = RETURN_AVERAGE;
             return true;
         }
         false
--- a/crates/core/src/routed/lease_expiry.rs
+++ b/crates/core/src/routed/lease_expiry.rs
@@ -1,40 +1,40 @@
-//! Backend servers whose entries vanish while the store is away.
+//! Backend servers whose store entries expire during an outage of the store.
 //!
-//! Entries live by leases. During an outage leases may lapse although their
-//! servers are well; the entries return within [`REREGISTRATION_MS`] of the store. A node
-//! that believed such a removal at once would lose its whole fleet the moment the
-//! store is back. So a removal that is heard of shortly after an outage is held
-//! until that time is over; one that is heard of on a calm day counts at once,
-//! as does a server's own word that it leaves.
+//! Entries are bound to leases. During an outage, leases may expire although their servers are
+//! healthy; the servers register again within [`REREGISTRATION_MS`] of the end of the outage. A
+//! node that applied such a removal immediately would lose its whole fleet as soon as the store is
+//! back. A removal that is received shortly after an outage is therefore held until that time has
+//! passed. A removal at any other time takes effect immediately, as does a server's own report that
+//! it is leaving.
 
 use crate::clock::Instant;
 
-/// Milliseconds after the return of the store in which entries come back.
+/// Milliseconds after the end of an outage in which servers register again.
 pub const REREGISTRATION_MS: u64 = 2_000;
 
-/// What this node knows of the store's outages.
+/// Outages of the store, as observed by the local node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
     is_ongoing: bool,
-    returned: Option<Instant>,
+    ended: Option<Instant>,
 }
 
 impl Outage {
-    /// Notes that a call to the store failed; returns whether that is news.
+    /// Records that a call to the store failed and returns whether an outage begins.
     pub const fn record_failure(&mut self) -> bool {
-        let news = !self.is_ongoing;
+        let is_change = !self.is_ongoing;
         self.is_ongoing = true;
-        news
+        is_change
     }
 
-    /// Notes that the store answered; returns whether that is news.
+    /// Records that the store answered and returns whether an outage ends.
     pub const fn record_answer(&mut self, now: Instant) -> bool {
-        let news = self.is_ongoing;
-        if news {
-            self.returned = Some(now);
+        let is_change = self.is_ongoing;
+        if is_change {
+            self.ended = Some(now);
         }
         self.is_ongoing = false;
-        news
+        is_change
     }
 
     /// Whether the last call failed.
@@ -43,10 +43,11 @@
         self.is_ongoing
     }
 
-    /// Until when a removal that is heard of at `now` is held.
+    /// Returns until when a removal that is received at `now` is held, or `None` if it takes effect
+    /// immediately.
     #[must_use]
     pub fn hold_until(&self, now: Instant) -> Option<Instant> {
-        let until = self.returned?.plus_millis(REREGISTRATION_MS);
+        let until = self.ended?.plus_millis(REREGISTRATION_MS);
         (now < until).then_some(until)
     }
 }
--- a/crates/core/src/routed/load.rs
+++ b/crates/core/src/routed/load.rs
@@ -1,21 +1,21 @@
-//! What other nodes have running on each backend server.
+//! Load of the peers on each backend server.
 //!
-//! The pattern: each of many nodes sees a small part of the traffic. Balancing its
-//! own part well, it still sends a long prompt to a server on which three others
-//! have just put theirs, and all four wait. Servers' own reports are late and cost a
-//! call each, so nodes tell each other instead: every [`REPORT_INTERVAL_MS`] each tells one of
-//! them, the hub of its group, the work that it has on each server, and hears the
-//! sum of the others'. Messages grow with the number of nodes, not its square.
+//! Each of many nodes handles a small part of the traffic. Even if it balances that part well, it
+//! may send a long prompt to a server to which three peers have just sent theirs, and all four
+//! wait. Reports of the servers themselves are late and cost a call each, so nodes exchange their
+//! load: every [`REPORT_INTERVAL_MS`] each node sends its load on each server to one peer, the hub
+//! of its group, and receives the sum of the other nodes' load. The number of messages is linear in
+//! the number of nodes, not quadratic.
 //!
-//! Up to [`MAX_GROUP_NODES`] nodes form one group. Else a group is an availability zone, or a part of a large
-//! one, as bytes between zones cost. Hubs tell one of them, the top, the sum of their groups and
-//! hear that of the other groups, so every node knows the work of all, at most two tellings old.
-//! With sums of one group that stood for the whole, a prompt of a node in the group counted four
-//! times and those of the other groups not at all: streams on servers that were so flooded starved
-//! until their deadline.
+//! Up to [`MAX_GROUP_NODES`] nodes form one group. With more nodes a group is an availability zone,
+//! or a part of a large one, since bytes between zones cost. Each hub reports the sum of its group
+//! to one of the hubs, the top, and receives the sum of the other groups. Every node thus has the
+//! load of all nodes, at most two report intervals old. Extrapolating from one group instead would
+//! count a prompt of that group four times and prompts of the other groups not at all: streams on
+//! servers that were overloaded in this way starved until their deadline.
 //!
-//! What was heard fades with its age, and a hub that dies costs nothing but the
-//! view until the next one is agreed on.
+//! The weight of received load decays with its age. When a hub fails, its group only lacks the load
+//! of the peers until the nodes agree on the next hub.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -23,49 +23,49 @@
 use super::rank::{Instance, Rank};
 use crate::clock::Instant;
 
-/// Milliseconds between two tellings: about the time that a long prompt is read in.
+/// Milliseconds between two reports of a node: about the processing time of a long prompt.
 pub const REPORT_INTERVAL_MS: u64 = 250;
-/// Nodes that share a hub at most. A hub answers four messages a second from each.
+/// Maximum number of nodes that share a hub. A hub answers four messages a second from each.
 pub const MAX_GROUP_NODES: usize = 24;
-/// Milliseconds after which what a node told is forgotten.
-const FORGET_MS: u64 = 1_200;
-/// Milliseconds in which what was heard counts for half: prompts are read and done.
-const HALF_MS: f64 = 600.0;
+/// Milliseconds after which a report expires.
+const REPORT_TTL_MS: u64 = 1_200;
+/// Half-life of received load in milliseconds: meanwhile prompts are processed and requests end.
+const HALF_LIFE_MS: f64 = 600.0;
 
-/// Work by the hash of a server's identity, in hundredths of a usual request.
+/// Load by the short identifier of a server, in hundredths of a usual request.
 pub type Table = Vec<(u32, u32)>;
 
-/// Work of others as this node knows it.
+/// Load of all peers, as last received from the hub.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoad {
     sums: HashMap<u32, f64>,
-    heard: Option<Instant>,
+    received: Option<Instant>,
 }
 
-/// What a hub has been told.
+/// Reports that a hub has received.
 #[derive(Clone, Debug, Default)]
 pub struct Hub {
-    told: BTreeMap<String, (Instant, Table)>,
-    /// Sum of the other groups, and when the top told it.
-    elsewhere: Option<(Instant, Table)>,
+    reports: BTreeMap<String, (Instant, Table)>,
+    /// Sum of the other groups, and when it was received from the top.
+    other_groups: Option<(Instant, Table)>,
 }
 
-/// What a node does for the others.
+/// Role of a node in the exchange of load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duty<'a> {
-    /// Tells the named hub of its group.
+    /// Reports to the named hub of its group.
     Member(&'a str),
-    /// Is the hub of its group and tells the named top.
+    /// Is the hub of its group and reports to the named top.
     Hub(&'a str),
-    /// Is a hub, and the top.
+    /// Is the hub of its group and the top of all hubs.
     Top,
 }
 
-/// Returns what `own` does, of `nodes`. All nodes that know the same others agree.
+/// Returns the role of the node `local` among `nodes`. Nodes with the same list of nodes agree.
 #[must_use]
-pub fn duty<'a>(own: &str, nodes: &[Instance<'a>]) -> Duty<'a> {
-    // Few nodes form one group: what they hear is a telling fresher.
-    let place = |zone: &'a str| {
+pub fn duty<'a>(local: &str, nodes: &[Instance<'a>]) -> Duty<'a> {
+    // A small fleet forms one group, so that its data is one report interval fresher.
+    let group_zone = |zone: &'a str| {
         if nodes.len() <= MAX_GROUP_NODES {
             ""
         } else {
@@ -74,16 +74,16 @@
     };
     let mut sizes: BTreeMap<&str, usize> = BTreeMap::new();
     for member in nodes {
-        *sizes.entry(place(member.zone)).or_default() += 1;
+        *sizes.entry(group_zone(member.zone)).or_default() += 1;
     }
     let mut hubs: BTreeMap<(&str, u64), Instance<'a>> = BTreeMap::new();
-    let mut group_of_own = None;
+    let mut local_group = None;
     for member in nodes {
-        let zone = place(member.zone);
+        let zone = group_zone(member.zone);
         let parts = u64::try_from(sizes[zone].div_ceil(MAX_GROUP_NODES)).unwrap_or(1);
         let group = (zone, affinity::hash(member.name.as_bytes()) % parts);
-        if member.name == own {
-            group_of_own = Some(group);
+        if member.name == local {
+            local_group = Some(group);
         }
         let hub = hubs.entry(group).or_insert(*member);
         if rank(member) > rank(hub) {
@@ -91,11 +91,11 @@
         }
     }
     let top = hubs.values().max_by_key(|hub| rank(hub));
-    let hub = group_of_own.map(|group| hubs[&group].name);
+    let hub = local_group.map(|group| hubs[&group].name);
     match (hub, top.map(|top| top.name)) {
-        (Some(hub), _) if hub != own => Duty::Member(hub),
-        (Some(_), Some(top)) if top != own => Duty::Hub(top),
-        // A node that has not heard of itself yet tells nobody.
+        (Some(hub), _) if hub != local => Duty::Member(hub),
+        (Some(_), Some(top)) if top != local => Duty::Hub(top),
+        // A node that is not yet in its local list of nodes reports to nobody.
         _ => Duty::Top,
     }
 }
@@ -104,82 +104,83 @@
     member.rank(affinity::hash(b"hub"))
 }
 
-/// Returns the short name of a server in tables.
+/// Returns the short identifier of a server in tables.
 #[must_use]
 pub const fn short_id(identity: u64) -> u32 {
     (identity >> 32) as u32
 }
 
-/// Returns work as it stands in tables.
+/// Returns load in the unit of tables, hundredths of a usual request.
 #[must_use]
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the cast saturates, and work is never negative"
+    reason = "the cast saturates, and load is never negative"
 )]
-pub const fn hundredths(work: f64) -> u32 {
-    (work * 100.0) as u32
+pub const fn hundredths(load: f64) -> u32 {
+    (load * 100.0) as u32
 }
 
 impl Hub {
-    /// Takes in what `node` tells and answers with the sum of all others.
+    /// Records the report of `node` and returns the sum of all other nodes.
     pub fn report(&mut self, now: Instant, node: &str, table: Table) -> Table {
-        self.forget(now);
-        self.told.insert(node.to_owned(), (now, table));
-        let others = self.told.iter().filter(|(other, _)| *other != node);
-        let others = others.map(|(_, told)| told);
-        sum(now, others.chain(&self.elsewhere))
+        self.expire(now);
+        self.reports.insert(node.to_owned(), (now, table));
+        let others = self.reports.iter().filter(|(other, _)| *other != node);
+        let others = others.map(|(_, report)| report);
+        sum(now, others.chain(&self.other_groups))
     }
 
-    /// Sum of the group, for the top.
+    /// Returns the sum of the group, to be reported to the top.
     pub fn group_sum(&mut self, now: Instant) -> Table {
-        self.forget(now);
-        sum(now, self.told.values())
+        self.expire(now);
+        sum(now, self.reports.values())
     }
 
-    /// Drops nodes that are gone: instances are replaced every day under new names.
-    fn forget(&mut self, now: Instant) {
-        self.told
-            .retain(|_, (told, _)| now < told.plus_millis(FORGET_MS));
+    /// Removes expired reports: instances are replaced every day under new names.
+    fn expire(&mut self, now: Instant) {
+        self.reports
+            .retain(|_, (at, _)| now < at.plus_millis(REPORT_TTL_MS));
     }
 
-    /// Takes in the sum of the other groups.
-    pub fn receive(&mut self, now: Instant, elsewhere: Table) {
-        self.elsewhere = Some((now, elsewhere));
+    /// Records the sum of the other groups.
+    pub fn receive(&mut self, now: Instant, other_groups: Table) {
+        self.other_groups = Some((now, other_groups));
     }
 }
 
-fn sum<'a>(now: Instant, told: impl Iterator<Item = &'a (Instant, Table)>) -> Table {
+fn sum<'a>(now: Instant, reports: impl Iterator<Item = &'a (Instant, Table)>) -> Table {
     let mut sums: BTreeMap<u32, u32> = BTreeMap::new();
-    for (at, table) in told {
-        if now >= at.plus_millis(FORGET_MS) {
+    for (at, table) in reports {
+        if now >= at.plus_millis(REPORT_TTL_MS) {
             continue;
         }
-        for &(server, work) in table {
+        for &(server, load) in table {
             let sum = sums.entry(server).or_default();
-            *sum = sum.saturating_add(work);
+            *sum = sum.saturating_add(load);
         }
     }
     sums.into_iter().collect()
 }
 
 impl PeerLoad {
-    /// Takes in the answer of a hub.
+    /// Records the answer of a hub, which replaces the previous one.
     pub fn receive(&mut self, now: Instant, table: &Table) {
-        self.heard = Some(now);
+        self.received = Some(now);
         self.sums = table
             .iter()
-            .map(|&(server, work)| (server, f64::from(work) / 100.0))
+            .map(|&(server, load)| (server, f64::from(load) / 100.0))
             .collect();
     }
 
-    /// Work of others on a server.
+    /// Returns the load of the peers on a server, in requests of usual size.
     #[must_use]
     pub fn work(&self, now: Instant, identity: u64) -> f64 {
-        let (Some(heard), Some(sum)) = (self.heard, self.sums.get(&short_id(identity))) else {
+        let (Some(received), Some(sum)) = (self.received, self.sums.get(&short_id(identity)))
+        else {
             return 0.0;
         };
-        let age_ms = now.since(heard).as_secs_f64() * 1_000.0;
-        sum * 0.5_f64.powf(age_ms / HALF_MS)
+        let age_ms = now.since(received).as_secs_f64() * 1_000.0;
+        sum * 0.5_f64.powf(age_ms / HALF_LIFE_MS)
     }
 }
--- a/crates/core/src/routed/slowness.rs
+++ b/crates/core/src/routed/slowness.rs
@@ -1,38 +1,40 @@
-//! Whether an answer came slowly, for the trial of a version.
+//! Classification of answers as slow, for the canary of a version.
 //!
-//! The patterns: a version is many times slower, and its trial must show it. And a good version is
-//! slow at first: its servers have just started, so that they have no prompt cached, and the trial
-//! puts so much on few of them that each is busier than the old ones. Compared by time alone, in a
-//! burst a good version was taken for a slow one.
+//! A version that is many times slower must be detected during its canary. A good version may also
+//! be slow at first: its servers have just started, so their prompt caches are empty, and the
+//! canary sends so much to few of them that each is busier than the old ones. By response time
+//! alone, a good version would be classified as slow in a burst.
 //!
-//! So a first token is slow if it took many times as long as is usual for the route and model
-//! **and** as is expected behind the work on its server, by what the old version's servers need for
-//! such work ([`Wait`](super::wait::Wait)). The time between events is compared with the usual one:
-//! a version that is slow by itself shows there also on idle servers, whose first tokens are quick.
+//! A first token is therefore slow only if it took many times as long as is usual for the route and
+//! model **and** as is expected from the load on its server, by what the old version's servers need
+//! for that load ([`Wait`](super::wait::Wait)). The time between events (inter-token latency) is
+//! compared with the usual one only: a version that is inherently slow also shows it there on idle
+//! servers, whose first tokens are quick.
 
-/// A first token is slow from this many times the usual time.
-const SLOW: f64 = 4.0;
-/// And from this many times the expected one: a slow version's own queue makes more expected.
-const SLOW_EXPECTED: f64 = 3.0;
-/// Events are slow from this many times the usual time between them.
-const SLOW_EVENTS: f64 = 3.0;
-/// Milliseconds below which no first token is slow.
-const SLOW_MS: f64 = 400.0;
-/// Answers in a mean from which it is trusted.
-const TRUSTED: u32 = 8;
+/// A first token is slow from this multiple of the usual time.
+const HEAD_FACTOR: f64 = 4.0;
+/// A first token is slow from this multiple of the expected time, which the queue of a slow version
+/// itself raises.
+const EXPECTED_FACTOR: f64 = 3.0;
+/// Events are slow from this multiple of the usual time between them.
+const EVENT_FACTOR: f64 = 3.0;
+/// Milliseconds up to which no first token is slow.
+const MIN_SLOW_MS: f64 = 400.0;
+/// Number of answers from which a mean is used.
+const MIN_SAMPLES: u32 = 8;
 
-/// How fast an answer came.
+/// Timing of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// Milliseconds until its head.
+    /// Milliseconds until its head was received.
     pub head_ms: f64,
-    /// Milliseconds until its head that the work on its server made likely.
+    /// Expected milliseconds until its head, given the load on its server.
     pub expected_ms: f64,
     /// Milliseconds between its events, if it has enough of them.
     pub event_interval_ms: Option<f64>,
 }
 
-/// How long answers of one route and model usually take.
+/// Usual timing of the answers of one route and model.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Baseline {
     head: Mean,
@@ -40,54 +42,54 @@
 }
 
 impl Baseline {
-    /// Takes in an answer.
-    pub fn observe(&mut self, pace: &Timing) {
-        self.head.add(pace.head_ms);
-        if let Some(millis) = pace.event_interval_ms {
+    /// Records the timing of an answer.
+    pub fn observe(&mut self, timing: &Timing) {
+        self.head.add(timing.head_ms);
+        if let Some(millis) = timing.event_interval_ms {
             self.event.add(millis);
         }
     }
 
-    /// Milliseconds from which a first token is slow that was expected after `expected_ms`; `None`
-    /// while nothing is known to compare with.
+    /// Returns the milliseconds above which a first token is slow that was expected after
+    /// `expected_ms`, or `None` while there are too few answers to compare with.
     #[must_use]
     pub fn slow_threshold_ms(&self, expected_ms: f64) -> Option<f64> {
-        let usual = self.head.millis * SLOW;
-        let expected = expected_ms * SLOW_EXPECTED;
-        (self.head.count >= TRUSTED).then(|| usual.max(expected).max(SLOW_MS))
+        let usual = self.head.millis * HEAD_FACTOR;
+        let expected = expected_ms * EXPECTED_FACTOR;
+        (self.head.count >= MIN_SAMPLES).then(|| usual.max(expected).max(MIN_SLOW_MS))
     }
 
-    /// Whether an answer came slowly.
+    /// Whether an answer was slow, in its first token or between its events.
     #[must_use]
-    pub fn is_slow(&self, pace: &Timing) -> bool {
-        let slow_ms = self.slow_threshold_ms(pace.expected_ms);
-        let is_late = slow_ms.is_some_and(|millis| pace.head_ms > millis);
-        let dragging = self.event.millis * SLOW_EVENTS;
-        let drags = pace
+    pub fn is_slow(&self, timing: &Timing) -> bool {
+        let slow_ms = self.slow_threshold_ms(timing.expected_ms);
+        let is_late = slow_ms.is_some_and(|millis| timing.head_ms > millis);
+        let slow_interval_ms = self.event.millis * EVENT_FACTOR;
+        let has_slow_events = timing
             .event_interval_ms
-            .is_some_and(|millis| millis > dragging);
-        is_late || (self.event.count >= TRUSTED && drags)
+            .is_some_and(|millis| millis > slow_interval_ms);
+        is_late || (self.event.count >= MIN_SAMPLES && has_slow_events)
     }
 }
 
-/// A mean in which the newest values weigh most.
+/// A mean of durations, exponentially weighted once there are enough values.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     /// Milliseconds.
     millis: f64,
-    /// Values in the mean, up to a bound.
+    /// Number of values in the mean, at most [`Self::MAX_COUNT`].
     count: u32,
 }
 
 impl Mean {
-    /// Weight of the newest value, once there are many.
-    const NEWEST: f64 = 0.1;
-    /// Values that are counted at most.
-    const MOST: u32 = 1_000;
+    /// Weight of the newest value once there are many.
+    const NEWEST_WEIGHT: f64 = 0.1;
+    /// Maximum number of values that are counted.
+    const MAX_COUNT: u32 = 1_000;
 
     fn add(&mut self, millis: f64) {
-        self.count = (self.count + 1).min(Self::MOST);
-        let weight = (1.0 / f64::from(self.count)).max(Self::NEWEST);
+        self.count = (self.count + 1).min(Self::MAX_COUNT);
+        let weight = (1.0 / f64::from(self.count)).max(Self::NEWEST_WEIGHT);
         self.millis += weight * (millis - self.millis);
     }
 }
--- a/crates/core/src/routed/wait.rs
+++ b/crates/core/src/routed/wait.rs
@@ -1,47 +1,48 @@
-//! How long a request waits for its first token behind the work on an engine.
+//! Estimate of the time to first token of a request from the load on its server.
 //!
-//! The pattern: a server that has many times the work of the others answers as much later, and is
-//! as sound as they are. Told from a slow one it can be only by how long such work usually takes,
-//! and that differs: the same work, in requests of usual size, takes one deployment's engines twice
-//! as long as another's, and longer prompts change it within a day.
+//! A server with many times the load of the others answers correspondingly later, although it is as
+//! healthy as they are. It can be distinguished from a slow server only by how long that load
+//! usually takes. This differs: the same load, in requests of usual size, takes the engines of one
+//! deployment twice as long as those of another, and longer prompts change it within a day.
 //!
-//! Each node learns from its own answers how many milliseconds a unit of work takes. The sums fade,
-//! so that a day's change shows, and begin with a guess that a few dozen answers outweigh.
+//! Each node therefore estimates from its own answers how many milliseconds one request of usual
+//! size takes. The sums decay exponentially, so that the estimate follows changes within a day, and
+//! start from an initial estimate that a few dozen answers outweigh.
 
-/// Milliseconds that a unit of work is taken for before anything is known.
-const GUESS_MS: f64 = 15.0;
-/// Work with which the guess counts: that ahead of a dozen requests on busy engines.
-const GUESS_WORK: f64 = 300.0;
-/// Part of the sums that stays with each answer: half after some fifty.
-const KEPT: f64 = 0.986;
+/// Initial estimate of the milliseconds for one request of usual size.
+const INITIAL_MS: f64 = 15.0;
+/// Weight of the initial estimate, as a load: that ahead of a dozen requests on busy engines.
+const INITIAL_LOAD: f64 = 300.0;
+/// Factor by which the sums decay with each answer: half remains after about fifty.
+const DECAY: f64 = 0.986;
 
-/// What a node has learned of one service's engines.
+/// Estimate for the engines of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wait {
-    work: f64,
+    load: f64,
     millis: f64,
 }
 
 impl Default for Wait {
     fn default() -> Self {
         Self {
-            work: GUESS_WORK,
-            millis: GUESS_WORK * GUESS_MS,
+            load: INITIAL_LOAD,
+            millis: INITIAL_LOAD * INITIAL_MS,
         }
     }
 }
 
 impl Wait {
-    /// Takes in that a first token came after `millis` on a server that had `work`, the request's
-    /// own included.
-    pub fn observe(&mut self, work: f64, millis: f64) {
-        self.work = self.work * KEPT + work;
-        self.millis = self.millis * KEPT + millis;
+    /// Records a time to first token of `millis` on a server with `load`, which includes the
+    /// request itself.
+    pub fn observe(&mut self, load: f64, millis: f64) {
+        self.load = self.load * DECAY + load;
+        self.millis = self.millis * DECAY + millis;
     }
 
-    /// Milliseconds until the first token behind `work`.
+    /// Returns the expected milliseconds until the first token on a server with `load`.
     #[must_use]
-    pub fn millis(&self, work: f64) -> f64 {
-        work * self.millis / self.work.max(1.0)
+    pub fn millis(&self, load: f64) -> f64 {
+        load * self.millis / self.load.max(1.0)
     }
 }
