--- a/crates/core/src/routed/budget.rs
+++ b/crates/core/src/routed/budget.rs
@@ -1,32 +1,31 @@
-//! Further attempts that one node may make for a service.
+//! Retry budget: further attempts that one node may make for a service.
 //!
-//! The pattern: a service fails for a moment and every node sends what failed
-//! once more, so that the service gets twice its load just when it can bear
-//! least. The bound holds over all nodes together and a sliding window, yet no
-//! message is spent on it: each node takes a fixed part of its own requests and
-//! its part of the fixed slack. The sum over nodes then stays below the
-//! bound whatever the nodes know of each other, as long as none of them
-//! underestimates their number by more than [`CAUTION`].
+//! When a service fails for a moment and every node retries what failed, the service gets twice its
+//! load just when its capacity is lowest. The bound holds for all nodes together over a sliding
+//! window, without messages between them: each node may use a fixed ratio of its own requests and
+//! its share of the fixed slack. The sum over all nodes stays below the bound whatever the nodes
+//! have recorded of each other, as long as no node underestimates their number by more than a
+//! factor of [`MAX_UNDERCOUNT`].
 
 use std::collections::VecDeque;
 
 use crate::clock::Instant;
 
-/// Factor by which the number of nodes may be underestimated: nodes that start
-/// are counted only once they are seen. Half of the slack covers a doubling.
-pub const CAUTION: f64 = 2.0;
-/// Part of the ratio that is used; the rest covers that windows of different
-/// nodes do not end at the same moment.
-pub const USED: f64 = 0.9;
-/// Milliseconds for which counts are gathered before they leave the window.
+/// Factor by which a node may underestimate the number of nodes: nodes that start are counted only
+/// once they have been discovered. Half of the slack covers a doubling.
+pub const MAX_UNDERCOUNT: f64 = 2.0;
+/// Share of the ratio that is used. The rest is a margin, as the windows of different nodes do not
+/// end at the same time.
+pub const USED_SHARE: f64 = 0.9;
+/// Length of one slot of the window, in milliseconds.
 const SLOT_MS: u64 = 500;
 
-/// The bound that all nodes keep together.
+/// Bound on the further attempts of all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
     /// Further attempts per request.
     pub ratio: f64,
-    /// Further attempts in a window besides.
+    /// Further attempts in a window in addition to those by ratio.
     pub slack: f64,
     /// Length of the window in milliseconds.
     pub window_ms: u64,
@@ -39,7 +38,7 @@
     further: u32,
 }
 
-/// What one node has sent to a service within the window.
+/// Requests and further attempts that one node has sent to a service within the window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     slots: VecDeque<Slot>,
@@ -51,22 +50,24 @@
         self.slot(now).requests += 1;
     }
 
-    /// Takes one further attempt, unless `nodes` nodes that all did so could
-    /// exceed `bound`.
+    /// Takes one further attempt from the budget and returns whether it may be made.
+    ///
+    /// It is denied if `nodes` nodes that all took one could exceed `bound`.
     pub fn take(&mut self, now: Instant, bound: &Bound, nodes: usize) -> bool {
-        self.forget(now, bound.window_ms);
+        self.expire(now, bound.window_ms);
         let requests: u32 = self.slots.iter().map(|slot| slot.requests).sum();
         let further: u32 = self.slots.iter().map(|slot| slot.further).sum();
         let nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
-        let most = USED * bound.ratio * f64::from(requests) + bound.slack / (CAUTION * nodes);
-        let fits = f64::from(further) + 1.0 <= most;
+        let max =
+            USED_SHARE * bound.ratio * f64::from(requests) + bound.slack / (MAX_UNDERCOUNT * nodes);
+        let fits = f64::from(further) + 1.0 <= max;
         if fits {
             self.slot(now).further += 1;
         }
         fits
     }
 
-    fn forget(&mut self, now: Instant, window_ms: u64) {
+    fn expire(&mut self, now: Instant, window_ms: u64) {
         while let Some(first) = self.slots.front() {
             if now < first.begins.plus_millis(window_ms + SLOT_MS) {
                 break;
--- a/crates/core/src/routed/canary.rs
+++ b/crates/core/src/routed/canary.rs
@@ -197,13 +197,13 @@
     /// Returns how many of the `count` servers of the new version get its share.
     #[must_use]
     pub fn server_count(&self, stage: Stage, count: usize) -> usize {
-        let busier = match stage {
+        let load_factor = match stage {
             Stage::Waiting | Stage::Sampled => 1.0,
             Stage::Loaded => LOAD_FACTOR,
         };
         (1..=count)
             .rev()
-            .find(|&busy| ratio(busy) * busier <= ratio(count) * self.share(stage))
+            .find(|&busy| to_f64(busy) * load_factor <= to_f64(count) * self.share(stage))
             .unwrap_or(1)
     }
 
@@ -252,7 +252,7 @@
     }
 }
 
-fn ratio(count: usize) -> f64 {
+fn to_f64(count: usize) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
--- a/crates/core/src/routed/crash.rs
+++ b/crates/core/src/routed/crash.rs
@@ -1,15 +1,14 @@
-//! Requests that crash the backend servers that run them.
+//! Detection of poison requests: requests that crash the backend servers that run them.
 //!
-//! The pattern: one request ends its server, is sent again to the next and ends
-//! that too; its caller repeats it under a new identifier at another node. A
-//! request is known by the digest of caller, path and body. Each time a
-//! connection breaks under it, a crash is counted; from [`CRASH_LIMIT`] crashes, here or
-//! at peers, it is refused for [`MEMORY_MS`].
+//! Such a request crashes its server, is retried on the next one and crashes that too; its caller
+//! repeats it under a new identifier at another node. A request is identified by the digest of
+//! caller, path and body. Each broken connection of a request counts as a crash; from
+//! [`CRASH_LIMIT`] crashes, on this node or on peers, the request is refused for [`MEMORY_MS`].
 //!
-//! Many callers ask the same with an empty body, and one server that crashes breaks all that
-//! it runs: three of them would make the question look guilty, and it would be refused to
-//! all for a minute. So a request that has ended well within [`MEMORY_MS`] is not suspected;
-//! one that crashes servers never does.
+//! Many callers may send the same request, for example with an empty body, and a server that
+//! crashes breaks every request that it runs: with three of the same digest among them, it would
+//! be refused to all callers for a minute. A request that has succeeded within [`MEMORY_MS`] is
+//! therefore not suspected; a request that crashes servers never succeeds.
 
 use std::collections::HashMap;
 
@@ -17,14 +16,14 @@
 
 /// Crashes from which a request is refused.
 pub const CRASH_LIMIT: u32 = 3;
-/// Milliseconds for which a crash is remembered.
+/// Milliseconds for which a crash or a success is remembered.
 pub const MEMORY_MS: u64 = 60_000;
-/// Digests that are remembered at most.
-const REMEMBERED: usize = 4096;
+/// Maximum number of digests that are remembered.
+const MAX_DIGESTS: usize = 4096;
 
 #[derive(Clone, Copy, Debug)]
 struct Count {
-    own: u32,
+    local: u32,
     peers: u32,
     until: Instant,
 }
@@ -33,76 +32,81 @@
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     counts: HashMap<u64, Count>,
-    /// Until when requests that ended well are above suspicion.
-    well: HashMap<u64, Instant>,
+    /// Until when requests that succeeded are not suspected.
+    succeeded: HashMap<u64, Instant>,
 }
 
 impl Suspects {
-    /// Counts a crash that was seen here.
+    /// Counts a crash that this node observed.
     pub fn record_crash(&mut self, now: Instant, digest: u64) {
-        if self.is_sound(now, digest) {
+        if self.has_succeeded(now, digest) {
             return;
         }
-        self.forget(now);
-        self.entry(now, digest).own += 1;
+        self.expire(now);
+        self.entry(now, digest).local += 1;
     }
 
-    /// Takes in what a peer has counted itself.
+    /// Records the crashes that a peer has observed itself.
     pub fn receive(&mut self, now: Instant, digest: u64, crashes: u32) {
         let count = self.entry(now, digest);
         count.peers = count.peers.max(crashes);
     }
 
-    /// Clears a request that ended well.
+    /// Clears a request that succeeded.
     pub fn record_success(&mut self, now: Instant, digest: u64) {
         self.counts.remove(&digest);
-        if self.well.len() >= REMEMBERED {
-            self.well.retain(|_, until| now < *until);
+        if self.succeeded.len() >= MAX_DIGESTS {
+            self.succeeded.retain(|_, until| now < *until);
         }
-        if self.well.len() >= REMEMBERED {
-            self.well.clear();
+        if self.succeeded.len() >= MAX_DIGESTS {
+            self.succeeded.clear();
         }
-        self.well.insert(digest, now.plus_millis(MEMORY_MS));
+        self.succeeded.insert(digest, now.plus_millis(MEMORY_MS));
     }
 
-    fn is_sound(&self, now: Instant, digest: u64) -> bool {
-        self.well.get(&digest).is_some_and(|until| now < *until)
+    fn has_succeeded(&self, now: Instant, digest: u64) -> bool {
+        self.succeeded
+            .get(&digest)
+            .is_some_and(|until| now < *until)
     }
 
-    /// Whether the request must not run.
+    /// Whether the request is refused.
     #[must_use]
     pub fn is_refused(&self, now: Instant, digest: u64) -> bool {
-        let is_guilty = |count: &Count| now < count.until && count.own + count.peers >= CRASH_LIMIT;
-        !self.is_sound(now, digest) && self.counts.get(&digest).is_some_and(is_guilty)
+        let is_over_limit =
+            |count: &Count| now < count.until && count.local + count.peers >= CRASH_LIMIT;
+        !self.has_succeeded(now, digest) && self.counts.get(&digest).is_some_and(is_over_limit)
     }
 
-    /// What was counted here, for peers: digests that crashed a server twice or
-    /// more, since single crashes are the servers' own doing most of the time.
+    /// Returns the crashes that this node observed, to be sent to peers.
+    ///
+    /// Digests with fewer than two crashes are omitted, since most single crashes are caused by the
+    /// server and not by the request.
     pub fn local_crashes(&self) -> impl Iterator<Item = (u64, u32)> + '_ {
-        let told = self
+        let reported = self
             .counts
             .iter()
-            .filter(|(_, count)| count.own >= CRASH_LIMIT - 1);
-        told.map(|(&digest, count)| (digest, count.own))
+            .filter(|(_, count)| count.local >= CRASH_LIMIT - 1);
+        reported.map(|(&digest, count)| (digest, count.local))
     }
 
     fn entry(&mut self, now: Instant, digest: u64) -> &mut Count {
         let until = now.plus_millis(MEMORY_MS);
-        let fresh = Count {
-            own: 0,
+        let new = Count {
+            local: 0,
             peers: 0,
             until,
         };
-        let count = self.counts.entry(digest).or_insert(fresh);
+        let count = self.counts.entry(digest).or_insert(new);
         count.until = until;
         count
     }
 
-    fn forget(&mut self, now: Instant) {
-        if self.counts.len() >= REMEMBERED {
+    fn expire(&mut self, now: Instant) {
+        if self.counts.len() >= MAX_DIGESTS {
             self.counts.retain(|_, count| now < count.until);
         }
-        if self.counts.len() >= REMEMBERED {
+        if self.counts.len() >= MAX_DIGESTS {
             self.counts.clear();
         }
     }
--- a/crates/core/src/routed/mod.rs
+++ b/crates/core/src/routed/mod.rs
@@ -1,23 +1,23 @@
 //! Decisions for requests that routes send to a service.
 //!
-//! A route names a service by host and path and says what its requests allow.
-//! The decisions on the way of such a request are here, each without network:
+//! A route selects a service by host and path and defines what its requests may do. Each module
+//! makes one of the decisions on such a request or on the servers and nodes that handle it, and
+//! performs no I/O:
 //!
 //! - [`affinity`]: which backend server runs an attempt;
-//! - [`health`]: which backend servers a node leaves out for a while;
-//! - [`outlier`]: which ones all nodes leave out, by what they saw together;
-//! - [`load`]: what other nodes have running on each backend server;
-//! - [`escalation`]: which of a route's models answers, and when a weak answer is
-//!   asked for again of a stronger one;
-//! - [`wait`]: how long a request waits behind the work on a server;
+//! - [`health`]: which backend servers a node ejects for a while;
+//! - [`outlier`]: which backend servers all nodes eject, by their common counts;
+//! - [`load`]: the load of the peers on each backend server;
+//! - [`escalation`]: which model of a route answers, and when a request with a weak answer goes to a
+//!   stronger one;
+//! - [`wait`]: how long a request waits behind the load on its server;
 //! - [`warmup`]: which nodes may use a server that is warming up, and how often;
 //! - [`budget`]: how many further attempts one node may make;
-//! - [`canary`]: when a new version has proved itself, and how much it gets
-//!   until then;
-//! - [`slowness`]: which of its answers count as slow;
-//! - [`session`]: which sessions stay on the version that they began on;
-//! - [`lease_expiry`]: which backend servers are gone when the store has been away;
-//! - [`rank`]: which nodes do something for the others;
+//! - [`canary`]: how much traffic a new version gets, and when it is completed or rejected;
+//! - [`slowness`]: which answers of a new version count as slow;
+//! - [`session`]: which sessions stay on the version on which they started;
+//! - [`lease_expiry`]: which backend servers are removed after an outage of the store;
+//! - [`rank`]: which nodes take on duties for the others;
 //! - [`watcher`]: which nodes watch the store for the others;
 //! - [`crash`]: which requests crash the backend servers that run them.
 
--- a/crates/core/src/routed/rank.rs
+++ b/crates/core/src/routed/rank.rs
@@ -1,25 +1,25 @@
-//! Which nodes do something for the others.
+//! Ranking of nodes for the duties that a few nodes have for the others.
 //!
-//! The pattern: one node tells twenty others the same, and nodes are unlike: links of 10 and of
-//! 200 Mbit/s, cores of 0.12 and 0.5. Chosen by hash alone, the work falls on the
-//! smallest ones, since they are the most: their links fill, and all that they tell is late. So
-//! the node with the larger link goes first, and the hash decides among equals. All nodes that
-//! know the same others agree.
+//! For such a duty one node sends the same data to twenty others, and nodes differ: links of 10 and
+//! of 200 Mbit/s, 0.12 and 0.5 cores. If a hash alone selected them, most duties would fall on the
+//! smallest nodes, since these are the most numerous: their links saturate, and all data that they
+//! send is late. A node with a larger link therefore ranks first, and the hash decides among
+//! equals. Nodes with the same list of nodes agree.
 
 use super::affinity;
 
-/// A node as it has entered itself.
+/// A node as it has registered itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance<'a> {
     /// Name of the instance.
     pub name: &'a str,
     /// Its availability zone.
     pub zone: &'a str,
-    /// What its link carries, in megabits a second; zero if it does not say.
+    /// Bandwidth of its link in megabits a second; zero if it is not given.
     pub link_mbps: u32,
 }
 
-/// Place in the order; the highest goes first.
+/// Rank of a node; the highest is selected first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     link_mbps: u32,
@@ -27,8 +27,8 @@
 }
 
 impl Instance<'_> {
-    /// Returns the member's place for a duty, which `salt` tells from others: among equals each
-    /// duty falls on another node.
+    /// Returns the rank of the node for the duty that `salt` identifies. Among equal links, each
+    /// duty falls on a different node.
     #[must_use]
     pub fn rank(&self, salt: u64) -> Rank {
         Rank {
--- a/crates/core/src/routed/warmup.rs
+++ b/crates/core/src/routed/warmup.rs
@@ -1,30 +1,33 @@
-//! Who may use a backend server that is warming up, and how often.
+//! Rate limit for backend servers that are warming up.
 //!
-//! The pattern: a server that has just started bears few requests a second, summed over all nodes,
-//! and falls over well above that. Hundreds of nodes that each send it a fair share send more in
-//! one unlucky second, and a share of less than one request is no share at all. Left alone until it
-//! is warm, an availability zone that comes back leaves all its work to the others.
+//! A server that has just started tolerates few requests a second, summed over all nodes, and fails
+//! well above that. If hundreds of nodes each sent a fair share, they could exceed the limit within
+//! one second by chance, and a share of less than one request cannot be used. If no node used the
+//! server until it is warm, an availability zone that comes back would leave all its load to the
+//! other zones.
 //!
-//! So a few nodes, chosen by rendezvous of node and server, may use a warming server, each at a
-//! spacing in time. All nodes that know the same others agree without a message. Nodes that disagree
-//! for a while, since some are cut off or have lost their entries, add users; only half of the limit
-//! is used, so that two parts of the fleet that do not know each other keep it. A node that has just
-//! started knows too few others, so it uses none for [`SETTLE_MS`].
+//! Therefore only a few nodes, the senders, may use a warming server, each with a minimum interval
+//! between its requests. Rendezvous hashing of node and server selects them, so nodes with the same
+//! list of nodes agree without messages. While nodes disagree, because some are partitioned or have
+//! lost their entries, there are more senders. Only half of the limit is used, so that two
+//! partitions of the fleet without contact keep it together. A node that has just started has
+//! discovered too few others, so it is not a sender for [`SETTLE_MS`].
 
 use super::affinity;
 use crate::clock::Instant;
 
-/// Part of the limit that is used while all nodes agree.
-const USED: f64 = 0.5;
-/// Requests that a user may send within a second: one at once and one for the spacing.
-const LEAST_SHARE: f64 = 2.0;
-/// Requests a second that a user may add to the first one at least.
-const LEAST_REFILL: f64 = 0.2;
-/// Milliseconds after its start in which a node does not count itself among the users. Nodes that
-/// start together enter themselves one after the other.
+/// Share of the limit that is used while all nodes agree.
+const USED_SHARE: f64 = 0.5;
+/// Minimum number of requests that a sender may send within a second: one immediately and one by
+/// its interval.
+const MIN_SENDER_SHARE: f64 = 2.0;
+/// Minimum number of requests a second that a sender may send after the first one.
+const MIN_SENDER_RATE: f64 = 0.2;
+/// Milliseconds after its start in which a node is not a sender. Nodes that start together register
+/// one after the other.
 pub const SETTLE_MS: u64 = 3_000;
 
-/// How many requests a warming server bears.
+/// Number of requests that a warming server tolerates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Requests of all nodes within any second.
@@ -32,8 +35,8 @@
 }
 
 impl Limit {
-    /// Creates the limit of a server that tolerates `per_second` requests, which may be exceeded
-    /// `overage` times and by `slack` requests.
+    /// Creates the limit of a server that tolerates `per_second` requests a second, multiplied by
+    /// `overage` and plus `slack` requests.
     #[must_use]
     pub fn new(per_second: f64, overage: f64, slack: f64) -> Self {
         Self {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Number of the `nodes` that may use the server.
+    /// Returns how many of the `nodes` are senders for the server.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -52,11 +55,11 @@
         if self.within_second < 1.0 {
             return 0;
         }
-        let shares = (self.within_second * USED / LEAST_SHARE) as usize;
+        let shares = (self.within_second * USED_SHARE / MIN_SENDER_SHARE) as usize;
         shares.clamp(1, nodes.max(1))
     }
 
-    /// Milliseconds between two requests of one user, of `nodes`.
+    /// Returns the milliseconds between two requests of one sender, in a fleet of `nodes`.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -64,28 +67,29 @@
         reason = "the cast saturates, and the quotient is positive"
     )]
     pub fn spacing_ms(&self, nodes: usize) -> u64 {
-        let users = f64::from(u32::try_from(self.senders(nodes).max(1)).unwrap_or(u32::MAX));
-        let refill = (self.within_second * USED / users - 1.0).max(LEAST_REFILL);
+        let senders = f64::from(u32::try_from(self.senders(nodes).max(1)).unwrap_or(u32::MAX));
+        let refill = (self.within_second * USED_SHARE / senders - 1.0).max(MIN_SENDER_RATE);
         (1_000.0 / refill).ceil() as u64
     }
 }
 
-/// Whether the node `own` is among the first `users` for the server with the hash `server`; `nodes`
-/// are all that it knows, itself or not.
+/// Whether the node `local` is among the first `senders` for the server with the hash `server`.
+///
+/// `nodes` are all nodes that it has discovered, with or without itself.
 #[must_use]
 pub fn is_sender<'a>(
-    own: &str,
+    local: &str,
     nodes: impl Iterator<Item = &'a str>,
     server: u64,
-    users: usize,
+    senders: usize,
 ) -> bool {
-    let place = |name: &str| affinity::mix(affinity::hash(name.as_bytes()) ^ affinity::mix(server));
-    let own_place = place(own);
-    let before = nodes.filter(|name| *name != own && place(name) > own_place);
-    before.take(users).count() < users
+    let rank = |name: &str| affinity::mix(affinity::hash(name.as_bytes()) ^ affinity::mix(server));
+    let local_rank = rank(local);
+    let preceding = nodes.filter(|name| *name != local && rank(name) > local_rank);
+    preceding.take(senders).count() < senders
 }
 
-/// When a node may send a warming server its next request.
+/// Spacing of the requests that a sender sends to one warming server.
 #[derive(Clone, Copy, Debug)]
 pub struct Pacer {
     next: Instant,
@@ -106,7 +110,7 @@
         now >= self.next
     }
 
-    /// Notes that one is sent now; the next may follow `spacing_ms` later.
+    /// Records that a request is sent now; the next one may follow `spacing_ms` later.
     pub fn record_send(&mut self, now: Instant, spacing_ms: u64) {
         self.next = now.plus_millis(spacing_ms);
     }
--- a/crates/core/src/routed/watcher.rs
+++ b/crates/core/src/routed/watcher.rs
@@ -1,14 +1,15 @@
-//! Which nodes watch the store for the others.
+//! Selection of the nodes that watch the store for the others.
 //!
-//! The pattern: each change wakes the waiting call of every node, and each call is paid for, so that
-//! calls grow with the product of nodes and changes. So in a region with large
-//! availability zones, those of more than [`MAX_DIRECT_NODES`] nodes, [`WATCHER_COUNT`] nodes watch the store.
-//! [`WATCHER_COUNT`] nodes of each such zone, its hubs, ask these, and the others ask the hubs of their
-//! zone, which costs bytes within the zone only.
+//! Each change ends the pending watch call of every node that watches the store, and each call
+//! costs money, so without a selection the number of calls grows with the product of nodes and
+//! changes. In a region with large availability zones, those of more than [`MAX_DIRECT_NODES`]
+//! nodes, only [`WATCHER_COUNT`] nodes watch the store. [`WATCHER_COUNT`] nodes of each such zone,
+//! its hubs, poll the watchers, and the other nodes poll the hubs of their zone, which costs bytes
+//! within the zone only.
 //!
-//! A watcher may be cut off from the store without knowing it yet. So it watches in
-//! short waits and says how long ago the store last answered it, and so do hubs; a node that hears
-//! more than [`MAX_AGE_MS`] asks the next one, and then the store itself.
+//! A watcher may be cut off from the store before it detects this. It therefore watches in short
+//! calls and reports how long ago the store last answered it, and so do hubs. A node that receives
+//! an age above [`MAX_AGE_MS`] polls the next watcher or hub, and then the store itself.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -16,51 +17,52 @@
 use super::affinity;
 use super::rank::Instance;
 
-/// Nodes of an availability zone that each watch for themselves.
+/// Number of nodes up to which every node of an availability zone watches the store itself.
 pub const MAX_DIRECT_NODES: usize = 4;
-/// Nodes that watch for the others: a second covers the loss of the first.
+/// Number of watchers of a region, and of hubs of a zone: the second covers the loss of the highest_ranked.
 pub const WATCHER_COUNT: usize = 2;
-/// Milliseconds that a watcher's own call waits at the store.
+/// Milliseconds that a watcher's call waits at the store.
 pub const STORE_WAIT_MS: u64 = 400;
-/// Milliseconds for which changes gather at a watcher before its next call. Servers' entries
-/// change several times a second in a large fleet and each change ends a call.
+/// Milliseconds for which changes accumulate before a watcher's next call. In a large fleet, entries
+/// of servers change several times a second, and each change ends a call.
 pub const BATCH_MS: u64 = 400;
-/// Milliseconds for which a node watches for itself after no watcher was fresh. When the
-/// store tells its watchers nothing for a second, every node does so at once.
+/// Milliseconds for which a node watches the store itself after no watcher was fresh. When the store
+/// sends its watchers nothing for a second, all nodes do so at the same time.
 pub const DIRECT_WATCH_MS: u64 = 1_000;
-/// Milliseconds that a node's question waits at a watcher.
+/// Milliseconds that a node's poll waits at a watcher or hub.
 pub const PEER_WAIT_MS: u64 = 400;
-/// Milliseconds since the store's last answer up to which a watcher or a hub is believed: the
-/// watcher's wait, the hub's question, and 0.4 s for a store that is slow. With the question's own
-/// wait a node knows within 1.7 s that it must ask elsewhere.
+/// Maximum age in milliseconds of the store's last answer at which a watcher or hub counts as
+/// fresh: the watcher's call, the hub's poll, and 0.4 s for a slow store. Including the wait of its
+/// local poll, a node detects within 1.7 s that it must poll elsewhere.
 pub const MAX_AGE_MS: u64 = 1_200;
 
-/// How a node hears of changes.
+/// How a node receives changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role<'a> {
-    /// It watches the store for itself: its availability zone has few nodes.
+    /// It watches the store for itself only: its availability zone has few nodes.
     Direct,
     /// It watches the store for its region.
     Watcher,
-    /// It asks these, in this order.
+    /// It polls these nodes, in this order.
     Follower(Vec<&'a str>),
 }
 
-/// Returns how `own` hears of changes, a node of `zone`; `is_near` tells which zones are in its
-/// region. All nodes that know the same others agree.
+/// Returns how the node `local` of `zone` receives changes.
+///
+/// `is_in_region` decides which zones are in its region. Nodes with the same list of nodes agree.
 #[must_use]
 pub fn role<'a>(
-    own: &str,
+    local: &str,
     zone: &str,
     members: &[Instance<'a>],
-    is_near: impl Fn(&str) -> bool,
+    is_in_region: impl Fn(&str) -> bool,
 ) -> Role<'a> {
     let hubs = hubs(zone, members.iter().copied());
     if hubs.is_empty() {
         return Role::Direct;
     }
-    // A watcher is the first of its zone too.
-    if !hubs.contains(&own) {
+    // A watcher is also a hub of its zone.
+    if !hubs.contains(&local) {
         return Role::Follower(hubs);
     }
     let mut sizes: HashMap<&str, usize> = HashMap::new();
@@ -69,28 +71,28 @@
     }
     let region = members
         .iter()
-        .filter(|member| is_near(member.zone) && sizes[member.zone] > MAX_DIRECT_NODES);
-    let watchers = first(region.copied().collect());
-    if watchers.contains(&own) {
+        .filter(|member| is_in_region(member.zone) && sizes[member.zone] > MAX_DIRECT_NODES);
+    let watchers = highest_ranked(region.copied().collect());
+    if watchers.contains(&local) {
         Role::Watcher
     } else {
         Role::Follower(watchers)
     }
 }
 
-/// Returns the hubs of `zone`, in the order in which they are asked; empty where each node watches
-/// for itself.
+/// Returns the hubs of `zone`, in the order in which they are polled; empty where each node watches
+/// the store itself.
 #[must_use]
 pub fn hubs<'a>(zone: &str, nodes: impl Iterator<Item = Instance<'a>>) -> Vec<&'a str> {
     let members: Vec<Instance> = nodes.filter(|member| member.zone == zone).collect();
     if members.len() <= MAX_DIRECT_NODES {
         return Vec::new();
     }
-    first(members)
+    highest_ranked(members)
 }
 
-/// The first of `members` in the order of links; in a region they are the first of their zone too.
-fn first(mut members: Vec<Instance<'_>>) -> Vec<&str> {
+/// Returns the members with the highest rank. Those of a region are also the highest of their zone.
+fn highest_ranked(mut members: Vec<Instance<'_>>) -> Vec<&str> {
     let salt = affinity::hash(b"watcher");
     members.sort_by_cached_key(|member| Reverse(member.rank(salt)));
     members.truncate(WATCHER_COUNT);
