--- a/crates/core/tests/all/routed/budget.rs
+++ b/crates/core/tests/all/routed/budget.rs
@@ -1,4 +1,4 @@
-//! Further attempts over all nodes.
+//! Tests of the retry budget over all nodes.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::budget::{Bound, Budget};
@@ -12,13 +12,12 @@
     window_ms: 10_000,
 };
 
-/// A service fails everything for a minute. Each node sends what failed once more as
-/// often as it may; nodes share nothing. Summed over any window the further attempts
-/// stay within the bound, with few nodes and with many, also when every second node
-/// is not known yet.
+/// Guards against retries that exceed the bound when a service fails every request for a minute.
+/// Each node retries as often as its budget allows, without messages between nodes, also while
+/// about half of the nodes have not been discovered yet.
 #[rstest]
 #[case::nine(9, 9, 75.0)]
-#[case::nine_of_which_five_are_known(9, 5, 75.0)]
+#[case::nine_of_which_five_are_discovered(9, 5, 75.0)]
 #[case::many(340, 340, 500.0)]
 fn take_sum_over_nodes_stays_within_the_bound(
     #[case] nodes: usize,
@@ -52,9 +51,9 @@
         f64::from(u32::try_from(count).expect("few"))
     };
     for from in (0..50_000).step_by(250) {
-        let most = BOUND.ratio * within(&requests, from) + BOUND.slack;
-        let seen = within(&further, from);
-        assert!(seen <= most, "{seen} of {most} from {from} ms");
+        let max = BOUND.ratio * within(&requests, from) + BOUND.slack;
+        let sent = within(&further, from);
+        assert!(sent <= max, "{sent} of {max} from {from} ms");
     }
     assert!(
         further.len() * 2 > requests.len(),
@@ -62,9 +61,9 @@
     );
 }
 
-/// A quiet service fails once: the attempt must not wait for traffic to earn it.
+/// Guards against a denied retry at the first failure of a service with little traffic.
 #[test]
-fn take_first_failure_of_a_quiet_service_is_covered() {
+fn take_first_failure_with_little_traffic_is_covered() {
     let mut budget = Budget::default();
     let now = Instant::from_millis(5);
     budget.count_request(now);
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn take_what_was_spent_comes_back_after_the_window() {
+fn take_budget_is_restored_after_the_window() {
     let mut budget = Budget::default();
     let now = Instant::from_millis(0);
     let spent = (0..1_000).filter(|_| budget.take(now, &BOUND, 1)).count();
--- a/crates/core/tests/all/routed/crash.rs
+++ b/crates/core/tests/all/routed/crash.rs
@@ -1,31 +1,31 @@
-//! Requests that crash servers.
+//! Tests of the detection of requests that crash servers.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::crash::{CRASH_LIMIT, MEMORY_MS, Suspects};
 
 const NOW: Instant = Instant::from_millis(1_000);
 
-/// One request ends every server that runs it, and its caller sends it again through
-/// another node. Two nodes that saw one and two crashes must both refuse it.
+/// A request crashes every server that runs it, and its caller repeats it through another node. A
+/// node that observed one crash must refuse it once a peer has reported two more.
 #[test]
 fn is_refused_crashes_of_peers_count() {
-    let mut here = Suspects::default();
-    let mut there = Suspects::default();
-    here.record_crash(NOW, 5);
-    there.record_crash(NOW, 5);
-    there.record_crash(NOW, 5);
-    assert!(!here.is_refused(NOW, 5));
-    for (digest, crashes) in there.local_crashes().collect::<Vec<_>>() {
-        here.receive(NOW, digest, crashes);
+    let mut local = Suspects::default();
+    let mut peer = Suspects::default();
+    local.record_crash(NOW, 5);
+    peer.record_crash(NOW, 5);
+    peer.record_crash(NOW, 5);
+    assert!(!local.is_refused(NOW, 5));
+    for (digest, crashes) in peer.local_crashes().collect::<Vec<_>>() {
+        local.receive(NOW, digest, crashes);
     }
-    assert!(here.is_refused(NOW, 5));
-    assert!(!here.is_refused(NOW, 6));
+    assert!(local.is_refused(NOW, 5));
+    assert!(!local.is_refused(NOW, 6));
 }
 
-/// A neighbour of the guilty request met two crashes and then ended well. It must
-/// run again.
+/// A request that ran beside the one that crashes servers has two crashes and then succeeds. It
+/// must be allowed to run again.
 #[test]
-fn is_refused_a_good_end_clears() {
+fn is_refused_success_clears() {
     let mut suspects = Suspects::default();
     for _ in 1..CRASH_LIMIT {
         suspects.record_crash(NOW, 5);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn is_refused_is_forgotten_in_time() {
+fn is_refused_expires() {
     let mut suspects = Suspects::default();
     for _ in 0..CRASH_LIMIT {
         suspects.record_crash(NOW, 5);
@@ -45,9 +45,9 @@
     assert!(!suspects.is_refused(NOW.plus_millis(MEMORY_MS), 5));
 }
 
-/// Many requests meet crashes of servers' own making. Memory stays bounded.
+/// Many requests are broken by crashes that the servers cause themselves. Memory stays bounded.
 #[test]
-fn crashed_memory_is_bounded() {
+fn record_crash_memory_is_bounded() {
     let mut suspects = Suspects::default();
     for digest in 0..100_000 {
         suspects.record_crash(NOW, digest);
@@ -56,10 +56,11 @@
     assert!(suspects.local_crashes().count() <= 4_096);
 }
 
-/// Many callers ask the same; one server crashes and breaks four of them. The question was
-/// refused to all callers for a minute, here and at peers, though it had just been answered.
+/// Many callers send the same request, and one server crashes and breaks several of them. Guards
+/// against refusing that request to all callers for a minute, on this node and on peers, although
+/// it has just succeeded.
 #[test]
-fn is_refused_what_was_answered_lately_is_not_suspected() {
+fn is_refused_recent_success_is_not_suspected() {
     let mut suspects = Suspects::default();
     suspects.record_success(NOW, 5);
     for _ in 0..2 * CRASH_LIMIT {
@@ -68,7 +69,7 @@
     suspects.receive(NOW.plus_millis(60), 5, CRASH_LIMIT);
     assert!(!suspects.is_refused(NOW.plus_millis(100), 5));
     assert_eq!(suspects.local_crashes().count(), 0);
-    // Memory of good ends is bounded too.
+    // The memory for successes is bounded too.
     for digest in 0..100_000 {
         suspects.record_success(NOW, digest);
     }
--- a/crates/core/tests/all/routed/lease_expiry.rs
+++ b/crates/core/tests/all/routed/lease_expiry.rs
@@ -1,27 +1,27 @@
-//! Entries that vanish while the store is away.
+//! Tests of removals during and after an outage of the store.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::lease_expiry::{Outage, REREGISTRATION_MS};
 
-/// Leases lapse in an outage, and the removals are heard of when the store returns.
-/// They are held while entries may come back; on a calm day a removal counts at once.
+/// Leases expire in an outage, and the removals are received when the store is back. They are held
+/// while servers may register again; without an outage a removal takes effect immediately.
 #[test]
-fn holds_until_only_after_an_outage() {
+fn hold_until_only_after_an_outage() {
     let mut outage = Outage::default();
     let back = Instant::from_millis(9_000);
     assert_eq!(outage.hold_until(back), None);
     assert!(outage.record_failure());
-    assert!(!outage.record_failure(), "told once");
+    assert!(!outage.record_failure(), "reported once");
     assert!(outage.record_answer(back));
-    assert!(!outage.record_answer(back.plus_millis(10)), "told once");
+    assert!(!outage.record_answer(back.plus_millis(10)), "reported once");
     let until = back.plus_millis(REREGISTRATION_MS);
     assert_eq!(outage.hold_until(back.plus_millis(100)), Some(until));
     assert_eq!(outage.hold_until(until), None);
 }
 
-/// The store flaps: each return opens the time again.
+/// The store goes down repeatedly: the hold time starts again at the end of each outage.
 #[test]
-fn holds_until_counts_from_the_last_return() {
+fn hold_until_counts_from_the_end_of_the_last_outage() {
     let mut outage = Outage::default();
     outage.record_failure();
     outage.record_answer(Instant::from_millis(1_000));
--- a/crates/core/tests/all/routed/mod.rs
+++ b/crates/core/tests/all/routed/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions for routed requests, each under the load that it answers.
+//! Tests of the decisions for routed requests, each under the load that it handles.
 
 mod affinity;
 mod budget;
--- a/crates/core/tests/all/routed/session.rs
+++ b/crates/core/tests/all/routed/session.rs
@@ -1,14 +1,14 @@
-//! Sessions that stay.
+//! Tests of sessions that stay on their version.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::session::Recent;
 
 const NOW: Instant = Instant::from_millis(1_000);
 
-/// A trial begins while a parent is talking. The next answer must come from the same
-/// version; after a pause the session may move.
+/// A canary starts in the middle of a session. The next answer must come from the same version;
+/// after a pause the session may move.
 #[test]
-fn goes_on_until_it_pauses() {
+fn is_ongoing_until_it_pauses() {
     let mut recent = Recent::default();
     recent.record(NOW, 7, 5_000);
     assert!(recent.is_ongoing(NOW.plus_millis(4_999), 7));
@@ -18,9 +18,9 @@
     assert!(!recent.is_ongoing(NOW, 8));
 }
 
-/// Only the few sessions that the trial would move are told to others.
+/// Only the few sessions that the canary would move are sent to other nodes.
 #[test]
-fn going_on_picks_what_is_wanted() {
+fn ongoing_returns_the_filtered_sessions() {
     let mut recent = Recent::default();
     for session in 0..100 {
         recent.record(NOW, session, 5_000);
