--- a/crates/core/tests/all/routed/affinity.rs
+++ b/crates/core/tests/all/routed/affinity.rs
@@ -1,4 +1,4 @@
-//! Which server runs an attempt.
+//! Tests of the choice of the server that runs an attempt.
 
 use std::collections::HashMap;
 
@@ -19,17 +19,17 @@
         .collect()
 }
 
-/// A prompt's shared part is cached at one server. All requests with that part go
-/// there, and when a server joins, only the parts that move to it move.
+/// A shared prompt prefix is cached on one server, and all requests with it must go there. When a
+/// server joins, only the prefixes that it becomes the home server of may move.
 #[test]
-fn choose_part_keeps_its_home_when_a_server_joins() {
+fn choose_prefix_keeps_its_home_when_a_server_joins() {
     let before = servers(12);
     let after = servers(13);
     let mut moved = 0;
-    for part in 0..2_000 {
-        let part = affinity::mix(part);
-        let old = affinity::choose(&before, Some(part), 0).expect("a server");
-        let new = affinity::choose(&after, Some(part), 1).expect("a server");
+    for prefix in 0..2_000 {
+        let prefix = affinity::mix(prefix);
+        let old = affinity::choose(&before, Some(prefix), 0).expect("a server");
+        let new = affinity::choose(&after, Some(prefix), 1).expect("a server");
         if before[old].identity != after[new].identity {
             assert_eq!(after[new].identity, after[12].identity);
             moved += 1;
@@ -38,23 +38,23 @@
     assert!((80..240).contains(&moved), "about one in thirteen: {moved}");
 }
 
-/// One part gets a third of all requests. Without a bound its home would have a
-/// third of the work; with it the part spreads over a few servers and no server has
-/// much more than the others, while other parts mostly stay at home.
+/// One prefix gets a third of all requests. Without a load limit its home server would have a third
+/// of the load. With it the prefix spreads over a few servers, no server has much more load than
+/// the others, and the other prefixes mostly stay on their home servers.
 #[test]
-fn choose_hot_part_spreads() {
+fn choose_hot_prefix_spreads() {
     let mut random = Pcg64::seed_from_u64(3);
     let mut servers = servers(12);
     let mut at_home = 0;
     let requests = 2_000;
     for _ in 0..requests {
         let is_hot = random.random::<f64>() < 0.34;
-        let part = if is_hot {
+        let prefix = if is_hot {
             7
         } else {
             random.random_range(100..400)
         };
-        let part = affinity::mix(part);
+        let prefix = affinity::mix(prefix);
         let idle: Vec<Candidate> = servers
             .iter()
             .map(|server| Candidate {
@@ -62,23 +62,26 @@
                 ..*server
             })
             .collect();
-        let first = affinity::choose(&idle, Some(part), 0).expect("a server");
-        let taken = affinity::choose(&servers, Some(part), 0).expect("a server");
+        let first = affinity::choose(&idle, Some(prefix), 0).expect("a server");
+        let taken = affinity::choose(&servers, Some(prefix), 0).expect("a server");
         at_home += u32::from(!is_hot && first == taken);
         servers[taken].load += 1.0;
-        // Work is done at an even pace.
+        // All servers process load at the same constant rate.
         for server in &mut servers {
             server.load = (server.load - 0.09).max(0.0);
         }
     }
-    let most = servers.iter().map(|server| server.load).fold(0.0, f64::max);
-    assert!(most < 40.0, "{most}");
-    // The hot part fills about three of the twelve; other parts leave those homes.
-    assert!(at_home > 900, "{at_home} of about 1,320 at home");
+    let max = servers.iter().map(|server| server.load).fold(0.0, f64::max);
+    assert!(max < 40.0, "{max}");
+    // The hot prefix fills about three of the twelve servers; other prefixes leave these.
+    assert!(
+        at_home > 900,
+        "{at_home} of about 1,320 on their home server"
+    );
 }
 
-/// A server fails while others are well: it gets nothing. When all fail, refusing
-/// everything would be worse than trying.
+/// A failing server must get no requests while others are healthy. When all servers fail, refusing
+/// every request would be worse than trying.
 #[test]
 fn choose_unhealthy_only_when_none_is_left() {
     let mut servers = servers(3);
@@ -97,8 +100,8 @@
     assert_eq!(affinity::choose(&[], None, 1), None);
 }
 
-/// Plain calls stay in the own availability zone, where bytes are free, until its
-/// server is busier than one elsewhere by a good part of its places.
+/// Plain calls stay in the local availability zone, where bytes are free, until its server has
+/// a considerably larger share of its slots in use than a server of another zone.
 #[test]
 fn choose_plain_call_leaves_the_zone_only_under_load() {
     let mut servers = servers(4);
@@ -109,8 +112,8 @@
     assert_ne!(affinity::choose(&servers, None, 9), Some(0));
 }
 
-/// Equal servers share plain calls: a fixed order would send every node's calls to
-/// the same one.
+/// Equal servers must share plain calls: a fixed order would send the calls of all nodes to the
+/// same server.
 #[test]
 fn choose_equal_servers_share() {
     let servers: Vec<Candidate> = servers(4)
@@ -131,22 +134,22 @@
     );
 }
 
-/// Long prompts come in a burst. They must stay on the engines set aside for them, or
-/// every light request waits for their chunks; light ones take the others' engines only
-/// when all of their own have failed.
+/// Long prompts arrive in a burst. They must stay on the engines of their pool, or every light
+/// request waits for their chunks. A request may use the other pool only when all servers of its
+/// own pool have failed.
 #[test]
 fn choose_keeps_long_prompts_apart() {
     let mut servers = servers(12);
     for (rank, server) in servers.iter_mut().enumerate() {
         server.is_in_pool = affinity::matches_pool(rank, 12, false);
     }
-    let suited = servers.iter().filter(|server| server.is_in_pool).count();
-    assert_eq!(suited, 9);
+    let pool_size = servers.iter().filter(|server| server.is_in_pool).count();
+    assert_eq!(pool_size, 9);
     for server in servers.iter_mut().filter(|server| server.is_in_pool) {
         server.load = 400.0;
     }
-    for part in 0..100 {
-        let taken = affinity::choose(&servers, Some(affinity::mix(part)), 0).expect("a server");
+    for prefix in 0..100 {
+        let taken = affinity::choose(&servers, Some(affinity::mix(prefix)), 0).expect("a server");
         assert!(servers[taken].is_in_pool);
     }
     for server in servers.iter_mut().filter(|server| server.is_in_pool) {
@@ -156,45 +159,45 @@
     assert!(!servers[taken].is_in_pool);
 }
 
-/// Three servers are too few to set some aside: all take everything.
+/// Three servers are too few for pools: each takes all requests.
 #[test]
-fn suits_few_servers_take_all() {
+fn matches_pool_few_servers_take_all() {
     assert!((0..3).all(
         |rank| affinity::matches_pool(rank, 3, true) && affinity::matches_pool(rank, 3, false)
     ));
 }
 
-/// Guards against short prompts whose text crosses zones although a server near by could read it,
-/// and keeps one home for the part in the zone.
+/// Guards against short prompts that are sent to another zone although a local server could process
+/// them, and against more than one home server for a prefix in the zone.
 #[test]
-fn choose_near_idle_zone_keeps_its_parts() {
+fn choose_in_zone_idle_zone_keeps_its_prefixes() {
     let servers = servers(12);
-    for part in 0..200 {
-        let part = affinity::mix(part);
-        let taken = affinity::choose_in_zone(&servers, part, 0).expect("a server");
+    for prefix in 0..200 {
+        let prefix = affinity::mix(prefix);
+        let taken = affinity::choose_in_zone(&servers, prefix, 0).expect("a server");
         assert!(servers[taken].is_same_zone);
-        assert_eq!(affinity::choose_in_zone(&servers, part, 7), Some(taken));
+        assert_eq!(affinity::choose_in_zone(&servers, prefix, 7), Some(taken));
     }
 }
 
-/// Guards against callers of a busy zone who wait while servers elsewhere are idle: a zone with twice
-/// the work of the others sends its parts out.
+/// Guards against callers of a busy zone that wait while servers of other zones are less loaded: a
+/// zone with twice the load of the others must send its prefixes to them.
 #[test]
-fn choose_near_busy_zone_sends_parts_out() {
+fn choose_in_zone_busy_zone_uses_other_zones() {
     let mut servers = servers(12);
     for server in &mut servers {
         server.load = if server.is_same_zone { 20.0 } else { 10.0 };
     }
-    for part in 0..200 {
-        let part = affinity::mix(part);
-        let taken = affinity::choose_in_zone(&servers, part, 0).expect("a server");
-        assert_eq!(Some(taken), affinity::choose(&servers, Some(part), 0));
+    for prefix in 0..200 {
+        let prefix = affinity::mix(prefix);
+        let taken = affinity::choose_in_zone(&servers, prefix, 0).expect("a server");
+        assert_eq!(Some(taken), affinity::choose(&servers, Some(prefix), 0));
     }
 }
 
-/// Guards against a failing server near by that is preferred to sound ones elsewhere.
+/// Guards against preferring failing local servers to healthy ones of other zones.
 #[test]
-fn choose_near_failing_zone_is_left() {
+fn choose_in_zone_failing_zone_is_left() {
     let mut servers = servers(12);
     for server in &mut servers {
         server.is_healthy = !server.is_same_zone;
@@ -203,9 +206,9 @@
     assert!(!servers[taken].is_same_zone);
 }
 
-/// Guards against long parts that each zone reads anew.
+/// Guards against long prefixes that are recomputed in each zone.
 #[test]
-fn stays_near_long_parts_do_not() {
+fn prefers_local_zone_long_prefixes_do_not() {
     assert!(affinity::prefers_local_zone(172));
     assert!(!affinity::prefers_local_zone(6_300));
 }
--- a/crates/core/tests/all/routed/canary.rs
+++ b/crates/core/tests/all/routed/canary.rs
@@ -1,4 +1,4 @@
-//! A version on trial.
+//! Tests of the canary of a new version.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const ORDERED: Instant = Instant::from_millis(2_000);
 
-const fn trial() -> Canary {
+const fn canary() -> Canary {
     Canary {
         ordered: ORDERED,
         due: ORDERED.plus_millis(24_000),
@@ -20,14 +20,14 @@
 }
 
 /// Share of a route's answers that are bad, by route, version and time.
-type Badness = fn(route: usize, is_new: bool, passed_ms: u64) -> f64;
+type BadShare = fn(route: usize, is_new: bool, passed_ms: u64) -> f64;
 
-/// Plays requests of three routes through the time of a trial; returns the verdict, when
-/// it fell, and until then the bad answers and the share of all requests of that time that
-/// the version got.
-fn play(seed: u64, per_s: f64, bad: Badness) -> (Verdict, u64, u32, f64) {
+/// Simulates requests of three routes during a canary. Returns the verdict, its time in
+/// milliseconds, the bad answers of the new version until then, and its share of all requests of
+/// the canary's time.
+fn simulate(seed: u64, per_s: f64, bad: BadShare) -> (Verdict, u64, u32, f64) {
     let mut random = Pcg64::seed_from_u64(seed);
-    let trial = trial();
+    let canary = canary();
     let mut evidence = Evidence::default();
     let (mut all, mut new, mut bad_new) = (0_u32, 0_u32, 0_u32);
     let mut decided = None;
@@ -40,7 +40,7 @@
             }
             let route = random.random_range(0..3_usize);
             let session = affinity::mix(random.random_range(0..400));
-            let is_new = trial.includes(trial.stage(now), session);
+            let is_new = canary.includes(canary.stage(now), session);
             let is_bad = random.random::<f64>() < bad(route, is_new, passed);
             let pair: &mut Pair = evidence.counts.entry(route.to_string()).or_default();
             let side: &mut Count = if is_new { &mut pair.new } else { &mut pair.old };
@@ -49,23 +49,23 @@
             new += u32::from(is_new);
             bad_new += u32::from(is_new && is_bad);
         }
-        // Nodes tell each other once a second.
+        // Nodes exchange their counts once a second.
         if passed % 1_000 == 0 && decided.is_none() {
-            let verdict = trial.evaluate(now, &evidence);
+            let verdict = canary.evaluate(now, &evidence);
             decided = (verdict != Verdict::Hold).then_some((verdict, passed));
         }
     }
-    let (verdict, passed) = decided.expect("the trial must be decided in its time");
+    let (verdict, passed) = decided.expect("the canary must be decided in its time");
     (verdict, passed, bad_new, f64::from(new) / f64::from(all))
 }
 
-/// A version that is good, beside an old one that fails now and then, is completed
-/// well within its time; false alarms are rare.
+/// A good version is completed well within its time, also when both versions fail at times. Wrong
+/// rejections are rare.
 #[rstest]
 #[case::no_failures(|_, _, _| 0.0)]
 #[case::usual_failures(|_, _, _| 0.05)]
-fn judge_good_version_is_completed(#[case] bad: Badness) {
-    let decided: Vec<_> = (0..200).map(|seed| play(seed, 75.0, bad)).collect();
+fn evaluate_good_version_is_completed(#[case] bad: BadShare) {
+    let decided: Vec<_> = (0..200).map(|seed| simulate(seed, 75.0, bad)).collect();
     let completed = decided
         .iter()
         .filter(|one| one.0 == Verdict::Complete)
@@ -75,23 +75,24 @@
     assert!(decided.iter().all(|one| one.3 < 0.15), "exposure");
 }
 
-/// Versions that are bad in unlike ways are all rejected, before fifty callers have
-/// met a bad answer.
+/// Versions that are bad in different ways are all rejected before fifty callers have got a bad
+/// answer.
 #[rstest]
 #[case::at_once(|_, is_new, _| if is_new { 0.5 } else { 0.02 })]
 #[case::late(|_, is_new, passed| if is_new && passed > 8_000 { 0.5 } else { 0.02 })]
 #[case::on_one_route(|route, is_new, _| if is_new && route == 1 { 0.5 } else { 0.02 })]
 #[case::beside_many_failures(|_, is_new, _| if is_new { 0.6 } else { 0.14 })]
-fn judge_bad_version_is_rejected(#[case] bad: Badness) {
+fn evaluate_bad_version_is_rejected(#[case] bad: BadShare) {
     for seed in 0..100 {
-        let (verdict, _, bad_new, exposure) = play(seed, 75.0, bad);
+        let (verdict, _, bad_new, exposure) = simulate(seed, 75.0, bad);
         assert_eq!(verdict, Verdict::Reject, "seed {seed}");
         assert!(bad_new < 50, "{bad_new} with seed {seed}");
         assert!(exposure < 0.15, "{exposure} with seed {seed}");
     }
 }
 
-/// Answers of a version on busy servers with cold caches: a part is slow.
+/// Returns the verdict on a version of whose `new` answers `slow` are slow, as on busy servers with
+/// cold caches.
 fn slow(new: u32, slow: u32) -> Verdict {
     let old = Count {
         all: 300,
@@ -103,30 +104,30 @@
         ..Count::default()
     };
     let counts = Counts::from([("r".to_owned(), Pair { old, new })]);
-    trial().evaluate(ORDERED.plus_millis(9_000), &Evidence { counts, crashed: 0 })
+    canary().evaluate(ORDERED.plus_millis(9_000), &Evidence { counts, crashed: 0 })
 }
 
-/// A good version was rolled back because five of its 33 answers and two of eight were
-/// slow: its one server on trial was busier than the old ones. A version half of whose
-/// answers are slow must still go.
+/// Guards against the rollback of a good version because five of its 33 answers, or two of eight,
+/// are slow: its one canary server is busier than the old ones. A version half of whose answers are
+/// slow must still be rejected.
 #[rstest]
 #[case::busy(33, 5, Verdict::Hold)]
 #[case::few(8, 2, Verdict::Hold)]
 #[case::slow(20, 10, Verdict::Reject)]
 #[case::very_slow(8, 8, Verdict::Reject)]
-fn judge_slow_answers_weigh_less_than_failures(
+fn evaluate_slow_answers_count_less_than_failures(
     #[case] new: u32,
-    #[case] of_them: u32,
+    #[case] slow_answers: u32,
     #[case] verdict: Verdict,
 ) {
-    assert_eq!(slow(new, of_them), verdict);
+    assert_eq!(slow(new, slow_answers), verdict);
 }
 
-/// At night nothing comes. A version that has answered almost nothing has proved
-/// nothing, and must not be completed because its time is over.
+/// With almost no traffic, as at night, there is no evidence for a version, and it must not be
+/// completed because its time is over.
 #[test]
-fn judge_missing_evidence_never_completes() {
-    let (verdict, passed, ..) = play(1, 0.5, |_, _, _| 0.0);
+fn evaluate_missing_evidence_never_completes() {
+    let (verdict, passed, ..) = simulate(1, 0.5, |_, _, _| 0.0);
     assert_eq!(verdict, Verdict::Reject);
     assert!(passed >= 20_000);
 }
@@ -134,47 +135,47 @@
 /// All nodes must agree on which sessions move, before and after restarts.
 #[test]
 fn includes_is_the_share_of_sessions() {
-    let trial = trial();
+    let canary = canary();
     let included = (0..100_000_u64)
-        .filter(|&one| trial.includes(Stage::Sampled, affinity::mix(one)))
+        .filter(|&one| canary.includes(Stage::Sampled, affinity::mix(one)))
         .count();
     assert!((11_700..12_300).contains(&included), "{included}");
 }
 
-/// A version fails only on busy servers. On trial each of its servers must be at least as
-/// busy as it will be when everything goes there.
+/// Guards against completing a version that fails only on busy servers: each canary server must be
+/// at min_factor as busy as after the roll-out.
 #[test]
-fn servers_on_trial_are_as_busy_as_all_will_be() {
-    let trial = trial();
-    for (stage, least) in [(Stage::Sampled, 1.0), (Stage::Loaded, 3.0)] {
+fn server_count_canary_servers_are_as_busy_as_after_the_rollout() {
+    let canary = canary();
+    for (stage, min_factor) in [(Stage::Sampled, 1.0), (Stage::Loaded, 3.0)] {
         for count in 9..200 {
-            let busy = trial.server_count(stage, count);
-            let load = trial.share(stage) / f64::from(u32::try_from(busy).expect("few"));
+            let busy = canary.server_count(stage, count);
+            let load = canary.share(stage) / f64::from(u32::try_from(busy).expect("few"));
             let later = 1.0 / f64::from(u32::try_from(count).expect("few"));
-            assert!(load >= least * later - 1e-9, "{busy} of {count}");
+            assert!(load >= min_factor * later - 1e-9, "{busy} of {count}");
         }
     }
-    let servers = |count| trial.server_count(Stage::Sampled, count);
+    let servers = |count| canary.server_count(Stage::Sampled, count);
     assert_eq!((servers(12), servers(2), servers(0)), (1, 1, 1));
-    assert_eq!(trial.server_count(Stage::Loaded, 60), 6);
+    assert_eq!(canary.server_count(Stage::Loaded, 60), 6);
 }
 
-/// A version fails half of its answers on a server that runs 32 requests or more, and
-/// none below. Its share kept its servers at ten, so it was completed and then failed callers
-/// at each peak, with the old version already stopped.
+/// A version fails half of its answers on a server that runs 32 requests or more, and none below.
+/// Guards against a canary share that keeps its servers at ten requests: the version would be
+/// completed and fail callers at each peak, when the old version has already been stopped.
 #[test]
-fn judge_version_that_fails_under_load_is_rejected() {
+fn evaluate_version_that_fails_under_load_is_rejected() {
     // Twelve servers run 240 requests at the peak, as long as 3.2 s each, 75 a second.
     let running = |stage: Stage| {
-        let trial = trial();
-        let servers = f64::from(u32::try_from(trial.server_count(stage, 12)).expect("few"));
-        240.0 * trial.share(stage) / servers
+        let canary = canary();
+        let servers = f64::from(u32::try_from(canary.server_count(stage, 12)).expect("few"));
+        240.0 * canary.share(stage) / servers
     };
     assert!(running(Stage::Sampled) < 32.0);
     assert!(running(Stage::Loaded) >= 32.0);
     for seed in 0..100 {
-        let (verdict, passed, bad_new, exposure) = play(seed, 75.0, |_, is_new, passed| {
-            // Requests pile up for a second and a half before the server is busy.
+        let (verdict, passed, bad_new, exposure) = simulate(seed, 75.0, |_, is_new, passed| {
+            // Requests accumulate for a second and a half before the server is busy.
             if is_new && passed > 13_200 + 1_500 {
                 0.5
             } else {
@@ -188,14 +189,13 @@
     }
 }
 
-/// The one server on trial crashes while it runs twenty requests. Each breaks off, and the
-/// version was rolled back although it is good. A version whose servers crash one after
-/// the other must go all the same.
+/// Guards against the rollback of a good version because its only canary server crashes and breaks
+/// twenty requests. A version whose servers crash one after another must still be rejected.
 #[rstest]
 #[case::one_crash(1, Verdict::Hold)]
 #[case::three_crashes(3, Verdict::Hold)]
 #[case::crashing_version(9, Verdict::Reject)]
-fn judge_crash_is_one_failure(#[case] crashed: u32, #[case] verdict: Verdict) {
+fn evaluate_crash_is_one_failure(#[case] crashed: u32, #[case] verdict: Verdict) {
     let side = |all| Count {
         all,
         ..Count::default()
@@ -207,15 +207,15 @@
     let counts = Counts::from([("r".to_owned(), pair)]);
     let evidence = Evidence { counts, crashed };
     let at = ORDERED.plus_millis(9_000);
-    assert_eq!(trial().evaluate(at, &evidence), verdict);
+    assert_eq!(canary().evaluate(at, &evidence), verdict);
 }
 
-/// In a burst the answers of both versions are slow. Slowness was counted for the new version
-/// alone, so a good one was rolled back whenever a burst fell into its trial.
+/// In a burst the answers of both versions are slow. Guards against counting slow answers of the
+/// new version only, which rolls back a good version whenever a burst coincides with its canary.
 #[rstest]
 #[case::both_slow(120, Verdict::Hold)]
 #[case::only_the_new_one(0, Verdict::Reject)]
-fn judge_slow_answers_are_compared_with_the_old_version(
+fn evaluate_slow_answers_are_compared_with_the_old_version(
     #[case] old_slow: u32,
     #[case] verdict: Verdict,
 ) {
@@ -231,19 +231,19 @@
     let counts = Counts::from([("r".to_owned(), pair)]);
     let evidence = Evidence { counts, crashed: 0 };
     let at = ORDERED.plus_millis(9_000);
-    assert_eq!(trial().evaluate(at, &evidence), verdict);
+    assert_eq!(canary().evaluate(at, &evidence), verdict);
 }
 
-/// A version fails half of its answers on busy servers. Its one loaded server had so much to read
-/// that it answered almost nothing before the time came; with no failure seen it was completed, and
-/// the failures came with the first answers. What waits must be answered first; where nothing was
-/// asked under load nothing is owed, and the answers before decide.
+/// A version fails half of its answers on busy servers, but its one loaded server has so many
+/// prompts to process that it answers almost nothing before completion is allowed. Guards against
+/// completing it before its first failures: waiting requests must be answered first. Without
+/// requests under load none are waiting, and the earlier answers decide.
 #[rstest]
 #[case::answered(0.76, 40, 6, Verdict::Complete)]
 #[case::most_waits(0.76, 4, 30, Verdict::Hold)]
 #[case::most_waits_to_the_end(0.86, 4, 30, Verdict::Reject)]
 #[case::nothing_came_under_load(0.76, 0, 0, Verdict::Complete)]
-fn judge_waits_for_answers_under_load(
+fn evaluate_waits_for_answers_under_load(
     #[case] passed: f64,
     #[case] loaded: u32,
     #[case] waiting: u32,
@@ -262,15 +262,15 @@
     let counts = Counts::from([("r".to_owned(), Pair { old, new })]);
     let evidence = Evidence { counts, crashed: 0 };
     let at = ORDERED + Duration::from_secs_f64(24.0 * passed);
-    assert_eq!(trial().evaluate(at, &evidence), verdict);
+    assert_eq!(canary().evaluate(at, &evidence), verdict);
 }
 
-/// A version fails one in fourteen of its answers, the old one none of a thousand. Four failures
-/// were taken for bad luck, since the difference was small.
+/// A version fails one in fourteen of its answers, the old one none of a thousand. Guards against
+/// treating four failures as chance because the difference of the shares is small.
 #[rstest]
 #[case::old_never_fails(0, Verdict::Reject)]
 #[case::old_fails_as_often(70, Verdict::Hold)]
-fn judge_few_failures_beside_none(#[case] old_bad: u32, #[case] verdict: Verdict) {
+fn evaluate_few_failures_beside_none(#[case] old_bad: u32, #[case] verdict: Verdict) {
     let old = Count {
         all: 1_000,
         bad: old_bad,
@@ -284,5 +284,5 @@
     let counts = Counts::from([("r".to_owned(), Pair { old, new })]);
     let evidence = Evidence { counts, crashed: 0 };
     let at = ORDERED.plus_millis(9_000);
-    assert_eq!(trial().evaluate(at, &evidence), verdict);
+    assert_eq!(canary().evaluate(at, &evidence), verdict);
 }
--- a/crates/core/tests/all/routed/load.rs
+++ b/crates/core/tests/all/routed/load.rs
@@ -1,4 +1,4 @@
-//! What others have running.
+//! Tests of the exchange of load between nodes.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::affinity;
@@ -8,13 +8,13 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Work of one long prompt, in requests of usual size.
-const PROMPT: f64 = 20.0;
+/// Load of one long prompt, in requests of usual size.
+const PROMPT_LOAD: f64 = 20.0;
 
 const NOW: Instant = Instant::from_millis(10_000);
 
 #[test]
-fn tell_answers_with_the_others_only() {
+fn report_answers_with_the_others_only() {
     let mut hub = Hub::default();
     hub.report(NOW, "a", vec![(1, 100), (2, 50)]);
     let sum = hub.report(NOW, "b", vec![(1, 700)]);
@@ -23,19 +23,18 @@
     assert_eq!(sum, vec![(1, 700)]);
 }
 
-/// A node dies with work on a server. What it told must not weigh on that server for
-/// ever.
+/// A node fails while it has load on a server. Its report must not count for that server forever.
 #[test]
-fn tell_a_dead_node_is_forgotten() {
+fn report_of_a_failed_node_expires() {
     let mut hub = Hub::default();
     hub.report(NOW, "a", vec![(1, 100)]);
     let sum = hub.report(NOW.plus_millis(1_500), "b", vec![]);
     assert_eq!(sum, vec![]);
 }
 
-/// The hub dies: what was heard last fades instead of steering for seconds.
+/// The hub fails: the load received last must decay instead of determining choices for seconds.
 #[test]
-fn work_fades_with_its_age() {
+fn work_decays_with_its_age() {
     let mut others = PeerLoad::default();
     let identity = 5 << 32;
     let mut hub = Hub::default();
@@ -46,10 +45,10 @@
     assert!(others.work(NOW, 6 << 32) == 0.0);
 }
 
-/// Work in another availability zone reaches a node through its hub and the top, and what the
-/// node's own group has told is not told back.
+/// Load in another availability zone reaches a node through its hub and the top, and the load of
+/// the node's own group is not sent back to that group.
 #[test]
-fn hear_other_groups_count_once() {
+fn receive_other_groups_count_once() {
     let (mut near, mut far, mut top) = (Hub::default(), Hub::default(), Hub::default());
     near.report(NOW, "a", vec![(1, 100)]);
     far.report(NOW, "x", vec![(1, 30), (2, 5)]);
@@ -61,12 +60,12 @@
     assert_eq!(near.report(NOW, "b", vec![]), vec![(1, 130), (2, 5)]);
     assert_eq!(near.report(NOW, "a", vec![(1, 100)]), vec![(1, 30), (2, 5)]);
     assert_eq!(far.report(NOW, "x", vec![]), vec![(1, 100)]);
-    // The top dies: what it told last is forgotten.
+    // The top fails: its last report expires.
     let later = NOW.plus_millis(1_500);
     assert_eq!(near.report(later, "b", vec![]), vec![]);
 }
 
-/// Nodes in zones of unlike size; all must agree who is a hub and who the top.
+/// In zones of different sizes, all nodes must agree which nodes are hubs and which one is the top.
 #[rstest]
 #[case::few_nodes(&[3, 2, 2, 2], 1)]
 #[case::small_zones(&[9, 8, 8], 3)]
@@ -110,7 +109,10 @@
                     .iter()
                     .position(|member| member.name == *hub)
                     .expect("a node");
-                assert!(!matches!(duties[at], Duty::Member(_)), "a hub tells a hub");
+                assert!(
+                    !matches!(duties[at], Duty::Member(_)),
+                    "a member reports to a member"
+                );
                 let is_near = nodes[at].zone == nodes[node].zone;
                 assert!(
                     is_near || nodes.len() <= MAX_GROUP_NODES,
@@ -122,23 +124,29 @@
     assert_eq!(found, hubs);
 }
 
-/// What all nodes have told their hubs, and those the top, at one moment.
-fn tell(now: Instant, tables: &[load::Table], hubs: &mut [Hub], top: &mut Hub) -> Vec<load::Table> {
+/// Lets all hubs report to the top and all nodes report to their hubs at one time, and returns what
+/// each node receives.
+fn exchange(
+    now: Instant,
+    tables: &[load::Table],
+    hubs: &mut [Hub],
+    top: &mut Hub,
+) -> Vec<load::Table> {
     let group = |node: usize| node % hubs.len();
     let groups: Vec<usize> = (0..tables.len()).map(group).collect();
     for (number, hub) in hubs.iter_mut().enumerate() {
         let elsewhere = top.report(now, &number.to_string(), hub.group_sum(now));
         hub.receive(now, elsewhere);
     }
-    let told = tables.iter().enumerate();
-    told.map(|(node, table)| hubs[groups[node]].report(now, &node.to_string(), table.clone()))
+    let reports = tables.iter().enumerate();
+    reports
+        .map(|(node, table)| hubs[groups[node]].report(now, &node.to_string(), table.clone()))
         .collect()
 }
 
-/// Many nodes each have a small part of a stream of long prompts. Plays arrivals on
-/// ten servers and returns the work, in prompts, that nineteen in twenty find ahead of
-/// them at most.
-fn queue(nodes: usize, shares: bool) -> f64 {
+/// Simulates a stream of long prompts on ten servers, of which each of many nodes handles a small
+/// part. Returns the 95th percentile of the load ahead of a prompt on its server, in prompts.
+fn queue(nodes: usize, exchanges_load: bool) -> f64 {
     let mut random = Pcg64::seed_from_u64(17);
     let servers: Vec<u64> = (0..10_u8).map(|number| affinity::hash(&[number])).collect();
     let mut work = vec![vec![0.0_f64; servers.len()]; nodes];
@@ -149,7 +157,7 @@
     let steps = 20_000_u64;
     for step in 0..steps {
         let now = Instant::from_millis(step);
-        if shares && step % load::REPORT_INTERVAL_MS == 0 {
+        if exchanges_load && step % load::REPORT_INTERVAL_MS == 0 {
             let table = |work: &Vec<f64>| {
                 let table = servers.iter().zip(work);
                 table
@@ -157,8 +165,8 @@
                     .collect()
             };
             let tables: Vec<load::Table> = work.iter().map(table).collect();
-            let heard = tell(now, &tables, &mut hubs, &mut top);
-            for (others, table) in others.iter_mut().zip(&heard) {
+            let received = exchange(now, &tables, &mut hubs, &mut top);
+            for (others, table) in others.iter_mut().zip(&received) {
                 others.receive(now, table);
             }
         }
@@ -178,16 +186,16 @@
                 .collect();
             let part = affinity::mix(random.random_range(0..100));
             let taken = affinity::choose(&candidates, Some(part), 0).expect("a server");
-            found.push(work.iter().map(|mine| mine[taken]).sum::<f64>() / PROMPT);
-            work[node][taken] += PROMPT;
+            found.push(work.iter().map(|node_work| node_work[taken]).sum::<f64>() / PROMPT_LOAD);
+            work[node][taken] += PROMPT_LOAD;
         }
-        // Each server does a fixed amount a millisecond, whoever's it is.
+        // Each server processes a fixed load a millisecond, divided in proportion between the nodes.
         for index in 0..servers.len() {
-            let sum: f64 = work.iter().map(|mine| mine[index]).sum();
+            let sum: f64 = work.iter().map(|node_work| node_work[index]).sum();
             let left = (sum - 0.16).max(0.0);
             let part = if sum > 0.0 { left / sum } else { 0.0 };
-            for mine in &mut work {
-                mine[index] *= part;
+            for node_work in &mut work {
+                node_work[index] *= part;
             }
         }
     }
@@ -195,21 +203,23 @@
     found[found.len() * 19 / 20]
 }
 
-/// Nine nodes in one group, and many in several groups: told of the others' work, the
-/// busiest server has less of a queue than when each node balances only its own. In
-/// several groups it may be half as long again as in one, as what comes through the top is
-/// a telling older.
+/// With the load of the peers, the queue must be clearly shorter than when each node balances only
+/// its own requests: for nine nodes in one group, and for many in several groups. In several groups
+/// it may be 1.5 times as long as in one, since data that passes the top is one report older.
 #[rstest]
 #[case::nine(9)]
 #[case::several_groups(2 * MAX_GROUP_NODES + 10)]
 #[case::many_groups(8 * MAX_GROUP_NODES)]
-fn hear_keeps_long_prompts_apart(#[case] nodes: usize) {
+fn receive_keeps_long_prompts_apart(#[case] nodes: usize) {
     let alone = queue(nodes, false);
-    let told = queue(nodes, true);
-    assert!(told < 0.75 * alone, "{told} told, {alone} alone");
+    let exchanged = queue(nodes, true);
+    assert!(
+        exchanged < 0.75 * alone,
+        "{exchanged} with exchange, {alone} alone"
+    );
     let one_group = queue(9, true);
     assert!(
-        told < 1.5 * one_group,
-        "{told} in groups, {one_group} in one"
+        exchanged < 1.5 * one_group,
+        "{exchanged} in groups, {one_group} in one"
     );
 }
--- a/crates/core/tests/all/routed/warmup.rs
+++ b/crates/core/tests/all/routed/warmup.rs
@@ -1,4 +1,4 @@
-//! A crowd of nodes before servers that are warming up.
+//! Tests of the rate limit for servers that are warming up.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::routed::warmup::{Limit, Pacer, is_sender};
@@ -9,28 +9,32 @@
     (0..nodes).map(|number| format!("n{number}")).collect()
 }
 
-fn users(limit: Limit, names: &[String], sees: impl Fn(&str, &str) -> bool) -> Vec<&String> {
-    let is_one = |own: &&String| {
+fn senders(
+    limit: Limit,
+    names: &[String],
+    has_discovered: impl Fn(&str, &str) -> bool,
+) -> Vec<&String> {
+    let is_chosen = |local: &&String| {
         let known: Vec<&str> = names
             .iter()
             .map(String::as_str)
-            .filter(|other| sees(own, other))
+            .filter(|other| has_discovered(local, other))
             .collect();
-        is_sender(own, known.iter().copied(), 17, limit.senders(known.len()))
+        is_sender(local, known.iter().copied(), 17, limit.senders(known.len()))
     };
-    names.iter().filter(is_one).collect()
+    names.iter().filter(is_chosen).collect()
 }
 
-/// Most requests within any second if each user sends whenever it may; a user is its spacing and
-/// the moment of its first request, in milliseconds.
-fn most_within_second(users: &[(u64, u64)]) -> usize {
+/// Returns the maximum number of requests within any second if each sender sends whenever it may. A
+/// sender is given by its spacing and the time of its first request, in milliseconds.
+fn max_within_second(senders: &[(u64, u64)]) -> usize {
     let mut sent: Vec<u64> = Vec::new();
-    for &(spacing_ms, first_ms) in users {
-        let mut turn = Pacer::default();
+    for &(spacing_ms, first_ms) in senders {
+        let mut pacer = Pacer::default();
         for millis in first_ms..4_000 {
             let now = Instant::from_millis(10_000 + millis);
-            if turn.is_due(now) {
-                turn.record_send(now, spacing_ms);
+            if pacer.is_due(now) {
+                pacer.record_send(now, spacing_ms);
                 sent.push(millis);
             }
         }
@@ -44,12 +48,12 @@
     sent.iter().map(within).max().unwrap_or(0)
 }
 
-/// Users of a fleet in which all know each other and begin together.
-fn all_users(limit: Limit, nodes: usize) -> Vec<(u64, u64)> {
+/// Returns the senders of a fleet whose nodes have all discovered each other and start together.
+fn all_senders(limit: Limit, nodes: usize) -> Vec<(u64, u64)> {
     vec![(limit.spacing_ms(nodes), 0); limit.senders(nodes)]
 }
 
-/// Guards against a crowd at a cold server, whatever the size of the fleet.
+/// Guards against too many requests to a cold server, for any size of the fleet.
 #[rstest]
 #[case::few_nodes(7, 21.5)]
 #[case::many_nodes(78, 21.5)]
@@ -58,66 +62,65 @@
 #[case::low_limit_many_nodes(78, 5.0)]
 #[case::low_limit_hundreds(295, 5.0)]
 #[case::one_request(295, 1.0)]
-fn share_sum_over_all_nodes_keeps_the_limit(#[case] nodes: usize, #[case] most: f64) {
-    let limit = Limit::new(most, 1.0, 0.0);
+fn spacing_ms_sum_over_all_nodes_keeps_the_limit(#[case] nodes: usize, #[case] max: f64) {
+    let limit = Limit::new(max, 1.0, 0.0);
     let names = names(nodes);
-    let users = users(limit, &names, |_, _| true);
-    assert_eq!(users.len(), limit.senders(nodes));
-    let sent = most_within_second(&all_users(limit, nodes));
-    assert!(sent >= 1 && f64::from(u32::try_from(sent).expect("few")) <= most);
+    let senders = senders(limit, &names, |_, _| true);
+    assert_eq!(senders.len(), limit.senders(nodes));
+    let sent = max_within_second(&all_senders(limit, nodes));
+    assert!(sent >= 1 && f64::from(u32::try_from(sent).expect("few")) <= max);
 }
 
-/// Guards against users that are too few to be of use: a cold server gets a third of its limit at
-/// least.
+/// Guards against too few senders: a cold server must get at least a third of its limit.
 #[rstest]
 #[case(7)]
 #[case(78)]
 #[case(295)]
-fn share_uses_the_limit(#[case] nodes: usize) {
+fn spacing_ms_uses_the_limit(#[case] nodes: usize) {
     let limit = Limit::new(11.0, 1.5, 5.0);
-    let sent = most_within_second(&all_users(limit, nodes));
+    let sent = max_within_second(&all_senders(limit, nodes));
     assert!(sent >= 8);
 }
 
-/// Guards against a server that bears nothing and gets one request from each node.
+/// Guards against a server that tolerates no requests and gets one from each node.
 #[test]
-fn users_of_a_server_that_bears_nothing_are_none() {
+fn senders_of_a_server_without_capacity_are_none() {
     assert_eq!(Limit::new(0.0, 1.5, 0.0).senders(78), 0);
 }
 
-/// Guards against the same few nodes that serve all cold servers of a zone.
+/// Guards against the same few nodes being the senders for all cold servers of a zone.
 #[test]
-fn is_user_spreads_servers_over_nodes() {
+fn is_sender_spreads_servers_over_nodes() {
     let names = names(78);
     let all = || names.iter().map(String::as_str);
-    let used = |own: &str| {
+    let used = |local: &str| {
         (0..23)
-            .filter(|&server| is_sender(own, all(), server * 7_919, 6))
+            .filter(|&server| is_sender(local, all(), server * 7_919, 6))
             .count()
     };
-    let most = names.iter().map(|own| used(own)).max().expect("nodes");
-    assert!(most <= 6);
+    let max = names.iter().map(|local| used(local)).max().expect("nodes");
+    assert!(max <= 6);
 }
 
 proptest! {
-    /// Guards against nodes that disagree about who the others are: two parts of the fleet that do
-    /// not know each other.
+    /// Guards against exceeding the limit while nodes disagree on the list of nodes: two partitions
+    /// of the fleet that have not discovered each other.
     #[test]
-    fn share_nodes_that_disagree_keep_the_limit(
+    fn is_sender_nodes_that_disagree_keep_the_limit(
         nodes in 7usize..300,
-        most in 5.0f64..60.0,
+        max in 5.0f64..60.0,
         cut in 0usize..3,
         starts in proptest::collection::vec(0u64..1_000, 60),
     ) {
-        let limit = Limit::new(most, 1.0, 0.0);
+        let limit = Limit::new(max, 1.0, 0.0);
         let names = names(nodes);
         let is_cut = |name: &str| name[1..].parse::<usize>().expect("number") % 3 == cut;
-        let users = users(limit, &names, |own, other| is_cut(own) == is_cut(other));
+        let senders = senders(limit, &names, |local, other| is_cut(local) == is_cut(other));
         let size = |part: bool| names.iter().filter(|name| is_cut(name) == part).count();
-        let turns = users.iter().zip(&starts).map(|(name, &first_ms)| {
+        let pacers = senders.iter().zip(&starts).map(|(name, &first_ms)| {
             (limit.spacing_ms(size(is_cut(name))), first_ms)
         });
-        let sent = most_within_second(&turns.collect::<Vec<_>>());
-        prop_assert!(f64::from(u32::try_from(sent).expect("few")) <= most);
+        let sent = max_within_second(&pacers.collect::<Vec<_>>());
+        prop_assert!(f64::from(u32::try_from(sent).expect("few")) <= max);
     }
 }
--- a/crates/core/tests/all/routed/watcher.rs
+++ b/crates/core/tests/all/routed/watcher.rs
@@ -1,4 +1,4 @@
-//! Who watches the store.
+//! Tests of the selection of the nodes that watch the store.
 
 use fescuerack_core::routed::rank::Instance;
 use fescuerack_core::routed::watcher::{self, MAX_DIRECT_NODES, Role, WATCHER_COUNT};
@@ -9,7 +9,7 @@
         .collect()
 }
 
-fn chosen(nodes: &[(String, String)], zone: &str) -> Vec<String> {
+fn hubs_of(nodes: &[(String, String)], zone: &str) -> Vec<String> {
     let members = nodes.iter().map(|(name, zone)| Instance {
         name,
         zone,
@@ -20,39 +20,41 @@
 }
 
 #[test]
-fn choose_few_nodes_watch_for_themselves() {
+fn hubs_few_nodes_watch_for_themselves() {
     assert_eq!(
-        chosen(&nodes(4 * MAX_DIRECT_NODES), "z0"),
+        hubs_of(&nodes(4 * MAX_DIRECT_NODES), "z0"),
         Vec::<String>::new()
     );
 }
 
-/// Every change wakes every watch. With 91 and with 340 nodes eight watch.
+/// Every change ends every watch call, so the number of hubs must not grow with the fleet: eight,
+/// with 91 and with 340 nodes.
 #[test]
-fn choose_watchers_do_not_grow_with_the_fleet() {
+fn hubs_do_not_grow_with_the_fleet() {
     for count in [91, 340] {
         let nodes = nodes(count);
         let all: usize = (0..4)
-            .map(|zone| chosen(&nodes, &format!("z{zone}")).len())
+            .map(|zone| hubs_of(&nodes, &format!("z{zone}")).len())
             .sum();
         assert_eq!(all, 4 * WATCHER_COUNT);
     }
 }
 
-/// A watcher dies: the other stays, so nobody has to ask both anew.
+/// When one hub fails, the other stays a hub, so no node has to switch both.
 #[test]
-fn choose_loss_of_one_keeps_the_other() {
+fn hubs_loss_of_one_keeps_the_other() {
     let mut nodes = nodes(91);
-    let before = chosen(&nodes, "z1");
+    let before = hubs_of(&nodes, "z1");
     nodes.retain(|(name, _)| *name != before[0]);
-    let after = chosen(&nodes, "z1");
+    let after = hubs_of(&nodes, "z1");
     assert_eq!(after[0], before[1]);
     assert_eq!(after.len(), WATCHER_COUNT);
 }
 
-/// A change was late everywhere because the two that watch for twenty had the smallest links.
+/// Guards against changes that are late on all nodes because the two nodes that serve twenty others
+/// have the smallest links.
 #[test]
-fn choose_the_largest_links_go_first() {
+fn hubs_have_the_largest_links() {
     let nodes = nodes(91);
     let members = nodes.iter().map(|(name, zone)| Instance {
         name,
@@ -77,7 +79,7 @@
     members.collect()
 }
 
-/// Who watches, and who asks whom, with all zones in one region but those of `far`.
+/// Returns the roles of all nodes. The zones of `far` form one region, all others another.
 fn roles<'a>(members: &[Instance<'a>], far: &[&str]) -> Vec<Role<'a>> {
     let role = |member: &Instance| {
         let is_near = |zone: &str| far.contains(&zone) == far.contains(&member.zone);
@@ -86,57 +88,64 @@
     members.iter().map(role).collect()
 }
 
-fn watching(roles: &[Role]) -> usize {
+fn watcher_count(roles: &[Role]) -> usize {
     roles.iter().filter(|role| **role == Role::Watcher).count()
 }
 
-/// Every change wakes every watch: two in the region, however many zones and nodes it has.
+/// Every change ends every watch call, so a region has two watchers for any number of zones and
+/// nodes.
 #[test]
-fn role_two_watch_for_a_region() {
+fn role_a_region_has_two_watchers() {
     for count in [40, 91, 340] {
         let nodes = nodes(count);
-        assert_eq!(watching(&roles(&members(&nodes), &[])), WATCHER_COUNT);
+        assert_eq!(watcher_count(&roles(&members(&nodes), &[])), WATCHER_COUNT);
         assert_eq!(
-            watching(&roles(&members(&nodes), &["z0", "z2"])),
+            watcher_count(&roles(&members(&nodes), &["z0", "z2"])),
             2 * WATCHER_COUNT
         );
     }
 }
 
-/// From each node the way to the store has two steps at most, and only hubs ask beyond
-/// their zone: nobody asks a node that asks back, and bytes stay near.
+/// Each node is position_of most two polls away from a watcher, and only hubs poll nodes of other zones:
+/// no two nodes poll each other, and bytes stay within zones.
 #[test]
-fn role_ways_end_at_the_store() {
+fn role_polls_end_at_a_watcher() {
     let nodes = nodes(91);
     let members = members(&nodes);
     let roles = roles(&members, &[]);
-    let at = |name: &str| {
-        let at = members.iter().position(|member| member.name == name);
-        at.expect("a member")
+    let position_of = |name: &str| {
+        let position = members.iter().position(|member| member.name == name);
+        position.expect("a member")
     };
-    for (own, role) in roles.iter().enumerate() {
-        let Role::Follower(asked) = role else {
+    for (index, role) in roles.iter().enumerate() {
+        let Role::Follower(polled) = role else {
             continue;
         };
-        assert_eq!(asked.len(), WATCHER_COUNT);
-        let hubs = watcher::hubs(members[own].zone, members.iter().copied());
-        for name in asked {
-            let next = &roles[at(name)];
+        assert_eq!(polled.len(), WATCHER_COUNT);
+        let hubs = watcher::hubs(members[index].zone, members.iter().copied());
+        for name in polled {
+            let next = &roles[position_of(name)];
             if *next == Role::Watcher {
                 continue;
             }
-            assert_eq!(members[at(name)].zone, members[own].zone);
-            assert!(!hubs.contains(&members[own].name), "a hub asks a watcher");
+            assert_eq!(members[position_of(name)].zone, members[index].zone);
+            assert!(
+                !hubs.contains(&members[index].name),
+                "a hub polls a watcher"
+            );
             let Role::Follower(last) = next else {
-                panic!("{name} is alone");
+                panic!("{name} watches the store itself");
             };
-            assert!(last.iter().all(|name| roles[at(name)] == Role::Watcher));
+            assert!(
+                last.iter()
+                    .all(|name| roles[position_of(name)] == Role::Watcher)
+            );
         }
     }
 }
 
-/// A region of one large zone and small ones: the small ones do without, and their nodes, which
-/// watch in long waits, are not asked.
+/// In a region of one large zone and small ones, the nodes of the small zones watch the store
+/// themselves. They watch in long calls, so no other node may poll them.
 #[test]
 fn role_small_zones_watch_for_themselves() {
     let mut nodes = nodes(4);
@@ -151,5 +160,5 @@
             member.name
         );
     }
-    assert_eq!(watching(&roles), WATCHER_COUNT);
+    assert_eq!(watcher_count(&roles), WATCHER_COUNT);
 }
