--- a/crates/core/src/claim/codec.rs
+++ b/crates/core/src/claim/codec.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Answer, Record, State};
-use crate::store::LARGEST_VALUE;
+use crate::store::MAX_VALUE_BYTES;
 
 /// Maximum size of a part in bytes; the remainder of a value is left for the line of the record.
 pub const MAX_PART_BYTES: usize = LARGEST_VALUE - (64 << 10);
