--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -9,7 +9,7 @@
 use super::plan::{self, Basis, CONFIDENCE, Candidate, Constraints, Plan, Steps};
 use crate::clock::Instant;
 use crate::rollout::Registry;
-use crate::session::{self, Place};
+use crate::session::{self, Placement};
 
 /// The version, model or class of work that a caller requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
     /// Never empty.
     pub plans: Vec<Plan>,
     /// Version of the session, and whether the session starts on it, keeps it or moves to it.
-    pub place: Place,
+    pub place: Placement,
 }
 
 /// Chooses the plans of a request.
@@ -102,7 +102,7 @@
         plans = chooser.plans_for_new_session()?;
         Ok(plans[0].first())
     })?;
-    if let Place::Keep(version) = place {
+    if let Placement::Keep(version) = place {
         plans = chooser.plans_for_pinned_session(version);
     }
     chooser.check(&plans);
@@ -153,7 +153,7 @@
         if let Some(share) = self.context.rollouts.share(self.context.now, model) {
             let name = self.context.names.models.name(model);
             let position = session::position(name, self.request.session);
-            let start = session::start(share, position);
+            let start = session::starting_version(share, position);
             // An organisation that may not use the candidate stays on the current version.
             return Some(if self.is_allowed(start) {
                 start
--- a/crates/core/src/claim/codec.rs
+++ b/crates/core/src/claim/codec.rs
@@ -11,7 +11,7 @@
 use crate::store::MAX_VALUE_BYTES;
 
 /// Maximum size of a part in bytes; the remainder of a value is left for the line of the record.
-pub const MAX_PART_BYTES: usize = LARGEST_VALUE - (64 << 10);
+pub const MAX_PART_BYTES: usize = MAX_VALUE_BYTES - (64 << 10);
 
 /// The line of JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/core/tests/all/choice.rs
+++ b/crates/core/tests/all/choice.rs
@@ -7,7 +7,7 @@
 };
 use fescuerack_core::clock::Instant;
 use fescuerack_core::rollout::{Cause, Halt, Record, Registry};
-use fescuerack_core::session::Place;
+use fescuerack_core::session::Placement;
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
 use rstest::rstest;
@@ -204,7 +204,7 @@
     }
     let pinned = case.pinned.filter(|place| case.allowed[*place]);
     if let Some(pinned) = pinned.map(|place| setup.version(place)) {
-        let moved = matches!(choice.place, Place::Move { .. });
+        let moved = matches!(choice.place, Placement::Move { .. });
         assert_eq!(moved, setup.is_withdrawn(case, pinned));
     }
 }
@@ -275,7 +275,7 @@
     }
     let choice = setup.choose(&case).expect("a plan");
     assert_eq!(choice.plans[0].steps, Steps::Direct(setup.version(3)));
-    assert_eq!(choice.place, Place::Keep(setup.version(0)));
+    assert_eq!(choice.place, Placement::Keep(setup.version(0)));
 }
 
 // No allowed version meets the target. The request is refused for this reason, unless the
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -3,7 +3,7 @@
 
 use fescuerack_config::key;
 use fescuerack_core::cascade::{self, Context, Plan, Selector};
-use fescuerack_core::session::{Pins, Place};
+use fescuerack_core::session::{Pins, Placement};
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::{chat, header, token};
 
