--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -8,9 +8,9 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use fescuerack_config::Names;
-use fescuerack_core::admission::{Ask, Control, Ended, Thresholds, Verdict};
+use fescuerack_core::admission::{Completion, Controller, Request, Thresholds, Verdict};
 use fescuerack_core::clock::Instant;
-use fescuerack_core::route::subset::Place;
+use fescuerack_core::route::subset::Position;
 use fescuerack_core::route::{self, Listed, State, Table};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -21,7 +21,7 @@
         let mut names = Names::new();
         let fleet = names.fleets.intern("fleet");
         let mut table = Table::new("zone-0");
-        table.set_place(Place {
+        table.set_position(Position {
             index: 3,
             instances: 340,
             size: subset,
@@ -38,25 +38,25 @@
             };
             (names.servers.intern(&id), listed)
         });
-        table.list(Instant::ORIGIN, listed.collect());
+        table.apply_list(Instant::ORIGIN, listed.collect());
         let fleets = [fleet];
         let avoid = BTreeSet::new();
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         let id = BenchmarkId::from_parameter(format!("{servers} servers, subset {subset}"));
         group.bench_function(id, |bencher| {
             bencher.iter(|| {
-                let ask = route::Ask {
+                let ask = route::Request {
                     fleets: &fleets,
                     avoid: &avoid,
                     work: 300,
-                    prompt: 1_000,
+                    prompt_tokens: 1_000,
                     prefix: Some(rng.random()),
                     adapter: None,
                 };
                 let now = Instant::from_millis(1);
                 let server = table.choose(now, &ask, &mut rng).expect("a server");
-                table.start(now, server, ask.work);
-                table.end(now, server, ask.work, route::Ended::Void, false);
+                table.start_attempt(now, server, ask.work);
+                table.end_attempt(now, server, ask.work, route::Outcome::Ignored, false);
                 black_box(server)
             });
         });
@@ -69,14 +69,14 @@
     let organisations: Vec<_> = (0..100)
         .map(|index| names.organisations.intern(&format!("organisation-{index}")))
         .collect();
-    let mut control = Control::new(Thresholds::new(64));
+    let mut control = Controller::new(Thresholds::new(64));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut grants = Vec::new();
     let mut now = Instant::ORIGIN;
     criterion.bench_function("admission, 100 organisations, saturated", |bencher| {
         bencher.iter(|| {
             now = now.plus_millis(1);
-            let ask = Ask {
+            let ask = Request {
                 organisation: organisations[rng.random_range(0..100)],
                 weight: 1,
                 caller: rng.random_range(0..1_000),
@@ -90,10 +90,10 @@
             }
             if grants.len() >= 64 {
                 let grant = grants.swap_remove(0);
-                control.finish(now, grant, Ended::Whole { first: now });
+                control.finish(now, grant, Completion::Answered { first: now });
             }
             for turn in control.poll(now, &mut rng) {
-                if let fescuerack_core::admission::Turn::Run(_, grant) = turn {
+                if let fescuerack_core::admission::Resolution::Run(_, grant) = turn {
                     grants.push(grant);
                 }
             }
--- a/crates/core/benches/load/main.rs
+++ b/crates/core/benches/load/main.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use fescuerack_config::Names;
-use fescuerack_core::admission::rate::Rates;
+use fescuerack_core::admission::rate::RateLimits;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num::float;
 use fescuerack_replay::{
@@ -556,9 +556,9 @@
     const LIMIT: f64 = 1_000.0;
     let mut names = Names::new();
     let organisation = names.organisations.intern("one");
-    let mut instances: Vec<_> = (0..count).map(|_| Rates::new()).collect();
+    let mut instances: Vec<_> = (0..count).map(|_| RateLimits::new()).collect();
     for instance in &mut instances {
-        instance.track(Instant::ORIGIN, organisation, LIMIT, count);
+        instance.register(Instant::ORIGIN, organisation, LIMIT, count);
     }
     let mut told = VecDeque::new();
     let mut passed = Vec::new();
@@ -588,7 +588,7 @@
         for instance in &mut instances[..senders] {
             for step in 0..each {
                 let at = now.plus_millis(step * 990 / each);
-                let spent = instance.spend(at, organisation, LIMIT, count);
+                let spent = instance.try_acquire(at, organisation, LIMIT, count);
                 all += usize::from(spent.is_ok());
             }
         }
--- a/crates/core/benches/versions/poison.rs
+++ b/crates/core/benches/versions/poison.rs
@@ -47,14 +47,14 @@
     }
 
     fn may_run(&mut self, now: Instant, index: usize, request: Fingerprint) -> bool {
-        match self.suspects[index].judge(now, request) {
+        match self.suspects[index].verdict(now, request) {
             Verdict::Run => true,
             Verdict::Refuse => false,
             Verdict::Permit if self.down => true,
             Verdict::Permit => {
                 let record = self.store.get(&request).cloned().unwrap_or_default();
                 let lost = self.suspects[index].lost(request);
-                let taken = record.take(&format!("instance-{index}"), &lost);
+                let taken = record.take_permit(&format!("instance-{index}"), &lost);
                 let may = taken.is_some();
                 self.store.extend(taken.map(|taken| (request, taken)));
                 may
@@ -63,7 +63,7 @@
     }
 
     fn crashed(&mut self, now: Instant, index: usize, request: Fingerprint, server: &str) {
-        self.suspects[index].crashed(now, request, server);
+        self.suspects[index].record_crash(now, request, server);
         let digest = self.suspects[index].digest(now);
         for other in (0..INSTANCES).filter(|other| *other != index) {
             self.messages
@@ -88,7 +88,7 @@
             }
             *now = now.plus_millis(100);
             if !kills {
-                self.suspects[index].survived(request);
+                self.suspects[index].record_survival(request);
                 break;
             }
             lost += 1;
@@ -195,7 +195,7 @@
                         fleet.crashed(now, index, request, &format!("other-{serial}"));
                         refused += 1;
                     } else {
-                        fleet.suspects[index].survived(request);
+                        fleet.suspects[index].record_survival(request);
                     }
                 }
             }
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -92,7 +92,7 @@
     }
 
     /// Changes the highest value.
-    pub fn set_most(&mut self, most: usize) {
+    pub fn set_max(&mut self, most: usize) {
         let was_highest = self.get() >= self.most;
         self.most = most;
         if was_highest || self.value > float(most) {
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,6 +1,6 @@
 //! What is let in, what waits and what is turned away.
 //!
-//! [`Control`] decides about every request of one instance. The patterns of
+//! [`Controller`] decides about every request of one instance. The patterns of
 //! load it answers, and what goes wrong without it:
 //!
 //! * **Saturation.** A queue that serves in order of arrival serves everyone
@@ -19,7 +19,7 @@
 //!   pool is lost and too low when it is back; [`limit`] follows what runners
 //!   finish.
 //! * **A retrying crowd.** Equal `Retry-After` values bring the crowd back at
-//!   one moment; [`Refusal::retry`] is spread at random over the time that the
+//!   one moment; [`Refusal::retry_at`] is spread at random over the time that the
 //!   backlog needs.
 //!
 //! A refusal is always final and given at once, and nothing of the request has
@@ -27,11 +27,11 @@
 //!
 //! [`fifo`] is the baseline that benches compare with.
 
-mod ask;
 pub mod fair;
 pub mod fifo;
 pub mod limit;
 pub mod rate;
+mod request;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,10 +41,12 @@
 
 use crate::clock::Instant;
 use crate::num::{Mean, float, seconds, whole};
-use ask::Lane;
-pub use ask::{Ask, Ended, Grant, Reason, Refusal, Summary, Thresholds, Ticket, Turn, Verdict};
 use fair::{Fair, Flow};
 use limit::{Limit, Sample};
+use request::Lane;
+pub use request::{
+    Completion, Grant, Reason, Refusal, Request, Resolution, Summary, Thresholds, Ticket, Verdict,
+};
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
@@ -63,7 +65,7 @@
 
 /// Admission of one instance.
 #[derive(Clone, Debug)]
-pub struct Control {
+pub struct Controller {
     thresholds: Thresholds,
     limit: Limit,
     short: Queue,
@@ -74,7 +76,7 @@
     next: u64,
 }
 
-impl Control {
+impl Controller {
     /// Seconds that a request is expected to run before any has finished.
     const FIRST_GUESS_S: f64 = 0.0;
 
@@ -94,13 +96,13 @@
     }
 
     /// Takes over thresholds that a new configuration brings.
-    pub fn set(&mut self, thresholds: Thresholds) {
-        self.limit.set_most(thresholds.places);
+    pub fn set_thresholds(&mut self, thresholds: Thresholds) {
+        self.limit.set_max(thresholds.places);
         self.thresholds = thresholds;
     }
 
     /// Decides about a request that arrives.
-    pub fn offer<R: Rng>(&mut self, now: Instant, ask: &Ask, rng: &mut R) -> Verdict {
+    pub fn offer<R: Rng>(&mut self, now: Instant, ask: &Request, rng: &mut R) -> Verdict {
         let lane = if ask.long { Lane::Long } else { Lane::Short };
         let flow = Flow {
             organisation: ask.organisation,
@@ -133,13 +135,13 @@
     /// # Panics
     ///
     /// When a request ends that never ran.
-    pub fn finish(&mut self, now: Instant, grant: Grant, ended: Ended) {
+    pub fn finish(&mut self, now: Instant, grant: Grant, ended: Completion) {
         let running = self.short.running + self.long.running;
         let queue = self.queue_mut(grant.lane);
         assert!(queue.running > 0, "a request finished that never ran");
         queue.running -= 1;
         match ended {
-            Ended::Whole { first } => {
+            Completion::Answered { first } => {
                 let took = now.since(grant.start).as_secs_f64();
                 queue.service.add(took);
                 if let Some(class) = grant.class
@@ -155,8 +157,8 @@
                     self.limit.add(now, sample, running);
                 }
             }
-            Ended::Overloaded => self.limit.add(now, Sample::Overloaded, running),
-            Ended::Void => {}
+            Completion::Overloaded => self.limit.add(now, Sample::Overloaded, running),
+            Completion::Ignored => {}
         }
     }
 
@@ -166,7 +168,7 @@
     /// # Panics
     ///
     /// When the queues disagree about who waits.
-    pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<Turn> {
+    pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<Resolution> {
         let mut turns = Vec::new();
         while let Some((latest, ticket)) = self.expiry.first().copied() {
             if latest > now {
@@ -176,7 +178,7 @@
                 unreachable!("every expiry belongs to a request that waits");
             };
             let refusal = self.refusal(now, Reason::TooLate, gone.lane, gone.flow, rng);
-            turns.push(Turn::Refuse(ticket, refusal));
+            turns.push(Resolution::Refuse(ticket, refusal));
         }
         for lane in [Lane::Short, Lane::Long] {
             while self.has_place(lane) {
@@ -185,7 +187,7 @@
                 };
                 let waiting = self.forget(ticket).expect("a queued ticket waits");
                 let grant = self.grant(now, lane, waiting.class);
-                turns.push(Turn::Run(ticket, grant));
+                turns.push(Resolution::Run(ticket, grant));
             }
         }
         turns
@@ -295,7 +297,7 @@
     /// weighted part, so that a greedy one cannot fill the others' too.
     fn is_full(&self, lane: Lane, flow: Flow) -> bool {
         let fair = &self.queue(lane).fair;
-        let part = float(self.thresholds.length) * fair.share(flow);
+        let part = float(self.thresholds.queue_length) * fair.share(flow);
         fair.waiting(flow.organisation) >= whole(part).max(1)
     }
 
@@ -347,11 +349,11 @@
         flow: Flow,
         rng: &mut R,
     ) -> Refusal {
-        let most = self.thresholds.retry_most_s;
+        let most = self.thresholds.max_retry_after_s;
         let least_s = self.wait_s(lane, flow).clamp(1.0, (most / 2.0).max(1.0));
         let spread_s = rng.random::<f64>() * least_s;
-        let retry = now + seconds((least_s + spread_s).min(most.max(1.0)));
-        Refusal { reason, retry }
+        let retry_at = now + seconds((least_s + spread_s).min(most.max(1.0)));
+        Refusal { reason, retry_at }
     }
 }
 
--- a/crates/core/src/admission/rate.rs
+++ b/crates/core/src/admission/rate.rs
@@ -12,7 +12,7 @@
 //! lack some.
 //!
 //! **By how much the limit can be exceeded.** With views no older than the
-//! time between two raises ([`RAISE_MS`]), every raise is seen before the next
+//! time between two raises ([`REBALANCE_INTERVAL_MS`]), every raise is seen before the next
 //! and the shares sum to at most 1, but for the case that more instances begin
 //! to lack at one moment than were known to: each raise hands out at most the
 //! spare per instance that was not known. Each instance that sees a sum over 1
@@ -34,7 +34,7 @@
 
 /// Milliseconds between two changes of shares: twice the time in which a
 /// digest reaches every peer at the planned period of a second.
-pub const RAISE_MS: u64 = 2_000;
+pub const REBALANCE_INTERVAL_MS: u64 = 2_000;
 /// Milliseconds after which a peer's word no longer counts.
 const OLD_MS: u64 = 15_000;
 /// Part of `1/n` that an instance keeps without need, so that its first
@@ -55,12 +55,12 @@
     pub at: u64,
     /// What the sender owns.
     #[serde(default)]
-    pub shares: BTreeMap<String, Owned>,
+    pub shares: BTreeMap<String, OwnedShare>,
 }
 
 /// What an instance owns of one limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Owned {
+pub struct OwnedShare {
     /// Its share, 0 to 1.
     pub share: f64,
     /// Whether it lacks some.
@@ -82,18 +82,18 @@
 struct Peer {
     at: u64,
     heard: Instant,
-    shares: SecondaryMap<key::Organisation, Owned>,
+    shares: SecondaryMap<key::Organisation, OwnedShare>,
 }
 
 /// The limits of all organisations as one instance sees them.
 #[derive(Clone, Debug, Default)]
-pub struct Rates {
+pub struct RateLimits {
     buckets: SecondaryMap<key::Organisation, Bucket>,
     peers: BTreeMap<String, Peer>,
     changed: Instant,
 }
 
-impl Rates {
+impl RateLimits {
     /// Returns limits of which nothing is known yet.
     #[must_use]
     pub fn new() -> Self {
@@ -106,14 +106,14 @@
     /// # Errors
     ///
     /// When the next request may come, if this one may not.
-    pub fn spend(
+    pub fn try_acquire(
         &mut self,
         now: Instant,
         organisation: key::Organisation,
         rate: f64,
         instances: usize,
     ) -> Result<(), Instant> {
-        self.track(now, organisation, rate, instances);
+        self.register(now, organisation, rate, instances);
         let bucket = &mut self.buckets[organisation];
         bucket.asked = bucket.asked.saturating_add(1);
         bucket.fill(now);
@@ -128,7 +128,7 @@
 
     /// Makes a limit known before its first request, so that peers hear how
     /// little of it this instance needs.
-    pub fn track(
+    pub fn register(
         &mut self,
         now: Instant,
         organisation: key::Organisation,
@@ -147,7 +147,7 @@
     /// Changes shares when it is time to; call it about once a second.
     pub fn refresh(&mut self, now: Instant, instances: usize) {
         let period = now.since(self.changed);
-        if now < self.changed.plus_millis(RAISE_MS) {
+        if now < self.changed.plus_millis(REBALANCE_INTERVAL_MS) {
             return;
         }
         self.changed = now;
@@ -168,7 +168,7 @@
         owned.sort_by(|a, b| b.1.need.total_cmp(&a.1.need));
         let shares = owned.into_iter().take(MOST).map(|(key, bucket)| {
             let name = names.organisations.name(key).to_string();
-            let owned = Owned {
+            let owned = OwnedShare {
                 share: bucket.share,
                 lacks: bucket.lacks,
             };
--- a/crates/core/src/admission/ask.rs
+++ b/crates/core/src/admission/request.rs
@@ -20,7 +20,7 @@
     /// chat does not stop the night's dossiers altogether.
     pub long_floor: f64,
     /// Requests that may wait.
-    pub length: usize,
+    pub queue_length: usize,
     /// Share of the time until the latest start that the expected wait may
     /// take. The estimate is a mean: at 1.0 half of those let in would be
     /// dropped later, after waiting in vain.
@@ -29,7 +29,7 @@
     /// about 95 in 100 of the usual spread of answer lengths.
     pub margin: f64,
     /// Longest `Retry-After`, in seconds.
-    pub retry_most_s: f64,
+    pub max_retry_after_s: f64,
 }
 
 impl Thresholds {
@@ -40,17 +40,17 @@
             places,
             long_share: 0.3,
             long_floor: 0.1,
-            length: places * 4,
+            queue_length: places * 4,
             slack: 0.5,
             margin: 2.0,
-            retry_most_s: 30.0,
+            max_retry_after_s: 30.0,
         }
     }
 }
 
 /// A request that asks to be let in.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct Request {
     /// Who pays for it.
     pub organisation: key::Organisation,
     /// Share of the organisation relative to others, at least 1.
@@ -72,7 +72,7 @@
 pub enum Verdict {
     /// Runs at once.
     Run(Grant),
-    /// Waits; [`super::Control::poll`] later returns the ticket.
+    /// Waits; [`super::Controller::poll`] later returns the ticket.
     Wait(Ticket),
     /// Is turned away.
     Refuse(Refusal),
@@ -93,7 +93,7 @@
     /// Why.
     pub reason: Reason,
     /// When its caller may come back.
-    pub retry: Instant,
+    pub retry_at: Instant,
 }
 
 /// A place held by a request that runs.
@@ -107,21 +107,21 @@
 
 /// How a request that ran has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Completion {
     /// Its answer was whole; the first token came at this time.
-    Whole {
+    Answered {
         /// When the first part of the answer came.
         first: Instant,
     },
     /// Runners refused it or let it run out of time.
     Overloaded,
     /// It says nothing about runners: its caller went away, or it was wrong.
-    Void,
+    Ignored,
 }
 
 /// What becomes of a request that waited.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
+pub enum Resolution {
     /// It runs now.
     Run(Ticket, Grant),
     /// It can no longer finish and is turned away.
--- a/crates/core/src/attempt/budget.rs
+++ b/crates/core/src/attempt/budget.rs
@@ -16,21 +16,21 @@
 pub struct Thresholds {
     /// Further attempts per first attempt. With 0.1 amplification stays within
     /// 1.1, and one failure in ten is still hidden from callers.
-    pub share: f64,
+    pub retry_ratio: f64,
     /// Further attempts that may be saved up; covers the few failures of a
     /// quiet hour, in which no share of traffic would amount to one.
-    pub saved: f64,
+    pub max_saved: f64,
     /// Share of failed attempts from which a pool counts as failing. Under a
     /// half, another server is still likely to answer.
-    pub failing: f64,
+    pub failing_share: f64,
 }
 
 impl Default for Thresholds {
     fn default() -> Self {
         Self {
-            share: 0.1,
-            saved: 10.0,
-            failing: 0.5,
+            retry_ratio: 0.1,
+            max_saved: 10.0,
+            failing_share: 0.5,
         }
     }
 }
@@ -40,13 +40,13 @@
     #[must_use]
     pub fn new(thresholds: &Thresholds) -> Self {
         Self {
-            tokens: thresholds.saved,
+            tokens: thresholds.max_saved,
         }
     }
 
     /// Counts a first attempt.
     pub fn deposit(&mut self, thresholds: &Thresholds) {
-        self.tokens = (self.tokens + thresholds.share).min(thresholds.saved);
+        self.tokens = (self.tokens + thresholds.retry_ratio).min(thresholds.max_saved);
     }
 
     /// Takes one further attempt if more than `kept` remain.
--- a/crates/core/src/attempt/hedge.rs
+++ b/crates/core/src/attempt/hedge.rs
@@ -26,7 +26,7 @@
 /// `remaining` is over; never within `least_s` seconds, and never at all when
 /// that is 0.
 #[must_use]
-pub fn after(first: &Mean, least_s: f64, remaining: Duration) -> Option<Duration> {
+pub fn delay(first: &Mean, least_s: f64, remaining: Duration) -> Option<Duration> {
     if first.samples < SAMPLES || least_s <= 0.0 {
         return None;
     }
--- a/crates/core/src/attempt/mod.rs
+++ b/crates/core/src/attempt/mod.rs
@@ -30,7 +30,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum AttemptOutcome {
     /// The whole answer arrived.
     Done,
     /// No byte of the request left, or the server said that it did not start.
@@ -104,9 +104,9 @@
 
     /// Decides what follows; `handed_on` says that the caller already has a
     /// part of the answer.
-    pub fn end(&mut self, now: Instant, end: End, handed_on: bool) -> Next {
-        self.perhaps_run |= end != End::NotRun;
-        if end == End::Done {
+    pub fn end(&mut self, now: Instant, end: AttemptOutcome, handed_on: bool) -> Next {
+        self.perhaps_run |= end != AttemptOutcome::NotRun;
+        if end == AttemptOutcome::Done {
             return Next::Stop(Outcome::Done);
         }
         let repeatable = self.idempotent || !self.perhaps_run;
@@ -117,17 +117,17 @@
     }
 
     /// Milliseconds of the longest pause before the second attempt.
-    const PAUSE_MS: u64 = 20;
+    const BACKOFF_BASE_MS: u64 = 20;
     /// Milliseconds of the longest pause at all.
-    const PAUSE_MOST_MS: u64 = 500;
+    const BACKOFF_MAX_MS: u64 = 500;
 
     /// Returns how long to wait before the next attempt: a random part of a
     /// time that doubles, so that the requests that a failing server drops
     /// together do not come back together, and never beyond the deadline.
     #[must_use]
-    pub fn pause<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
+    pub fn backoff<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
         let doublings = self.made.saturating_sub(1).min(8);
-        let most = (Self::PAUSE_MS << doublings).min(Self::PAUSE_MOST_MS);
+        let most = (Self::BACKOFF_BASE_MS << doublings).min(Self::BACKOFF_MAX_MS);
         let pause = Duration::from_millis(rng.random_range(0..=most));
         pause.min(self.deadline.since(now))
     }
--- a/crates/core/src/attempt/pools.rs
+++ b/crates/core/src/attempt/pools.rs
@@ -96,18 +96,18 @@
     }
 
     /// Takes over thresholds that a new configuration brings.
-    pub fn set(&mut self, thresholds: Thresholds) {
+    pub fn set_thresholds(&mut self, thresholds: Thresholds) {
         self.thresholds = thresholds;
     }
 
     /// Counts the first attempt of a request.
-    pub fn first(&mut self, now: Instant, fleet: key::Fleet) {
+    pub fn record_first_attempt(&mut self, now: Instant, fleet: key::Fleet) {
         let thresholds = self.thresholds;
         self.pool(now, fleet).budget.deposit(&thresholds);
     }
 
     /// Counts how an attempt ended.
-    pub fn ended(&mut self, now: Instant, fleet: key::Fleet, well: bool) {
+    pub fn record_result(&mut self, now: Instant, fleet: key::Fleet, well: bool) {
         let pool = self.pool(now, fleet);
         pool.counts = pool.counts.aged(now, pool.at);
         pool.at = now;
@@ -119,12 +119,12 @@
     }
 
     /// Takes a retry from the budget if the pool is worth one.
-    pub fn may_retry(&mut self, now: Instant, fleet: key::Fleet) -> bool {
+    pub fn try_take_retry(&mut self, now: Instant, fleet: key::Fleet) -> bool {
         !self.is_failing(now, fleet) && self.pool(now, fleet).budget.withdraw(0.0)
     }
 
     /// Takes a hedge from the budget if the pool is worth one.
-    pub fn may_hedge(&mut self, now: Instant, fleet: key::Fleet) -> bool {
+    pub fn try_take_hedge(&mut self, now: Instant, fleet: key::Fleet) -> bool {
         !self.is_failing(now, fleet) && self.pool(now, fleet).budget.withdraw(KEPT)
     }
 
@@ -142,14 +142,14 @@
             }
         }
         let total = all.well + all.badly;
-        total >= LEAST && all.badly >= total * self.thresholds.failing
+        total >= LEAST && all.badly >= total * self.thresholds.failing_share
     }
 
     /// Returns how many further attempts the budget of a pool holds.
     #[must_use]
     pub fn remaining(&self, fleet: key::Fleet) -> f64 {
         let pool = self.own.get(fleet);
-        pool.map_or(self.thresholds.saved, |pool| pool.budget.remaining())
+        pool.map_or(self.thresholds.max_saved, |pool| pool.budget.remaining())
     }
 
     /// Returns what to tell peers.
--- a/crates/core/src/poison/mod.rs
+++ b/crates/core/src/poison/mod.rs
@@ -32,15 +32,15 @@
 use crate::clock::Instant;
 
 /// Servers that a fingerprint may cost, fleet-wide.
-pub const MOST_LOST: usize = 2;
+pub const MAX_CRASHED_SERVERS: usize = 2;
 /// Milliseconds for which a suspicion is remembered.
-pub const MEMORY_MS: u64 = 86_400_000;
+pub const RETENTION_MS: u64 = 86_400_000;
 /// Milliseconds for which a single crash keeps a request from running where
 /// the crash was not seen; an instance that was to try it again may be gone.
-pub const DOUBT_MS: u64 = 3_600_000;
+pub const REMOTE_REFUSAL_MS: u64 = 3_600_000;
 /// Milliseconds that the second run of a suspect may take: it has surely ended
 /// when another instance may run the request again.
-pub const LONGEST_MS: u64 = DOUBT_MS / 2;
+pub const MAX_RERUN_MS: u64 = REMOTE_REFUSAL_MS / 2;
 /// Suspicions that one instance remembers.
 const MOST: usize = 4096;
 /// Suspicions that are told to a peer at a time.
@@ -87,10 +87,10 @@
     /// Takes the permit of the second run for `holder`, who keeps it if that run
     /// ended without a crash; `None` when the fingerprint may not run.
     #[must_use]
-    pub fn take(mut self, holder: &str, lost: &BTreeSet<String>) -> Option<Self> {
+    pub fn take_permit(mut self, holder: &str, lost: &BTreeSet<String>) -> Option<Self> {
         self.lost.extend(lost.iter().cloned());
         let other = self.permit.as_ref().is_some_and(|known| known != holder);
-        if self.lost.len() >= MOST_LOST || other {
+        if self.lost.len() >= MAX_CRASHED_SERVERS || other {
             return None;
         }
         self.permit = Some(holder.to_owned());
@@ -155,15 +155,15 @@
 
     /// Says what a request may do.
     #[must_use]
-    pub fn judge(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
+    pub fn verdict(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         match self.known.get(&fingerprint) {
             Some(known) if now >= known.until => Verdict::Run,
-            Some(known) if known.lost.len() >= MOST_LOST => Verdict::Refuse,
+            Some(known) if known.lost.len() >= MAX_CRASHED_SERVERS => Verdict::Refuse,
             // The permit is for one run at a time.
             Some(_) if self.running.contains_key(&fingerprint) => Verdict::Refuse,
             Some(known) if known.survived || now >= known.doubt_until => Verdict::Run,
             // Not so late that it could still run when others may.
-            Some(known) if known.own && now.plus_millis(LONGEST_MS) <= known.doubt_until => {
+            Some(known) if known.own && now.plus_millis(MAX_RERUN_MS) <= known.doubt_until => {
                 Verdict::Permit
             }
             Some(_) => Verdict::Refuse,
@@ -181,7 +181,7 @@
     /// not, since word of another crash has come meanwhile.
     #[must_use]
     pub fn start(&mut self, now: Instant, fingerprint: Fingerprint, server: key::Server) -> bool {
-        let verdict = self.judge(now, fingerprint);
+        let verdict = self.verdict(now, fingerprint);
         if verdict == Verdict::Permit {
             self.running.insert(fingerprint, server);
         }
@@ -189,23 +189,23 @@
     }
 
     /// Notes that `server` crashed under a request.
-    pub fn crashed(&mut self, now: Instant, fingerprint: Fingerprint, server: &str) {
+    pub fn record_crash(&mut self, now: Instant, fingerprint: Fingerprint, server: &str) {
         self.running.remove(&fingerprint);
         let lost = BTreeSet::from([server.to_owned()]);
         self.suspect(now, fingerprint, &lost, false, true);
     }
 
     /// Notes that a request no longer runs, and nothing else of it.
-    pub fn left(&mut self, fingerprint: Fingerprint) {
+    pub fn release(&mut self, fingerprint: Fingerprint) {
         self.running.remove(&fingerprint);
     }
 
     /// Notes that a request ended without a crash; returns whether it was
     /// suspected.
-    pub fn survived(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_survival(&mut self, fingerprint: Fingerprint) -> bool {
         self.running.remove(&fingerprint);
         match self.known.get_mut(&fingerprint) {
-            Some(known) if known.lost.len() < MOST_LOST => {
+            Some(known) if known.lost.len() < MAX_CRASHED_SERVERS => {
                 known.survived = true;
                 true
             }
@@ -221,7 +221,7 @@
     }
 
     /// Takes over what the store holds.
-    pub fn adopt(&mut self, now: Instant, fingerprint: Fingerprint, record: &Record) {
+    pub fn merge_record(&mut self, now: Instant, fingerprint: Fingerprint, record: &Record) {
         self.suspect(now, fingerprint, &record.lost, false, false);
     }
 
@@ -236,8 +236,8 @@
         if lost.is_empty() {
             return;
         }
-        let until = now.plus_millis(MEMORY_MS);
-        let doubt_until = now.plus_millis(DOUBT_MS);
+        let until = now.plus_millis(RETENTION_MS);
+        let doubt_until = now.plus_millis(REMOTE_REFUSAL_MS);
         let known = self.known.entry(fingerprint).or_insert(Suspicion {
             lost: BTreeSet::new(),
             survived: false,
@@ -246,7 +246,9 @@
             until,
         });
         let before = known.lost.len();
-        known.lost.extend(lost.iter().take(MOST_LOST).cloned());
+        known
+            .lost
+            .extend(lost.iter().take(MAX_CRASHED_SERVERS).cloned());
         if known.lost.len() > before {
             // A crash after an end that was well counts like the first one.
             known.survived = false;
--- a/crates/core/src/route/ejection.rs
+++ b/crates/core/src/route/ejection.rs
@@ -34,7 +34,7 @@
     let out = out
         .filter(|key| !servers[**key].health.is_trusted())
         .count();
-    out < whole(float(pool.live.len()) * thresholds.share)
+    out < whole(float(pool.live.len()) * thresholds.max_ejected_share)
 }
 
 /// Ejects outliers and begins probations; returns whether anything changed.
@@ -51,7 +51,7 @@
     let Some(median) = median(pool, servers) else {
         return changed;
     };
-    let limit = (median * thresholds.slow).max(median + LEAST_S);
+    let limit = (median * thresholds.slow_factor).max(median + LEAST_S);
     for key in &pool.live {
         let server = &servers[*key];
         let clear = score::finds_slot(now, pool, server);
@@ -61,14 +61,14 @@
         let patience = limit * 2.0 + if clear { 0.0 } else { FULL_S };
         let still = now.since(server.progress).as_secs_f64();
         let stuck = server.unanswered > 0 && still > patience;
-        let slow = server.first.samples >= SAMPLES && server.first.value > limit;
+        let slow = server.first_token.samples >= SAMPLES && server.first_token.value > limit;
         if !(stuck || slow) {
             continue;
         }
         if has_room(thresholds, pool, servers) {
             let server = &mut servers[*key];
             server.health.eject(now, thresholds);
-            server.first = Mean::default();
+            server.first_token = Mean::default();
             changed = true;
         }
     }
@@ -76,7 +76,7 @@
 }
 
 fn median(pool: &Pool, servers: &SecondaryMap<key::Server, Server>) -> Option<f64> {
-    let means = pool.live.iter().map(|key| &servers[*key].first);
+    let means = pool.live.iter().map(|key| &servers[*key].first_token);
     let mut means: Vec<f64> = means
         .filter(|mean| mean.samples >= SAMPLES)
         .map(|mean| mean.value)
--- a/crates/core/src/route/health.rs
+++ b/crates/core/src/route/health.rs
@@ -6,7 +6,7 @@
 //! ejection lasts twice as long, so a sick server costs fewer and fewer
 //! requests; a server that stays well for long starts over.
 
-use super::Ended;
+use super::Outcome;
 use crate::clock::Instant;
 
 /// Thresholds of ejection; every one may be set in the configuration.
@@ -14,13 +14,13 @@
 pub struct Thresholds {
     /// Failures in a row that eject. One or two happen to healthy servers,
     /// when a request is at fault.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// Times slower than the pool's median that ejects. Under three, batches
     /// of long prompts look like sickness.
-    pub slow: f64,
+    pub slow_factor: f64,
     /// Largest share of a pool that is ejected at a time. More than a third at
     /// once has a common cause, which ejection would only make worse.
-    pub share: f64,
+    pub max_ejected_share: f64,
     /// Milliseconds of the first ejection.
     pub ejection_ms: u64,
 }
@@ -28,9 +28,9 @@
 impl Default for Thresholds {
     fn default() -> Self {
         Self {
-            failures: 3,
-            slow: 3.0,
-            share: 0.34,
+            consecutive_failures: 3,
+            slow_factor: 3.0,
+            max_ejected_share: 0.34,
             ejection_ms: 5_000,
         }
     }
@@ -120,17 +120,17 @@
     }
 
     /// Takes in how an attempt ended.
-    pub fn ended(&mut self, now: Instant, thresholds: &Thresholds, ended: Ended) -> Change {
+    pub fn ended(&mut self, now: Instant, thresholds: &Thresholds, ended: Outcome) -> Change {
         match (ended, self.trust) {
-            (Ended::Void, _) | (_, Trust::Ejected { .. }) => Change::None,
-            (Ended::Well, Trust::Trusted) => {
+            (Outcome::Ignored, _) | (_, Trust::Ejected { .. }) => Change::None,
+            (Outcome::Success, Trust::Trusted) => {
                 self.failures = 0;
                 if now >= self.ejected.plus_millis(FORGIVEN_MS) {
                     self.ejections = 0;
                 }
                 Change::None
             }
-            (Ended::Well, Trust::Probation { proofs }) => {
+            (Outcome::Success, Trust::Probation { proofs }) => {
                 if proofs + 1 < PROOF {
                     self.trust = Trust::Probation { proofs: proofs + 1 };
                     return Change::None;
@@ -139,15 +139,15 @@
                 self.failures = 0;
                 Change::Recovered
             }
-            (Ended::Badly, Trust::Trusted) => {
+            (Outcome::Failure, Trust::Trusted) => {
                 self.failures += 1;
-                if self.failures >= thresholds.failures {
+                if self.failures >= thresholds.consecutive_failures {
                     Change::Failing
                 } else {
                     Change::None
                 }
             }
-            (Ended::Badly, Trust::Probation { .. }) => {
+            (Outcome::Failure, Trust::Probation { .. }) => {
                 // It was not counted as trusted before, so the floor of the
                 // pool does not suffer.
                 self.eject(now, thresholds);
--- a/crates/core/src/route/word.rs
+++ b/crates/core/src/route/leaving.rs
@@ -14,7 +14,7 @@
 
 /// Milliseconds for which a word counts.
 pub const KEPT_MS: u64 = 120_000;
-/// Words that are kept and told at most.
+/// Servers that are kept and told at most.
 const MOST: usize = 128;
 
 /// What an instance tells its peers: servers that leave.
@@ -27,11 +27,11 @@
 
 /// Servers that leave, with the time of their word.
 #[derive(Clone, Debug, Default)]
-pub struct Words {
+pub struct LeavingServers {
     leaving: BTreeMap<String, Instant>,
 }
 
-impl Words {
+impl LeavingServers {
     /// Returns no words.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -33,15 +33,15 @@
 pub mod baseline;
 mod ejection;
 pub mod health;
+pub mod leaving;
 mod ring;
 pub mod score;
 mod server;
 pub mod subset;
-pub mod word;
 
 pub use health::Thresholds;
 pub use ring::hash;
-pub use server::{Ask, Ended, Listed, Server, State};
+pub use server::{Listed, Outcome, Request, Server, State};
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,20 +51,20 @@
 
 use crate::clock::Instant;
 use crate::num::Mean;
+use leaving::LeavingServers;
 use ring::Ring;
 use score::{Pool, Report};
 use server::Best;
-use word::Words;
 
 /// The backend servers that this instance knows.
 #[derive(Clone, Debug)]
 pub struct Table {
     zone: String,
-    place: subset::Place,
+    place: subset::Position,
     thresholds: Thresholds,
     servers: SecondaryMap<key::Server, Server>,
     pools: SecondaryMap<key::Fleet, Pool>,
-    words: Words,
+    words: LeavingServers,
     filled: bool,
 }
 
@@ -86,23 +86,23 @@
     pub fn new(zone: &str) -> Self {
         Self {
             zone: zone.to_owned(),
-            place: subset::Place::default(),
+            place: subset::Position::default(),
             thresholds: Thresholds::default(),
             servers: SecondaryMap::new(),
             pools: SecondaryMap::new(),
-            words: Words::new(),
+            words: LeavingServers::new(),
             filled: false,
         }
     }
 
     /// Takes over thresholds that a new configuration brings.
-    pub fn set(&mut self, thresholds: Thresholds) {
+    pub fn set_thresholds(&mut self, thresholds: Thresholds) {
         self.thresholds = thresholds;
     }
 
     /// Takes over this instance's place among all instances, from which its
     /// subset of each fleet follows.
-    pub fn set_place(&mut self, place: subset::Place) {
+    pub fn set_position(&mut self, place: subset::Position) {
         if self.place != place {
             self.place = place;
             self.rebuild();
@@ -111,7 +111,7 @@
 
     /// Takes over the instance list. Servers that it no longer shows are
     /// forgotten once their work has ended and get none until then.
-    pub fn list(&mut self, now: Instant, listed: Vec<(key::Server, Listed)>) {
+    pub fn apply_list(&mut self, now: Instant, listed: Vec<(key::Server, Listed)>) {
         let shown: BTreeSet<_> = listed.iter().map(|(key, _)| *key).collect();
         for (key, server) in listed {
             self.observe(now, key, server);
@@ -140,22 +140,22 @@
     }
 
     /// Takes over a server's own report of its load.
-    pub fn report(&mut self, now: Instant, key: key::Server, mut report: Report) {
+    pub fn apply_report(&mut self, now: Instant, key: key::Server, mut report: Report) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
-        report.own = server.work;
-        report.own_requests = server.in_flight;
+        report.local_work = server.work;
+        report.local_requests = server.in_flight;
         let leaving = report.leaving;
         server.recent.forget(report.at);
         server.report = Some(report);
         if leaving {
-            self.leave(now, key);
+            self.mark_leaving(now, key);
         }
     }
 
     /// Takes a server's own word that it leaves: no new work from now on.
-    pub fn leave(&mut self, now: Instant, key: key::Server) {
+    pub fn mark_leaving(&mut self, now: Instant, key: key::Server) {
         if let Some(server) = self.servers.get(key)
             && self.words.tell(now, &server.id)
         {
@@ -165,12 +165,12 @@
 
     /// Returns what to tell peers.
     #[must_use]
-    pub fn digest(&self, now: Instant) -> word::Digest {
+    pub fn digest(&self, now: Instant) -> leaving::Digest {
         self.words.digest(now)
     }
 
     /// Takes over a peer's digest.
-    pub fn merge(&mut self, now: Instant, digest: &word::Digest) {
+    pub fn merge(&mut self, now: Instant, digest: &leaving::Digest) {
         if self.words.merge(now, digest) {
             self.rebuild();
         }
@@ -204,7 +204,7 @@
         for (fleet, mut live) in fleets {
             let servers = &self.servers;
             let all = live.len();
-            subset::keep(&self.place, &mut live, |key| servers[key].id.as_str());
+            subset::retain_subset(&self.place, &mut live, |key| servers[key].id.as_str());
             if !self.pools.contains_key(fleet) {
                 self.pools.insert(fleet, Pool::default());
             }
@@ -232,7 +232,7 @@
     pub fn choose<R: Rng>(
         &mut self,
         now: Instant,
-        ask: &Ask<'_>,
+        ask: &Request<'_>,
         rng: &mut R,
     ) -> Option<key::Server> {
         let mut best = Best::default();
@@ -260,7 +260,7 @@
     fn compare<R: Rng>(
         &self,
         now: Instant,
-        ask: &Ask<'_>,
+        ask: &Request<'_>,
         pool: &Pool,
         rng: &mut R,
         best: &mut Best,
@@ -298,7 +298,7 @@
 
     /// Records that an attempt of `work` tokens starts on a server; returns
     /// whether it finds a slot there, by estimate.
-    pub fn start(&mut self, now: Instant, key: key::Server, work: u32) -> bool {
+    pub fn start_attempt(&mut self, now: Instant, key: key::Server, work: u32) -> bool {
         let Some(server) = self.servers.get_mut(key) else {
             return false;
         };
@@ -315,12 +315,18 @@
     }
 
     /// Records that the first part of an answer came, `seconds` after the
-    /// attempt started; `clear` is what [`Self::start`] returned for it.
+    /// attempt started; `clear` is what [`Self::start_attempt`] returned for it.
     ///
     /// A first token that waited for a slot tells of the load, not of the
     /// server: taken as slowness, it ejects whichever servers are busiest and
     /// leaves their work to the others.
-    pub fn first(&mut self, now: Instant, key: key::Server, seconds: f64, clear: bool) {
+    pub fn record_first_token(
+        &mut self,
+        now: Instant,
+        key: key::Server,
+        seconds: f64,
+        clear: bool,
+    ) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -330,22 +336,29 @@
             return;
         }
         if now.since(server.sampled).as_secs_f64() > score::FORGET_S {
-            server.first = Mean::default();
+            server.first_token = Mean::default();
         }
-        server.first.add(seconds);
+        server.first_token.add(seconds);
         server.sampled = now;
         if let Some(pool) = self.pools.get_mut(server.fleet) {
-            pool.first.add(seconds);
+            pool.first_token.add(seconds);
         }
     }
 
     /// Records that an attempt has ended on a server; `answered` says that
-    /// [`Self::first`] was told of it.
+    /// [`Self::record_first_token`] was told of it.
     ///
     /// # Panics
     ///
     /// When more attempts end than were started.
-    pub fn end(&mut self, now: Instant, key: key::Server, work: u32, ended: Ended, answered: bool) {
+    pub fn end_attempt(
+        &mut self,
+        now: Instant,
+        key: key::Server,
+        work: u32,
+        ended: Outcome,
+        answered: bool,
+    ) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
@@ -361,7 +374,7 @@
             health::Change::None => {}
             health::Change::Recovered => {
                 server.joined = Some(now);
-                server.first = Mean::default();
+                server.first_token = Mean::default();
                 self.rebuild();
             }
             health::Change::Failing => {
@@ -388,8 +401,8 @@
 
     /// Returns the time to the first token of a fleet.
     #[must_use]
-    pub fn first_of(&self, fleet: key::Fleet) -> Option<&Mean> {
-        self.pools.get(fleet).map(|pool| &pool.first)
+    pub fn first_token_mean(&self, fleet: key::Fleet) -> Option<&Mean> {
+        self.pools.get(fleet).map(|pool| &pool.first_token)
     }
 
     /// Returns the servers of a fleet that may be chosen.
--- a/crates/core/src/route/score.rs
+++ b/crates/core/src/route/score.rs
@@ -9,7 +9,7 @@
 use fescuerack_config::key;
 
 use super::ring::Ring;
-use super::{Ask, Server};
+use super::{Request, Server};
 use crate::clock::Instant;
 use crate::num::{Mean, float};
 
@@ -59,9 +59,9 @@
     /// Whether it takes no new work.
     pub leaving: bool,
     /// Own work on it when the report was read.
-    pub own: u64,
+    pub local_work: u64,
     /// Own attempts on it when the report was read.
-    pub own_requests: u32,
+    pub local_requests: u32,
 }
 
 /// The servers of one fleet that this instance may choose from.
@@ -74,13 +74,19 @@
     /// Other instances that choose from a server of this pool, on average.
     pub others: f64,
     /// Seconds to the first token over all servers.
-    pub first: Mean,
+    pub first_token: Mean,
     /// Homes of prefixes.
     pub(super) ring: Ring,
 }
 
 /// Returns the expected cost of an attempt on a server.
-pub(super) fn cost(now: Instant, ask: &Ask<'_>, pool: &Pool, server: &Server, home: bool) -> f64 {
+pub(super) fn cost(
+    now: Instant,
+    ask: &Request<'_>,
+    pool: &Pool,
+    server: &Server,
+    home: bool,
+) -> f64 {
     let slow = slowness(now, pool, server);
     let work = f64::from(ask.work);
     let slots = f64::from(server.slots.max(1));
@@ -93,7 +99,7 @@
     let used = (requests + 1.0) / slots;
     let full = (used - FULL).max(0.0) / (1.0 - FULL);
     let queue = used * EVEN_S + full * batch;
-    let itself = (slow - 1.0) * (pool.first.value + work * TOKEN_S);
+    let itself = (slow - 1.0) * (pool.first_token.value + work * TOKEN_S);
     let zone = if server.near { 0.0 } else { ZONE_S };
     queue * slow + itself + zone + cold(ask, server, home)
 }
@@ -104,10 +110,10 @@
 /// A server that looks slow gets no work and so no new samples; without the
 /// decay it would never be seen to be well again.
 fn slowness(now: Instant, pool: &Pool, server: &Server) -> f64 {
-    if server.first.samples < 3 || pool.first.value <= 0.0 {
+    if server.first_token.samples < 3 || pool.first_token.value <= 0.0 {
         return 1.0;
     }
-    let ratio = server.first.value / pool.first.value;
+    let ratio = server.first_token.value / pool.first_token.value;
     let age = now.since(server.sampled).as_secs_f64();
     let ratio = 1.0 + (ratio - 1.0) * (-age / SLOW_HALF_S).exp2();
     if ratio < EQUAL { 1.0 } else { ratio }
@@ -130,8 +136,8 @@
     let age = now.since(report.at).as_secs_f64();
     let weight = (-age / REPORT_HALF_S).exp2();
     let (work, requests) = server.recent.since(report.at);
-    let then = report.work.saturating_sub(report.own);
-    let then_requests = report.requests.saturating_sub(report.own_requests);
+    let then = report.work.saturating_sub(report.local_work);
+    let then_requests = report.requests.saturating_sub(report.local_requests);
     let work = number(then) + number(work) * pool.others;
     let requests = f64::from(then_requests) + f64::from(requests) * pool.others;
     Others {
@@ -154,9 +160,9 @@
     })
 }
 
-fn cold(ask: &Ask<'_>, server: &Server, home: bool) -> f64 {
+fn cold(ask: &Request<'_>, server: &Server, home: bool) -> f64 {
     let prefix = if ask.prefix.is_some() && !home {
-        f64::from(ask.prompt) * PREFILL_S
+        f64::from(ask.prompt_tokens) * PREFILL_S
     } else {
         0.0
     };
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -58,7 +58,7 @@
     /// Whether it is trusted with work.
     pub health: Health,
     /// Seconds to the first token, or to the answer of a plain service.
-    pub first: Mean,
+    pub first_token: Mean,
     pub(super) near: bool,
     pub(super) joined: Option<Instant>,
     pub(super) unanswered: u32,
@@ -82,7 +82,7 @@
             in_flight: 0,
             work: 0,
             health: Health::new(),
-            first: Mean::default(),
+            first_token: Mean::default(),
             near,
             joined,
             unanswered: 0,
@@ -109,7 +109,7 @@
 
 /// What is to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// Fleets that can run it.
     pub fleets: &'a [key::Fleet],
     /// Servers that it must not run on.
@@ -117,7 +117,7 @@
     /// Its work in tokens; 1 for a call of a plain service.
     pub work: u32,
     /// Tokens of its prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Hash of the prompt's beginning, when it is long enough to be cached.
     pub prefix: Option<u64>,
     /// Hash of the adapter that it needs.
@@ -126,13 +126,13 @@
 
 /// How an attempt ended, as far as the choice of servers is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// The server did its part.
-    Well,
+    Success,
     /// The server failed, broke off or refused.
-    Badly,
+    Failure,
     /// It says nothing about the server.
-    Void,
+    Ignored,
 }
 
 /// The server of least cost so far; equal costs are decided at random, so that
--- a/crates/core/src/route/subset.rs
+++ b/crates/core/src/route/subset.rs
@@ -24,11 +24,11 @@
 use crate::num::float;
 
 /// Servers of one fleet that one instance uses.
-pub const SIZE: usize = 12;
+pub const DEFAULT_SIZE: usize = 12;
 
 /// The place of an instance among all instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     /// Position among all instances, ordered by name.
     pub index: usize,
     /// Number of instances.
@@ -37,17 +37,17 @@
     pub size: usize,
 }
 
-impl Default for Place {
+impl Default for Position {
     fn default() -> Self {
         Self {
             index: 0,
             instances: 1,
-            size: SIZE,
+            size: DEFAULT_SIZE,
         }
     }
 }
 
-impl Place {
+impl Position {
     /// Returns how many other instances use a server of a fleet of `all`, on
     /// average, when each uses `own`.
     #[must_use]
@@ -58,8 +58,8 @@
 }
 
 /// Keeps the servers that the instance at `place` uses.
-pub fn keep<'a>(
-    place: &Place,
+pub fn retain_subset<'a>(
+    place: &Position,
     servers: &mut Vec<key::Server>,
     id: impl Fn(key::Server) -> &'a str,
 ) {
--- a/crates/core/tests/all/admission.rs
+++ b/crates/core/tests/all/admission.rs
@@ -1,7 +1,9 @@
 //! Admission under the patterns of load that it answers.
 
 use fescuerack_config::{Names, key};
-use fescuerack_core::admission::{Ask, Control, Ended, Grant, Reason, Thresholds, Turn, Verdict};
+use fescuerack_core::admission::{
+    Completion, Controller, Grant, Reason, Request, Resolution, Thresholds, Verdict,
+};
 use fescuerack_core::clock::Instant;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -12,7 +14,7 @@
 const PLACES: usize = 8;
 
 struct Fixture {
-    control: Control,
+    control: Controller,
     rng: Pcg64Mcg,
     names: Names,
 }
@@ -20,14 +22,14 @@
 impl Fixture {
     fn new() -> Self {
         Self {
-            control: Control::new(Thresholds::new(PLACES)),
+            control: Controller::new(Thresholds::new(PLACES)),
             rng: Pcg64Mcg::seed_from_u64(7),
             names: Names::new(),
         }
     }
 
-    fn ask(&mut self, organisation: &str, deadline_ms: u64) -> Ask {
-        Ask {
+    fn ask(&mut self, organisation: &str, deadline_ms: u64) -> Request {
+        Request {
             organisation: self.names.organisations.intern(organisation),
             weight: 1,
             caller: 0,
@@ -38,12 +40,12 @@
         }
     }
 
-    fn offer(&mut self, now_ms: u64, ask: &Ask) -> Verdict {
+    fn offer(&mut self, now_ms: u64, ask: &Request) -> Verdict {
         let now = Instant::from_millis(now_ms);
         self.control.offer(now, ask, &mut self.rng)
     }
 
-    fn poll(&mut self, now_ms: u64) -> Vec<Turn> {
+    fn poll(&mut self, now_ms: u64) -> Vec<Resolution> {
         let now = Instant::from_millis(now_ms);
         self.control.poll(now, &mut self.rng)
     }
@@ -56,7 +58,8 @@
             let now = round * service_ms;
             for grant in grants.drain(..) {
                 let at = Instant::from_millis(now);
-                self.control.finish(at, grant, Ended::Whole { first: at });
+                self.control
+                    .finish(at, grant, Completion::Answered { first: at });
             }
             for _ in 0..PLACES {
                 let Verdict::Run(grant) = self.offer(now, &ask) else {
@@ -83,7 +86,7 @@
     };
     assert!(fixture.poll(4_900).is_empty());
     let turns = fixture.poll(5_001);
-    assert!(matches!(turns[..], [Turn::Refuse(refused, refusal)]
+    assert!(matches!(turns[..], [Resolution::Refuse(refused, refusal)]
             if refused == ticket && refusal.reason == Reason::TooLate));
     assert_eq!(fixture.control.load().1, 0);
 }
@@ -97,7 +100,7 @@
         panic!("a second is needed and 0.9 remain");
     };
     assert_eq!(refusal.reason, Reason::TooLate);
-    assert!(refusal.retry > Instant::from_millis(1_000));
+    assert!(refusal.retry_at > Instant::from_millis(1_000));
 }
 
 // A crowd is turned away at one moment. With equal times to come back it would
@@ -110,7 +113,7 @@
     let mut returns = Vec::new();
     for _ in 0..100 {
         if let Verdict::Refuse(refusal) = fixture.offer(1_000, &ask) {
-            returns.push(refusal.retry);
+            returns.push(refusal.retry_at);
         }
     }
     returns.sort_unstable();
@@ -133,7 +136,7 @@
     for _ in 0..20 {
         fixture.offer(1_000, &greedy);
     }
-    let small = Ask {
+    let small = Request {
         weight,
         ..fixture.ask("small", 1_000_000)
     };
@@ -143,11 +146,11 @@
     let mut position = 0;
     for (index, grant) in grants.drain(..3).enumerate() {
         let now = Instant::from_millis(2_000);
-        fixture.control.finish(now, grant, Ended::Void);
+        fixture.control.finish(now, grant, Completion::Ignored);
         if fixture
             .poll(2_000)
             .iter()
-            .any(|turn| matches!(turn, Turn::Run(run, _) if *run == ticket))
+            .any(|turn| matches!(turn, Resolution::Run(run, _) if *run == ticket))
         {
             position = index + 1;
         }
@@ -168,7 +171,7 @@
     for _ in 0..30 {
         fixture.offer(1_000, &script);
     }
-    let parent = Ask {
+    let parent = Request {
         caller: 9,
         ..script
     };
@@ -179,12 +182,12 @@
     for grant in grants.drain(..2) {
         fixture
             .control
-            .finish(Instant::from_millis(2_000), grant, Ended::Void);
+            .finish(Instant::from_millis(2_000), grant, Completion::Ignored);
         run.extend(fixture.poll(2_000));
     }
     assert!(
         run.iter()
-            .any(|turn| matches!(turn, Turn::Run(run, _) if *run == ticket))
+            .any(|turn| matches!(turn, Resolution::Run(run, _) if *run == ticket))
     );
 }
 
@@ -193,7 +196,7 @@
 #[test]
 fn offer_bounds_long_work_and_keeps_its_floor() {
     let mut fixture = Fixture::new();
-    let dossier = Ask {
+    let dossier = Request {
         long: true,
         ..fixture.ask("one", 1_000_000)
     };
@@ -220,7 +223,7 @@
         now += 300;
         if let Verdict::Run(grant) = fixture.offer(now, &ask) {
             let at = Instant::from_millis(now);
-            fixture.control.finish(at, grant, Ended::Overloaded);
+            fixture.control.finish(at, grant, Completion::Overloaded);
         }
     }
     let least = fixture.control.summary().limit;
@@ -232,7 +235,7 @@
         for grant in grants.drain(..) {
             fixture
                 .control
-                .finish(at, grant, Ended::Whole { first: at });
+                .finish(at, grant, Completion::Answered { first: at });
         }
         for _ in 0..PLACES {
             if let Verdict::Run(grant) = fixture.offer(now, &ask) {
@@ -240,7 +243,7 @@
             }
         }
         for turn in fixture.poll(now) {
-            if let Turn::Run(_, grant) = turn {
+            if let Resolution::Run(_, grant) = turn {
                 grants.push(grant);
             }
         }
@@ -303,13 +306,13 @@
     }
 
     /// Each turn is of someone who waits, so none is told twice.
-    fn turn(&mut self, turn: Turn) {
+    fn turn(&mut self, turn: Resolution) {
         let ticket = match turn {
-            Turn::Run(ticket, grant) => {
+            Resolution::Run(ticket, grant) => {
                 self.running.push(grant);
                 ticket
             }
-            Turn::Refuse(ticket, _) => {
+            Resolution::Refuse(ticket, _) => {
                 self.refused += 1;
                 ticket
             }
@@ -324,7 +327,7 @@
     let organisations: Vec<key::Organisation> = (0..4)
         .map(|index| names.organisations.intern(&index.to_string()))
         .collect();
-    let mut control = Control::new(Thresholds::new(6));
+    let mut control = Controller::new(Thresholds::new(6));
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let mut callers = Callers::default();
     let mut now = Instant::ORIGIN;
@@ -337,7 +340,7 @@
                 long,
                 within_ms,
             } => {
-                let ask = Ask {
+                let ask = Request {
                     organisation: organisations[organisation],
                     weight: u32::try_from(organisation).unwrap_or(0) + 1,
                     caller,
@@ -351,9 +354,9 @@
             Step::Finish { index, how } if !callers.running.is_empty() => {
                 let grant = callers.running.swap_remove(index % callers.running.len());
                 let ended = match how {
-                    0 => Ended::Whole { first: now },
-                    1 => Ended::Overloaded,
-                    _ => Ended::Void,
+                    0 => Completion::Answered { first: now },
+                    1 => Completion::Overloaded,
+                    _ => Completion::Ignored,
                 };
                 control.finish(now, grant, ended);
                 callers.ended += 1;
--- a/crates/core/tests/all/attempt.rs
+++ b/crates/core/tests/all/attempt.rs
@@ -1,9 +1,9 @@
 //! Retries, hedges and limits across instances.
 
 use fescuerack_config::{Names, key};
-use fescuerack_core::admission::rate::Rates;
+use fescuerack_core::admission::rate::RateLimits;
 use fescuerack_core::attempt::pools::{Counts, Digest, Pools};
-use fescuerack_core::attempt::{Attempts, End, Next, Outcome, hedge};
+use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, Outcome, hedge};
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num::Mean;
 use rand::{RngExt as _, SeedableRng as _};
@@ -21,16 +21,16 @@
 // The whole pool fails for a while. With three retries each, it would get four
 // times its load; the budget keeps it within 1.1 times after what was saved.
 #[test]
-fn may_retry_bounds_amplification() {
+fn try_take_retry_bounds_amplification() {
     let (_, fleet, ..) = names();
     let mut pools = Pools::new();
     let mut retries = 0;
     for step in 0..10_000 {
         let now = Instant::from_millis(step * 10);
-        pools.first(now, fleet);
+        pools.record_first_attempt(now, fleet);
         // Nearly every second attempt fails: just under what counts as failing.
-        pools.ended(now, fleet, step % 20 < 11);
-        retries += u64::from(step % 20 >= 11 && pools.may_retry(now, fleet));
+        pools.record_result(now, fleet, step % 20 < 11);
+        retries += u64::from(step % 20 >= 11 && pools.try_take_retry(now, fleet));
     }
     assert!(
         (900..=1_011).contains(&retries),
@@ -42,18 +42,18 @@
 // stops its retries before it has seen the failures itself; once the pool is
 // well, retries come back with no further message.
 #[test]
-fn may_retry_stops_on_a_peers_word() {
+fn try_take_retry_stops_on_a_peers_word() {
     let (names, fleet, ..) = names();
     let (mut seen, mut told) = (Pools::new(), Pools::new());
     let now = Instant::from_millis(60_000);
     for _ in 0..20 {
-        seen.ended(now, fleet, false);
+        seen.record_result(now, fleet, false);
     }
-    told.first(now, fleet);
-    assert!(told.may_retry(now, fleet));
+    told.record_first_attempt(now, fleet);
+    assert!(told.try_take_retry(now, fleet));
     let digest = seen.digest(&names, now);
     told.merge(&names, now, "peer", &digest);
-    assert!(!told.may_retry(now, fleet));
+    assert!(!told.try_take_retry(now, fleet));
     // Repeated and older messages change nothing.
     let older = Digest {
         at: digest.at - 1_000,
@@ -62,7 +62,7 @@
     told.merge(&names, now, "peer", &older);
     told.merge(&names, now, "peer", &digest);
     assert!(told.is_failing(now, fleet));
-    assert!(told.may_retry(now + Duration::from_secs(30), fleet));
+    assert!(told.try_take_retry(now + Duration::from_secs(30), fleet));
 }
 
 #[test]
@@ -88,9 +88,9 @@
     let (_, _, _, servers) = names();
     let deadline = Instant::from_millis(10_000);
     for (end, next) in [
-        (End::NotRun, Next::Retry),
-        (End::Unknown, Next::Stop(Outcome::Unknown)),
-        (End::Failed, Next::Stop(Outcome::Unknown)),
+        (AttemptOutcome::NotRun, Next::Retry),
+        (AttemptOutcome::Unknown, Next::Stop(Outcome::Unknown)),
+        (AttemptOutcome::Failed, Next::Stop(Outcome::Unknown)),
     ] {
         let mut attempts = Attempts::new(false, deadline, 3);
         attempts.start(servers[0]);
@@ -104,18 +104,18 @@
     let (_, _, _, servers) = names();
     let mut attempts = Attempts::new(false, Instant::from_millis(10), 3);
     attempts.start(servers[0]);
-    let _ = attempts.end(Instant::ORIGIN, End::Unknown, false);
+    let _ = attempts.end(Instant::ORIGIN, AttemptOutcome::Unknown, false);
     attempts.start(servers[1]);
 }
 
 #[test]
-fn pause_is_random_and_within_the_deadline() {
+fn backoff_is_random_and_within_the_deadline() {
     let (_, _, _, servers) = names();
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let mut attempts = Attempts::new(true, Instant::from_millis(8), 9);
     attempts.start(servers[0]);
     let pauses: Vec<_> = (0..50)
-        .map(|_| attempts.pause(Instant::ORIGIN, &mut rng))
+        .map(|_| attempts.backoff(Instant::ORIGIN, &mut rng))
         .collect();
     assert!(
         pauses
@@ -126,16 +126,16 @@
 }
 
 #[test]
-fn hedge_waits_until_late_and_never_past_the_deadline() {
+fn delay_waits_until_late_and_never_past_the_deadline() {
     let mut first = Mean::default();
-    assert_eq!(hedge::after(&first, 0.2, Duration::from_secs(10)), None);
+    assert_eq!(hedge::delay(&first, 0.2, Duration::from_secs(10)), None);
     for _ in 0..100 {
         first.add(0.1);
     }
-    let after = hedge::after(&first, 0.2, Duration::from_secs(10)).expect("it pays");
+    let after = hedge::delay(&first, 0.2, Duration::from_secs(10)).expect("it pays");
     assert!(after >= Duration::from_millis(200));
-    assert_eq!(hedge::after(&first, 0.2, Duration::from_millis(250)), None);
-    assert_eq!(hedge::after(&first, 0.0, Duration::from_secs(10)), None);
+    assert_eq!(hedge::delay(&first, 0.2, Duration::from_millis(250)), None);
+    assert_eq!(hedge::delay(&first, 0.0, Duration::from_secs(10)), None);
 }
 
 /// Runs `count` instances for 60 s, each asked `asked` times a second for a
@@ -144,9 +144,9 @@
 fn passed(count: usize, asked: impl Fn(usize, u64) -> u64, lag_ms: u64) -> (u64, u64) {
     let (names, _, organisation, _) = names();
     let mut rng = Pcg64Mcg::seed_from_u64(2);
-    let mut instances: Vec<_> = (0..count).map(|_| Rates::new()).collect();
+    let mut instances: Vec<_> = (0..count).map(|_| RateLimits::new()).collect();
     for instance in &mut instances {
-        instance.track(Instant::ORIGIN, organisation, 100.0, count);
+        instance.register(Instant::ORIGIN, organisation, 100.0, count);
     }
     let mut told = std::collections::VecDeque::new();
     let mut seconds = vec![0; 60];
@@ -172,7 +172,7 @@
             for step in 0..asked(index, second) {
                 let jitter = rng.random_range(0..5);
                 let at = now + Duration::from_millis(step * 990 / asked(index, second) + jitter);
-                let spent = instance.spend(at, organisation, 100.0, count);
+                let spent = instance.try_acquire(at, organisation, 100.0, count);
                 seconds[usize::try_from(second).unwrap_or(0)] += u64::from(spent.is_ok());
             }
         }
@@ -184,7 +184,7 @@
 // An organisation sends three times its limit, spread over all instances, then
 // through one only. No message is sent per request and digests are 3 s old.
 #[test]
-fn spend_holds_the_limit_across_instances() {
+fn try_acquire_holds_the_limit_across_instances() {
     let (most, last) = passed(9, |_, _| 33, 3_000);
     assert!(most <= 150, "{most} passed in a second of 100");
     assert!(
@@ -201,14 +201,14 @@
 }
 
 #[test]
-fn spend_unheard_keeps_to_its_part() {
+fn try_acquire_unheard_keeps_to_its_part() {
     let (_, _, organisation, _) = names();
-    let mut rates = Rates::new();
+    let mut rates = RateLimits::new();
     let mut passed = 0;
     for step in 0..10_000 {
         let now = Instant::from_millis(step * 2);
         rates.refresh(now, 10);
-        passed += u32::from(rates.spend(now, organisation, 100.0, 10).is_ok());
+        passed += u32::from(rates.try_acquire(now, organisation, 100.0, 10).is_ok());
     }
     assert!((190..=215).contains(&passed), "{passed} of 200 in 20 s");
 }
--- a/crates/core/tests/all/poison.rs
+++ b/crates/core/tests/all/poison.rs
@@ -5,7 +5,7 @@
 use fescuerack_config::Names;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::poison::{
-    Digest, Fingerprint, LONGEST_MS, MOST_LOST, Record, Suspects, Verdict,
+    Digest, Fingerprint, MAX_CRASHED_SERVERS, MAX_RERUN_MS, Record, Suspects, Verdict,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -62,14 +62,14 @@
 
 impl Run {
     fn may_run(&mut self, index: usize, request: Fingerprint) -> bool {
-        match self.suspects[index].judge(self.now, request) {
+        match self.suspects[index].verdict(self.now, request) {
             Verdict::Run => true,
             Verdict::Refuse => false,
             Verdict::Permit if self.down => true,
             Verdict::Permit => {
                 let record = self.store.get(&request).cloned().unwrap_or_default();
                 let lost = self.suspects[index].lost(request);
-                let taken = record.take(&format!("instance-{index}"), &lost);
+                let taken = record.take_permit(&format!("instance-{index}"), &lost);
                 let may = taken.is_some();
                 self.store.extend(taken.map(|taken| (request, taken)));
                 may
@@ -89,7 +89,7 @@
     }
 
     fn send(&mut self, index: usize, request: Fingerprint) {
-        let suspected = self.suspects[index].judge(self.now, request) != Verdict::Run;
+        let suspected = self.suspects[index].verdict(self.now, request) != Verdict::Run;
         // Copies that run before anybody suspects them are not bounded: a
         // caller sends the next one after the answer, or after a crash.
         let first = |run: &Running| run.request == request && !run.suspected;
@@ -103,7 +103,7 @@
                 index,
                 request,
                 suspected,
-                until: self.now.plus_millis(LONGEST_MS),
+                until: self.now.plus_millis(MAX_RERUN_MS),
             });
         }
     }
@@ -114,23 +114,26 @@
         }
         let Running { index, request, .. } = self.runs.remove(run);
         if !crash {
-            self.suspects[index].survived(request);
+            self.suspects[index].record_survival(request);
             return;
         }
         self.servers += 1;
         *self.lost.entry(request).or_default() += 1;
         let server = format!("server-{}", self.servers);
-        self.suspects[index].crashed(self.now, request, &server);
+        self.suspects[index].record_crash(self.now, request, &server);
         self.tell(index);
         let lost = self.lost[&request];
-        assert!(lost <= MOST_LOST, "{lost} servers lost to one request");
+        assert!(
+            lost <= MAX_CRASHED_SERVERS,
+            "{lost} servers lost to one request"
+        );
     }
 
     fn apply(&mut self, op: &Op) {
         self.now = self.now.plus_millis(100);
         let now = self.now;
         for run in self.runs.extract_if(.., |run| run.until <= now) {
-            self.suspects[run.index].left(run.request);
+            self.suspects[run.index].release(run.request);
         }
         match *op {
             Op::Send(index, request) => self.send(index, Fingerprint(request)),
--- a/crates/core/tests/all/route.rs
+++ b/crates/core/tests/all/route.rs
@@ -5,8 +5,8 @@
 use fescuerack_config::{Names, key};
 use fescuerack_core::clock::Instant;
 use fescuerack_core::route::score::Report;
-use fescuerack_core::route::subset::{Place, keep};
-use fescuerack_core::route::{Ask, Ended, Listed, State, Table};
+use fescuerack_core::route::subset::{Position, retain_subset};
+use fescuerack_core::route::{Listed, Outcome, Request, State, Table};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -50,16 +50,16 @@
             (*key, server)
         });
         self.table
-            .list(Instant::from_millis(now_ms), listed.collect());
+            .apply_list(Instant::from_millis(now_ms), listed.collect());
     }
 
     fn choose(&mut self, now_ms: u64, prefix: Option<u64>) -> Option<usize> {
         let fleets = [self.fleet];
-        let ask = Ask {
+        let ask = Request {
             fleets: &fleets,
             avoid: &self.avoid,
             work: 100,
-            prompt: 2_000,
+            prompt_tokens: 2_000,
             prefix,
             adapter: None,
         };
@@ -69,16 +69,16 @@
     }
 
     /// Runs one attempt to its end and returns its server.
-    fn attempt(&mut self, now_ms: u64, ended: impl Fn(usize) -> (f64, Ended)) -> usize {
+    fn attempt(&mut self, now_ms: u64, ended: impl Fn(usize) -> (f64, Outcome)) -> usize {
         let index = self.choose(now_ms, None).expect("a server");
         let (key, now) = (self.keys[index], Instant::from_millis(now_ms));
-        let clear = self.table.start(now, key, 100);
+        let clear = self.table.start_attempt(now, key, 100);
         let (seconds, ended) = ended(index);
-        let answered = ended == Ended::Well;
+        let answered = ended == Outcome::Success;
         if answered {
-            self.table.first(now, key, seconds, clear);
+            self.table.record_first_token(now, key, seconds, clear);
         }
-        self.table.end(now, key, 100, ended, answered);
+        self.table.end_attempt(now, key, 100, ended, answered);
         index
     }
 }
@@ -91,15 +91,17 @@
     let mut fixture = Fixture::new(3);
     let now = Instant::from_millis(10);
     let leaving = fixture.keys[1];
-    fixture.table.start(now, leaving, 100);
-    fixture.table.leave(now, leaving);
+    fixture.table.start_attempt(now, leaving, 100);
+    fixture.table.mark_leaving(now, leaving);
     let mut peer = Fixture::new(3);
     peer.table.merge(now, &fixture.table.digest(now));
     for step in 0..200 {
         assert_ne!(fixture.choose(step, None), Some(1));
         assert_ne!(peer.choose(step, None), Some(1));
     }
-    fixture.table.end(now, leaving, 100, Ended::Well, false);
+    fixture
+        .table
+        .end_attempt(now, leaving, 100, Outcome::Success, false);
     // Two peers that tell each other do not keep the word alive for ever.
     let later = Instant::from_millis(130_000);
     peer.table.merge(later, &fixture.table.digest(later));
@@ -126,7 +128,7 @@
         for step in 0..2_000 {
             let now = from_ms + step * 10;
             let seconds = move |index| if index == 0 { slow } else { 0.1 };
-            let ended = move |index| (seconds(index), Ended::Well);
+            let ended = move |index| (seconds(index), Outcome::Success);
             taken += usize::from(fixture.attempt(now, ended) == 0);
             if step % 50 == 0 {
                 fixture.table.tick(Instant::from_millis(now));
@@ -143,10 +145,10 @@
 // Every server fails: the cause is common (a bad network, a bad version).
 // Ejecting them all would leave none for the first that recovers.
 #[test]
-fn end_keeps_the_floor_when_all_fail() {
+fn end_attempt_keeps_the_floor_when_all_fail() {
     let mut fixture = Fixture::new(6);
     for step in 0..300 {
-        fixture.attempt(step, |_| (0.0, Ended::Badly));
+        fixture.attempt(step, |_| (0.0, Outcome::Failure));
         fixture.table.tick(Instant::from_millis(step));
     }
     let ejected = fixture.table.iter();
@@ -165,7 +167,7 @@
     for instance in 0..9 {
         let mut fixture = Fixture::new(6);
         fixture.rng = Pcg64Mcg::seed_from_u64(instance);
-        fixture.table.set_place(Place {
+        fixture.table.set_position(Position {
             index: usize::try_from(instance).unwrap_or(0),
             instances: 9,
             size: 32,
@@ -179,12 +181,14 @@
             };
             fixture
                 .table
-                .report(Instant::from_millis(1_000), key, report);
+                .apply_report(Instant::from_millis(1_000), key, report);
         }
         for _ in 0..10 {
             let index = fixture.choose(1_500, None).expect("a server");
             let key = fixture.keys[index];
-            fixture.table.start(Instant::from_millis(1_500), key, 100);
+            fixture
+                .table
+                .start_attempt(Instant::from_millis(1_500), key, 100);
             sent[index] += 1;
         }
     }
@@ -205,7 +209,7 @@
         let index = fixture.choose(10_000 + step, None).expect("a server");
         fixture
             .table
-            .start(Instant::from_millis(10_000 + step), all[index], 1);
+            .start_attempt(Instant::from_millis(10_000 + step), all[index], 1);
         early[index] += 1;
     }
     assert!(
@@ -226,7 +230,7 @@
         let index = fixture.choose(0, Some(77)).expect("a server");
         fixture
             .table
-            .start(Instant::ORIGIN, fixture.keys[index], 100);
+            .start_attempt(Instant::ORIGIN, fixture.keys[index], 100);
         sent[index] += 1;
     }
     let most = sent.iter().max().copied().unwrap_or(0);
@@ -247,7 +251,7 @@
             match fixture.rng.random_range(0..10) {
                 0..5 => {
                     let index = fixture.choose(step * 20, Some(step % 7)).expect("a server");
-                    let clear = fixture.table.start(now, fixture.keys[index], 100);
+                    let clear = fixture.table.start_attempt(now, fixture.keys[index], 100);
                     running.push((index, clear));
                 }
                 5..9 if !running.is_empty() => {
@@ -256,10 +260,14 @@
                     let well = fixture.rng.random::<f64>() < 0.6;
                     let key = fixture.keys[index];
                     if well {
-                        fixture.table.first(now, key, 0.1, clear);
+                        fixture.table.record_first_token(now, key, 0.1, clear);
                     }
-                    let ended = if well { Ended::Well } else { Ended::Badly };
-                    fixture.table.end(now, key, 100, ended, well);
+                    let ended = if well {
+                        Outcome::Success
+                    } else {
+                        Outcome::Failure
+                    };
+                    fixture.table.end_attempt(now, key, 100, ended, well);
                 }
                 _ => fixture.table.tick(now),
             }
@@ -278,19 +286,19 @@
 }
 
 #[test]
-fn keep_deals_servers_out_evenly() {
+fn retain_subset_deals_servers_out_evenly() {
     let mut names = Names::new();
     let ids: Vec<String> = (0..910).map(|index| format!("server-{index}")).collect();
     let keys: Vec<_> = ids.iter().map(|id| names.servers.intern(id)).collect();
     let mut uses = vec![0_u32; keys.len()];
     for index in 0..340 {
-        let place = Place {
+        let place = Position {
             index,
             instances: 340,
             size: 32,
         };
         let mut kept = keys.clone();
-        keep(&place, &mut kept, |key| names.servers.name(key).as_ref());
+        retain_subset(&place, &mut kept, |key| names.servers.name(key).as_ref());
         assert!((32..=33).contains(&kept.len()));
         for key in kept {
             uses[keys.iter().position(|known| *known == key).expect("known")] += 1;
--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -19,9 +19,9 @@
 
 use fescuerack_client::{Agent, HttpStore, agent, manifest};
 use fescuerack_config::{Catalog, Folder, Merged, Names, folder, key};
-use fescuerack_core::admission::{self, Control, Thresholds, Verdict};
+use fescuerack_core::admission::{self, Controller, Thresholds, Verdict};
 use fescuerack_core::clock;
-use fescuerack_core::route::{Ask, Listed, State, Table};
+use fescuerack_core::route::{Listed, Request, State, Table};
 use fescuerack_core::{claim, ledger, session};
 use fescuerack_standin::{Engine, Pace, Platform};
 use fescuerack_wire::list::{Instance, Instances};
@@ -228,7 +228,7 @@
 fn table(names: &mut Names, servers: usize) -> Table {
     let fleet = names.fleets.intern("fleet");
     let mut table = Table::new("zone-0");
-    table.list(clock::Instant::ORIGIN, listed(names, fleet, servers));
+    table.apply_list(clock::Instant::ORIGIN, listed(names, fleet, servers));
     table
 }
 
@@ -264,11 +264,11 @@
     let fleet = names.fleets.intern("fleet");
     let avoid = BTreeSet::new();
     let fleets = [fleet];
-    let ask = Ask {
+    let ask = Request {
         fleets: &fleets,
         avoid: &avoid,
         work: 200,
-        prompt: 500,
+        prompt_tokens: 500,
         prefix: None,
         adapter: None,
     };
@@ -279,7 +279,7 @@
     });
     let take_over = micros(20, |_| {
         let listed = listed(&mut names, fleet, servers);
-        table.list(now, listed);
+        table.apply_list(now, listed);
     });
     let tick = micros(200, |_| table.tick(now));
     Routing {
@@ -316,11 +316,11 @@
     let names: Vec<_> = (0..organisations)
         .map(|index| names.organisations.intern(&format!("organisation-{index}")))
         .collect();
-    let mut control = Control::new(Thresholds::new(400));
+    let mut control = Controller::new(Thresholds::new(400));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let now = clock::Instant::from_millis(1_000);
     micros(20_000, |index| {
-        let ask = admission::Ask {
+        let ask = admission::Request {
             organisation: names[usize::try_from(index).unwrap_or(0) % names.len()],
             weight: 1,
             caller: u64::from(index),
@@ -330,7 +330,7 @@
             deadline: now.plus_millis(30_000),
         };
         if let Verdict::Run(grant) = control.offer(now, &ask, &mut rng) {
-            control.finish(now, grant, admission::Ended::Void);
+            control.finish(now, grant, admission::Completion::Ignored);
         }
         black_box(control.poll(now, &mut rng));
     })
--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -6,7 +6,8 @@
 
 use fescuerack_config::Catalog;
 use fescuerack_core::admission::{
-    Ask, Control, Ended, Grant, Reason, Refusal, Summary, Thresholds, Ticket, Turn, Verdict,
+    Completion, Controller, Grant, Reason, Refusal, Request, Resolution, Summary, Thresholds,
+    Ticket, Verdict,
 };
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num;
@@ -27,7 +28,7 @@
 
 #[derive(Debug)]
 struct Inner {
-    control: Control,
+    control: Controller,
     rng: Pcg64Mcg,
     waiters: BTreeMap<Ticket, oneshot::Sender<Answer>>,
 }
@@ -82,15 +83,15 @@
         self.inner.overloaded.store(true, Ordering::SeqCst);
     }
 
-    fn ended(&self) -> Ended {
+    fn ended(&self) -> Completion {
         if self.inner.overloaded.load(Ordering::SeqCst) {
-            return Ended::Overloaded;
+            return Completion::Overloaded;
         }
         let first = Instant(self.inner.first.load(Ordering::SeqCst));
         if self.inner.whole.load(Ordering::SeqCst) && first > Instant::ORIGIN {
-            return Ended::Whole { first };
+            return Completion::Answered { first };
         }
-        Ended::Void
+        Completion::Ignored
     }
 }
 
@@ -100,10 +101,10 @@
         places,
         long_share: catalog.limit("admission.long-share"),
         long_floor: catalog.limit("admission.long-floor"),
-        length: num::whole(num::float(places) * catalog.limit("admission.queue")),
+        queue_length: num::whole(num::float(places) * catalog.limit("admission.queue")),
         slack: catalog.limit("admission.slack"),
         margin: catalog.limit("admission.margin"),
-        retry_most_s: catalog.limit("admission.retry-seconds"),
+        max_retry_after_s: catalog.limit("admission.retry-seconds"),
     }
 }
 
@@ -113,7 +114,7 @@
     pub fn new(places: usize, seed: u64) -> Self {
         Self {
             inner: Arc::new(Mutex::new(Inner {
-                control: Control::new(Thresholds::new(places)),
+                control: Controller::new(Thresholds::new(places)),
                 rng: Pcg64Mcg::seed_from_u64(seed),
                 waiters: BTreeMap::new(),
             })),
@@ -122,7 +123,7 @@
 
     /// Takes over thresholds that a new configuration brings.
     pub fn set(&self, thresholds: Thresholds) {
-        lock(&self.inner).control.set(thresholds);
+        lock(&self.inner).control.set_thresholds(thresholds);
     }
 
     /// Waits for a place.
@@ -130,7 +131,7 @@
     /// # Errors
     ///
     /// Why and until when the caller is turned away; nothing was run.
-    pub async fn enter(&self, clock: Clock, ask: &Ask) -> Result<Place, Refusal> {
+    pub async fn enter(&self, clock: Clock, ask: &Request) -> Result<Place, Refusal> {
         let mut place = Place {
             gate: self.clone(),
             clock,
@@ -152,7 +153,10 @@
                     place.held = Held::Nothing;
                     let reason = Reason::TooLate;
                     let retry = clock.now();
-                    return Err(Refusal { reason, retry });
+                    return Err(Refusal {
+                        reason,
+                        retry_at: retry,
+                    });
                 }
                 Err(_) => lock(&self.inner).turn(clock.now()),
             }
@@ -160,7 +164,7 @@
         Ok(place)
     }
 
-    fn offer(&self, now: Instant, ask: &Ask) -> Result<Held, Refusal> {
+    fn offer(&self, now: Instant, ask: &Request) -> Result<Held, Refusal> {
         let mut inner = lock(&self.inner);
         let Inner { control, rng, .. } = &mut *inner;
         match control.offer(now, ask, rng) {
@@ -201,8 +205,8 @@
     fn turn(&mut self, now: Instant) {
         for turn in self.control.poll(now, &mut self.rng) {
             let (ticket, answer) = match turn {
-                Turn::Run(ticket, grant) => (ticket, Ok(grant)),
-                Turn::Refuse(ticket, refusal) => (ticket, Err(refusal)),
+                Resolution::Run(ticket, grant) => (ticket, Ok(grant)),
+                Resolution::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
             if let Some(waker) = self.waiters.remove(&ticket) {
                 let _ = waker.send(answer);
@@ -225,7 +229,7 @@
                 }
                 // It was told its turn under this lock and did not read it.
                 match turn.try_recv() {
-                    Ok(Ok(grant)) => inner.control.finish(now, grant, Ended::Void),
+                    Ok(Ok(grant)) => inner.control.finish(now, grant, Completion::Ignored),
                     Ok(Err(_)) | Err(_) => return,
                 }
             }
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -6,10 +6,10 @@
 use fescuerack_client::Fault;
 use fescuerack_client::engine::Event;
 use fescuerack_config::key;
-use fescuerack_core::attempt::{Attempts, End, Next, Outcome, hedge};
+use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, Outcome, hedge};
 use fescuerack_core::clock::Instant;
 use fescuerack_core::poison::{self, Fingerprint};
-use fescuerack_core::route::Ask;
+use fescuerack_core::route::Request;
 use fescuerack_wire::chat::Completion;
 
 use super::prompt::Prompt;
@@ -107,12 +107,12 @@
                 return Err(Failure::Crashes(self.attempts.outcome()));
             }
             if suspects::is_suspected(&self.shared, self.work.fingerprint) {
-                let latest = self.shared.now().plus_millis(poison::LONGEST_MS);
+                let latest = self.shared.now().plus_millis(poison::MAX_RERUN_MS);
                 self.work.deadline = self.work.deadline.min(latest);
             }
             if self.attempts.made() > 0 {
                 let now = self.shared.now();
-                let pause = self.attempts.pause(now, &mut *lock(&self.shared.rng));
+                let pause = self.attempts.backoff(now, &mut *lock(&self.shared.rng));
                 tokio::time::sleep(pause).await;
             }
             let Some(sent) = self.send() else {
@@ -130,11 +130,11 @@
         let fleets = &self.force.catalog.versions[self.work.version].fleets;
         let fingerprint = self.work.fingerprint;
         let avoid = suspects::avoid(&self.shared, fingerprint, self.attempts.tried());
-        let ask = Ask {
+        let ask = Request {
             fleets,
             avoid: &avoid,
             work: self.prompt.work,
-            prompt: self.prompt.tokens,
+            prompt_tokens: self.prompt.tokens,
             prefix: self.prompt.prefix,
             adapter: None,
         };
@@ -151,7 +151,7 @@
 
     /// Waits for the first part of an attempt, and of a hedge beside it once
     /// the attempt is late; the other one is cancelled.
-    async fn first(&mut self, mut sent: Sent) -> Result<Begun, End> {
+    async fn first(&mut self, mut sent: Sent) -> Result<Begun, AttemptOutcome> {
         let Some(after) = self.hedge_after() else {
             return sent.first().await;
         };
@@ -187,12 +187,12 @@
         let least_s = self.force.catalog.limit("attempt.hedge-ms") / 1000.0;
         let remaining = self.work.deadline.since(self.shared.now());
         let routes = lock(&self.shared.routes);
-        hedge::after(routes.first_of(self.fleet?)?, least_s, remaining)
+        hedge::delay(routes.first_token_mean(self.fleet?)?, least_s, remaining)
     }
 
     fn hedge(&mut self) -> Option<Sent> {
         let now = self.shared.now();
-        if !lock(&self.shared.pools).may_hedge(now, self.fleet?) {
+        if !lock(&self.shared.pools).try_take_hedge(now, self.fleet?) {
             return None;
         }
         self.hedged = true;
@@ -205,12 +205,12 @@
     /// # Errors
     ///
     /// When no other attempt may follow.
-    pub fn end(&mut self, end: End) -> Result<(), Failure> {
+    pub fn end(&mut self, end: AttemptOutcome) -> Result<(), Failure> {
         self.shared.metrics.count("attempts.failed");
         match self.attempts.end(self.shared.now(), end, false) {
             // What surely did not run has cost no server anything, and neither
             // does it cost the budget.
-            Next::Retry if end == End::NotRun || self.may_retry() => Ok(()),
+            Next::Retry if end == AttemptOutcome::NotRun || self.may_retry() => Ok(()),
             Next::Retry => Err(Failure::Failed(self.attempts.outcome())),
             Next::Stop(outcome) => Err(Failure::Failed(outcome)),
         }
@@ -222,31 +222,31 @@
 }
 
 impl Sent {
-    async fn first_part(&mut self) -> Result<Completion, End> {
+    async fn first_part(&mut self) -> Result<Completion, AttemptOutcome> {
         match self.events.recv().await {
             Some(Ok(Event::Part(first))) => Ok(first),
-            Some(Ok(Event::End)) | None => Err(End::Unknown),
+            Some(Ok(Event::End)) | None => Err(AttemptOutcome::Unknown),
             Some(Err(fault)) => Err(end_of(&fault)),
         }
     }
 
-    async fn first(mut self) -> Result<Begun, End> {
+    async fn first(mut self) -> Result<Begun, AttemptOutcome> {
         let first = self.first_part().await;
         self.begun(first)
     }
 
-    fn begun(self, first: Result<Completion, End>) -> Result<Begun, End> {
+    fn begun(self, first: Result<Completion, AttemptOutcome>) -> Result<Begun, AttemptOutcome> {
         let events = self.events;
         first.map(|first| Begun { first, events })
     }
 }
 
 /// Returns how an attempt ended that met `fault`.
-pub fn end_of(fault: &Fault) -> End {
+pub fn end_of(fault: &Fault) -> AttemptOutcome {
     match fault {
-        Fault::NotSent(_) => End::NotRun,
-        Fault::Refused { message, .. } if message.trim() == LEAVING => End::NotRun,
-        Fault::Unknown(_) | Fault::Malformed(_) => End::Unknown,
-        Fault::Refused { .. } => End::Failed,
+        Fault::NotSent(_) => AttemptOutcome::NotRun,
+        Fault::Refused { message, .. } if message.trim() == LEAVING => AttemptOutcome::NotRun,
+        Fault::Unknown(_) | Fault::Malformed(_) => AttemptOutcome::Unknown,
+        Fault::Refused { .. } => AttemptOutcome::Failed,
     }
 }
--- a/crates/node/src/callers/collect.rs
+++ b/crates/node/src/callers/collect.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use fescuerack_client::engine::Event;
-use fescuerack_core::attempt::End;
+use fescuerack_core::attempt::AttemptOutcome;
 use fescuerack_wire::chat::{Choice, Completion, Message, Usage};
 use serde_json::{Map, Value};
 
@@ -31,7 +31,7 @@
     /// # Errors
     ///
     /// How the attempt ended when the answer is not whole.
-    pub async fn read(shared: &Shared, body: &[u8], begun: Begun) -> Result<Self, End> {
+    pub async fn read(shared: &Shared, body: &[u8], begun: Begun) -> Result<Self, AttemptOutcome> {
         let mut answer = Self::default();
         let mut tally = Tally::new();
         let mut events = begun.events;
@@ -44,7 +44,7 @@
                 }
                 Some(Ok(Event::End)) => break,
                 Some(Err(fault)) => return Err(end_of(&fault)),
-                None => return Err(End::Unknown),
+                None => return Err(AttemptOutcome::Unknown),
             }
             next = events.recv().await;
         }
--- a/crates/node/src/callers/entry.rs
+++ b/crates/node/src/callers/entry.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
 use fescuerack_config::key;
-use fescuerack_core::admission::Ask;
+use fescuerack_core::admission::Request;
 use fescuerack_core::clock::Instant;
 use fescuerack_wire::error::Kind;
 
@@ -30,16 +30,16 @@
     let entered = shared.gate.enter(shared.clock, &ask).await;
     entered.map_err(|refused| {
         shared.metrics.count("admission.refused");
-        refusal(shared.now(), refused.retry, "too much work; not run")
+        refusal(shared.now(), refused.retry_at, "too much work; not run")
     })
 }
 
-fn ask(shared: &Shared, call: &Call, class: Option<key::Class>) -> Ask {
+fn ask(shared: &Shared, call: &Call, class: Option<key::Class>) -> Request {
     let force = shared.force();
     let organisation = force.catalog.organisations.get(call.organisation);
     let known = class.and_then(|class| force.catalog.classes.get(class));
     let due = known.map(|class| shared.now().plus_millis(class.deadline_ms));
-    Ask {
+    Request {
         organisation: call.organisation,
         weight: organisation.map_or(1, |organisation| organisation.weight),
         caller: caller(call),
@@ -66,7 +66,7 @@
     };
     let now = shared.now();
     let instances = lock(&shared.member).view.size();
-    let spent = lock(&shared.rates).spend(now, call.organisation, rate, instances);
+    let spent = lock(&shared.rates).try_acquire(now, call.organisation, rate, instances);
     spent.map_err(|retry| {
         shared.metrics.count("admission.over_rate");
         let message = "over the organisation's requests a second; not run";
--- a/crates/node/src/callers/service.rs
+++ b/crates/node/src/callers/service.rs
@@ -5,7 +5,7 @@
 use fescuerack_client::Fault;
 use fescuerack_client::service::{self, Answer};
 use fescuerack_config::{Service, folder};
-use fescuerack_core::attempt::{Attempts, End, Next, Outcome as Run};
+use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, Outcome as Run};
 use fescuerack_core::claim::{self, Name, Outcome, State, Verdict};
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::header;
@@ -174,14 +174,14 @@
             };
             let result = service::call(agent, &call, remaining);
             let end = match &result {
-                Ok(_) => End::Done,
-                Err(Fault::NotSent(_) | Fault::Refused { .. }) => End::NotRun,
-                Err(Fault::Unknown(_) | Fault::Malformed(_)) => End::Unknown,
+                Ok(_) => AttemptOutcome::Done,
+                Err(Fault::NotSent(_) | Fault::Refused { .. }) => AttemptOutcome::NotRun,
+                Err(Fault::Unknown(_) | Fault::Malformed(_)) => AttemptOutcome::Unknown,
             };
             running.called(&result);
             let next = attempts.end(self.shared.now(), end, false);
             let next = match next {
-                Next::Retry if end != End::NotRun && !running.may_retry() => {
+                Next::Retry if end != AttemptOutcome::NotRun && !running.may_retry() => {
                     Next::Stop(attempts.outcome())
                 }
                 next => next,
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -38,7 +38,7 @@
         match engine::load(&shared.upstream, &address, TIMEOUT) {
             Ok(report) => {
                 let now = shared.now();
-                lock(&shared.routes).report(now, server, compiled(now, &report));
+                lock(&shared.routes).apply_report(now, server, compiled(now, &report));
             }
             Err(_) => shared.metrics.count("servers.load_failed"),
         }
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -25,7 +25,7 @@
                 "in_flight": server.in_flight,
                 "work": server.work,
                 "health": server.health,
-                "first_s": server.first.value,
+                "first_s": server.first_token.value,
             })
         })
         .collect();
--- a/crates/node/src/running.rs
+++ b/crates/node/src/running.rs
@@ -7,7 +7,7 @@
 use fescuerack_client::service::Answer;
 use fescuerack_config::key;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::route::{Ask, Ended};
+use fescuerack_core::route::{Outcome, Request};
 
 use crate::shared::{Shared, lock};
 
@@ -27,7 +27,7 @@
     work: u32,
     clear: bool,
     answered: bool,
-    ended: Ended,
+    ended: Outcome,
 }
 
 impl Shared {
@@ -39,11 +39,11 @@
         fleets: &[key::Fleet],
         avoid: &BTreeSet<key::Server>,
     ) -> Option<Running> {
-        let ask = Ask {
+        let ask = Request {
             fleets,
             avoid,
             work: 1,
-            prompt: 0,
+            prompt_tokens: 0,
             prefix: None,
             adapter: None,
         };
@@ -52,16 +52,16 @@
 
     /// Chooses a backend server and counts an attempt on it.
     #[must_use]
-    pub fn place_attempt(self: &Arc<Self>, ask: &Ask<'_>) -> Option<Running> {
+    pub fn place_attempt(self: &Arc<Self>, ask: &Request<'_>) -> Option<Running> {
         let now = self.now();
         let mut routes = lock(&self.routes);
         let server = routes.choose(now, ask, &mut *lock(&self.rng))?;
-        let clear = routes.start(now, server, ask.work);
+        let clear = routes.start_attempt(now, server, ask.work);
         let found = routes.get(server)?;
         let (fleet, address) = (found.fleet, found.address.clone());
         drop(routes);
         if ask.avoid.is_empty() {
-            lock(&self.pools).first(now, fleet);
+            lock(&self.pools).record_first_attempt(now, fleet);
         }
         Some(Running {
             shared: Arc::clone(self),
@@ -72,7 +72,7 @@
             work: ask.work,
             clear,
             answered: false,
-            ended: Ended::Void,
+            ended: Outcome::Ignored,
         })
     }
 }
@@ -86,26 +86,26 @@
         self.answered = true;
         let now = self.shared.now();
         let took = now.since(self.start).as_secs_f64();
-        lock(&self.shared.routes).first(now, self.server, took, self.clear);
+        lock(&self.shared.routes).record_first_token(now, self.server, took, self.clear);
     }
 
     /// Records that the answer is whole.
     pub fn ended_well(&mut self) {
-        self.ended = Ended::Well;
+        self.ended = Outcome::Success;
     }
 
     /// Records that the attempt failed.
     pub fn failed(&mut self, fault: &Fault) {
         self.ended = match fault {
             Fault::Refused { message, .. } if message.trim() == LEAVING => {
-                lock(&self.shared.routes).leave(self.shared.now(), self.server);
-                Ended::Void
+                lock(&self.shared.routes).mark_leaving(self.shared.now(), self.server);
+                Outcome::Ignored
             }
             // The request was wrong, or the server has too much to do: neither
             // says that it is sick.
-            Fault::Refused { status, .. } if *status < 500 || *status == 503 => Ended::Void,
+            Fault::Refused { status, .. } if *status < 500 || *status == 503 => Outcome::Ignored,
             Fault::Refused { .. } | Fault::NotSent(_) | Fault::Unknown(_) | Fault::Malformed(_) => {
-                Ended::Badly
+                Outcome::Failure
             }
         };
     }
@@ -116,9 +116,9 @@
             Ok(answer) => {
                 self.answered();
                 self.ended = if answer.status < 500 {
-                    Ended::Well
+                    Outcome::Success
                 } else {
-                    Ended::Badly
+                    Outcome::Failure
                 };
             }
             Err(fault) => self.failed(fault),
@@ -136,7 +136,7 @@
     /// Takes a retry from the budget of a pool.
     #[must_use]
     pub fn may_retry(&self, fleet: key::Fleet) -> bool {
-        let may = lock(&self.pools).may_retry(self.now(), fleet);
+        let may = lock(&self.pools).try_take_retry(self.now(), fleet);
         self.metrics.count(if may {
             "attempts.retried"
         } else {
@@ -150,11 +150,11 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut routes = lock(&self.shared.routes);
-        routes.end(now, self.server, self.work, self.ended, self.answered);
+        routes.end_attempt(now, self.server, self.work, self.ended, self.answered);
         drop(routes);
-        if self.ended != Ended::Void {
-            let well = self.ended == Ended::Well;
-            lock(&self.shared.pools).ended(now, self.fleet, well);
+        if self.ended != Outcome::Ignored {
+            let well = self.ended == Outcome::Success;
+            lock(&self.shared.pools).record_result(now, self.fleet, well);
         }
     }
 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -8,7 +8,7 @@
 use fescuerack_config::{Catalog, key};
 use fescuerack_core::attempt::budget;
 use fescuerack_core::num;
-use fescuerack_core::route::subset::Place;
+use fescuerack_core::route::subset::Position;
 use fescuerack_core::route::{self, Listed, State};
 use fescuerack_wire::list::{Instance, Instances};
 
@@ -58,18 +58,18 @@
     peers.sort_by(|a, b| a.id.cmp(&b.id));
     let place = place(shared, &force, &peers);
     let mut routes = lock(&shared.routes);
-    routes.set_place(place);
-    routes.list(shared.now(), listed);
+    routes.set_position(place);
+    routes.apply_list(shared.now(), listed);
     drop(routes);
     peers::observe(shared, &peers);
     shared.listed.store(true, Ordering::SeqCst);
 }
 
 /// Place of this process among all: by name, so that all agree.
-fn place(shared: &Shared, force: &Force, peers: &[Instance]) -> Place {
+fn place(shared: &Shared, force: &Force, peers: &[Instance]) -> Position {
     let own = &shared.settings.instance;
     let before = peers.iter().filter(|peer| peer.id < *own);
-    Place {
+    Position {
         index: before.count(),
         instances: peers.len().max(1),
         size: num::whole(force.catalog.limit("route.subset")),
@@ -104,27 +104,27 @@
     let mut rates = lock(&shared.rates);
     for (key, organisation) in &catalog.organisations {
         if let Some(rate) = organisation.rate {
-            rates.track(now, key, rate, instances);
+            rates.register(now, key, rate, instances);
         }
     }
     rates.refresh(now, instances);
     drop(rates);
-    lock(&shared.pools).set(budget::Thresholds {
-        share: catalog.limit("attempt.retry-share"),
-        saved: catalog.limit("attempt.retry-saved"),
-        failing: catalog.limit("attempt.failing"),
+    lock(&shared.pools).set_thresholds(budget::Thresholds {
+        retry_ratio: catalog.limit("attempt.retry-share"),
+        max_saved: catalog.limit("attempt.retry-saved"),
+        failing_share: catalog.limit("attempt.failing"),
     });
     let mut routes = lock(&shared.routes);
-    routes.set(thresholds(catalog));
+    routes.set_thresholds(thresholds(catalog));
     routes.tick(now);
 }
 
 fn thresholds(catalog: &Catalog) -> route::Thresholds {
     let whole = |name| num::whole(catalog.limit(name));
     route::Thresholds {
-        failures: u32::try_from(whole("route.failures")).unwrap_or(u32::MAX),
-        slow: catalog.limit("route.slow"),
-        share: catalog.limit("route.ejected-share"),
+        consecutive_failures: u32::try_from(whole("route.failures")).unwrap_or(u32::MAX),
+        slow_factor: catalog.limit("route.slow"),
+        max_ejected_share: catalog.limit("route.ejected-share"),
         ejection_ms: u64::try_from(whole("route.ejection-ms")).unwrap_or(u64::MAX),
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -8,7 +8,7 @@
 use fescuerack_client::drive::Wall;
 use fescuerack_client::{Agent, HttpDirectory, HttpStore, agent};
 use fescuerack_config::{Catalog, Names, key};
-use fescuerack_core::admission::rate::Rates;
+use fescuerack_core::admission::rate::RateLimits;
 use fescuerack_core::attempt::pools::Pools;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::{member, route};
@@ -61,7 +61,7 @@
     /// Backend servers.
     pub routes: Mutex<route::Table>,
     /// Organisations' limits across instances.
-    pub rates: Mutex<Rates>,
+    pub rates: Mutex<RateLimits>,
     /// Pools of backend servers and their retry budgets.
     pub pools: Mutex<Pools>,
     /// Roll-outs, quality, sessions, suspects.
@@ -132,7 +132,7 @@
             once: agent(0),
             gate: Gate::new(settings.limits.concurrency, rng.random()),
             routes: Mutex::new(route::Table::new(&settings.zone)),
-            rates: Mutex::new(Rates::new()),
+            rates: Mutex::new(RateLimits::new()),
             pools: Mutex::new(Pools::new()),
             names: Mutex::new(Names::new()),
             member: Mutex::new(member::Exchange::new(identity(&settings))),
--- a/crates/node/src/versions/suspects.rs
+++ b/crates/node/src/versions/suspects.rs
@@ -44,7 +44,7 @@
 /// Returns whether a request may run; blocks on the store if it is suspected.
 fn may_run(shared: &Shared, fingerprint: Fingerprint) -> bool {
     let now = shared.now();
-    let verdict = lock(&shared.versions.suspects).judge(now, fingerprint);
+    let verdict = lock(&shared.versions.suspects).verdict(now, fingerprint);
     let may = match verdict {
         Verdict::Run => true,
         Verdict::Refuse => false,
@@ -75,8 +75,8 @@
             None => (0, Record::default()),
         };
         let now = shared.now();
-        lock(&shared.versions.suspects).adopt(now, fingerprint, &record);
-        let Some(taken) = record.take(holder, &lost) else {
+        lock(&shared.versions.suspects).merge_record(now, fingerprint, &record);
+        let Some(taken) = record.take_permit(holder, &lost) else {
             return Ok(false);
         };
         let bytes = Bytes::from(serde_json::to_vec(&taken)?);
@@ -98,8 +98,8 @@
 fn note_crash(shared: &Shared, fingerprint: Fingerprint, server: &str) -> bool {
     let now = shared.now();
     let mut suspects = lock(&shared.versions.suspects);
-    suspects.crashed(now, fingerprint, server);
-    let condemned = suspects.judge(now, fingerprint) == Verdict::Refuse;
+    suspects.record_crash(now, fingerprint, server);
+    let condemned = suspects.verdict(now, fingerprint) == Verdict::Refuse;
     drop(suspects);
     shared.metrics.count("suspects.crashes");
     // The caller may send it again at once, through any instance.
@@ -125,7 +125,7 @@
 pub fn ended(shared: &Shared, attempt: &Attempt, result: Result<(), &Fault>) {
     let crashed = matches!(result, Err(Fault::Unknown(_))) && has_crashed(&attempt.address);
     let now = shared.now();
-    lock(&shared.versions.suspects).left(attempt.fingerprint);
+    lock(&shared.versions.suspects).release(attempt.fingerprint);
     let event = match result {
         Err(_) if crashed => {
             let name = lock(&shared.routes)
@@ -143,7 +143,7 @@
         Err(Fault::NotSent(_)) => return,
         Err(_) => Event::Failed(attempt.server),
         Ok(()) => {
-            if lock(&shared.versions.suspects).survived(attempt.fingerprint) {
+            if lock(&shared.versions.suspects).record_survival(attempt.fingerprint) {
                 // Until they hear, the others would refuse an innocent request.
                 press(shared);
             }
@@ -155,12 +155,12 @@
 
 /// Notes that an attempt was given up before its end.
 pub fn left(shared: &Shared, attempt: &Attempt) {
-    lock(&shared.versions.suspects).left(attempt.fingerprint);
+    lock(&shared.versions.suspects).release(attempt.fingerprint);
 }
 
 /// Asks whether a request may run, away from the async threads.
 pub async fn admit(shared: &Arc<Shared>, fingerprint: Fingerprint) -> bool {
-    let verdict = lock(&shared.versions.suspects).judge(shared.now(), fingerprint);
+    let verdict = lock(&shared.versions.suspects).verdict(shared.now(), fingerprint);
     if verdict == Verdict::Run {
         return true;
     }
@@ -178,7 +178,7 @@
 ) -> BTreeSet<key::Server> {
     let suspects = lock(&shared.versions.suspects);
     let mut avoid = tried.clone();
-    if suspects.judge(shared.now(), fingerprint) != Verdict::Run {
+    if suspects.verdict(shared.now(), fingerprint) != Verdict::Run {
         avoid.extend(suspects.occupied());
     }
     avoid
@@ -194,5 +194,5 @@
 /// Returns whether a request is suspected of crashing servers.
 pub fn is_suspected(shared: &Shared, fingerprint: Fingerprint) -> bool {
     let suspects = lock(&shared.versions.suspects);
-    suspects.judge(shared.now(), fingerprint) != Verdict::Run
+    suspects.verdict(shared.now(), fingerprint) != Verdict::Run
 }
--- a/crates/replay/src/model/node.rs
+++ b/crates/replay/src/model/node.rs
@@ -5,15 +5,15 @@
 
 use fescuerack_config::key;
 use fescuerack_core::admission::{
-    Ask, Control, Ended, Grant, Thresholds, Ticket, Turn, Verdict, fifo,
+    self, Completion, Controller, Grant, Resolution, Thresholds, Ticket, Verdict, fifo,
 };
 use fescuerack_core::attempt::pools::Pools;
-use fescuerack_core::attempt::{Attempts, End, Next, budget};
+use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, budget};
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num::{float, whole};
 use fescuerack_core::route::baseline::{RoundRobin, two_choices};
 use fescuerack_core::route::score::Report;
-use fescuerack_core::route::subset::Place;
+use fescuerack_core::route::subset::Position;
 use fescuerack_core::route::{self, Listed, State, Table};
 use rand::Rng;
 
@@ -27,7 +27,7 @@
 
 #[derive(Debug)]
 enum Gate {
-    Fair(Box<Control>),
+    Fair(Box<Controller>),
     Fifo(fifo::Queue),
 }
 
@@ -85,28 +85,29 @@
     ) -> Self {
         let table = || {
             let mut table = Table::new(&zone(index % scenario.zones));
-            table.set_place(Place {
+            table.set_position(Position {
                 index,
                 instances: scenario.nodes,
                 size: whole(scenario.limit("route.subset")),
             });
-            table.set(route::Thresholds {
-                failures: u32::try_from(whole(scenario.limit("route.failures"))).unwrap_or(1),
-                slow: scenario.limit("route.slow"),
-                share: scenario.limit("route.ejected-share"),
+            table.set_thresholds(route::Thresholds {
+                consecutive_failures: u32::try_from(whole(scenario.limit("route.failures")))
+                    .unwrap_or(1),
+                slow_factor: scenario.limit("route.slow"),
+                max_ejected_share: scenario.limit("route.ejected-share"),
                 ejection_ms: u64::try_from(whole(scenario.limit("route.ejection-ms"))).unwrap_or(1),
             });
             Box::new(table)
         };
         let mut pools = Pools::new();
-        pools.set(budget::Thresholds {
-            share: scenario.limit("attempt.retry-share"),
-            saved: scenario.limit("attempt.retry-saved"),
-            failing: scenario.limit("attempt.failing"),
+        pools.set_thresholds(budget::Thresholds {
+            retry_ratio: scenario.limit("attempt.retry-share"),
+            max_saved: scenario.limit("attempt.retry-saved"),
+            failing_share: scenario.limit("attempt.failing"),
         });
         let mut node = Self {
             gate: match scenario.policy.admission {
-                Admission::Fair => Gate::Fair(Box::new(Control::new(thresholds(scenario)))),
+                Admission::Fair => Gate::Fair(Box::new(Controller::new(thresholds(scenario)))),
                 Admission::Fifo => Gate::Fifo(fifo::Queue::new(scenario.places)),
             },
             chooser: match scenario.policy.choice {
@@ -149,7 +150,7 @@
                 };
                 (machine.key, listed)
             });
-            table.list(now, listed.collect());
+            table.apply_list(now, listed.collect());
         }
     }
 
@@ -171,7 +172,7 @@
                 fifo::Verdict::Wait(ticket) => Verdict::Wait(ticket),
             },
             Gate::Fair(control) => {
-                let ask = Ask {
+                let ask = admission::Request {
                     organisation: self.organisations[request.stream],
                     weight: stream.weight,
                     caller: request.caller,
@@ -188,7 +189,7 @@
                 request.grant = Some(grant);
                 Entry::Run
             }
-            Verdict::Refuse(refusal) => Entry::Refuse(refusal.retry),
+            Verdict::Refuse(refusal) => Entry::Refuse(refusal.retry_at),
             Verdict::Wait(ticket) => {
                 self.waiting.insert(ticket, key);
                 Entry::Wait
@@ -221,14 +222,14 @@
             Gate::Fair(control) => {
                 for turn in control.poll(now, rng) {
                     match turn {
-                        Turn::Run(ticket, grant) => {
+                        Resolution::Run(ticket, grant) => {
                             if let Some(key) = self.waiting.remove(&ticket) {
                                 run.push((key, Some(grant)));
                             }
                         }
-                        Turn::Refuse(ticket, refusal) => {
+                        Resolution::Refuse(ticket, refusal) => {
                             if let Some(key) = self.waiting.remove(&ticket) {
-                                refused.push((key, refusal.retry));
+                                refused.push((key, refusal.retry_at));
                             }
                         }
                     }
@@ -248,16 +249,16 @@
         let fleets = [self.fleet];
         let server = match &mut self.chooser {
             Chooser::Scored(table, homes) => {
-                let ask = route::Ask {
+                let ask = route::Request {
                     fleets: &fleets,
                     avoid: &request.tried,
                     work: request.work,
-                    prompt: request.prompt,
+                    prompt_tokens: request.prompt,
                     prefix: request.prefix.filter(|_| *homes),
                     adapter: None,
                 };
                 let server = table.choose(now, &ask, rng)?;
-                request.clear = table.start(now, server, request.work);
+                request.clear = table.start_attempt(now, server, request.work);
                 server
             }
             Chooser::Two(loads) => {
@@ -269,7 +270,7 @@
             Chooser::Round(round) => round.choose(&self.servers)?,
         };
         if request.tried.is_empty() {
-            self.pools.first(now, self.fleet);
+            self.pools.record_first_attempt(now, self.fleet);
         }
         request.tried.insert(server);
         request.server = Some(server);
@@ -286,24 +287,24 @@
             && let Some(server) = request.server
         {
             let took = now.since(request.sent).as_secs_f64();
-            table.first(now, server, took, request.clear);
+            table.record_first_token(now, server, took, request.clear);
         }
     }
 
     /// Takes note of an attempt that broke.
     pub fn broken(&mut self, now: Instant, request: &mut Request) {
-        self.leave(now, request, route::Ended::Badly);
-        self.pools.ended(now, self.fleet, false);
+        self.leave(now, request, route::Outcome::Failure);
+        self.pools.record_result(now, self.fleet, false);
     }
 
     /// Ends the count of the present attempt, if one runs.
-    fn leave(&mut self, now: Instant, request: &mut Request, ended: route::Ended) {
+    fn leave(&mut self, now: Instant, request: &mut Request, ended: route::Outcome) {
         let Some(server) = request.server.take() else {
             return;
         };
         match &mut self.chooser {
             Chooser::Scored(table, _) => {
-                table.end(now, server, request.work, ended, request.answered);
+                table.end_attempt(now, server, request.work, ended, request.answered);
             }
             Chooser::Two(loads) => {
                 if let Some(load) = loads.get_mut(&server) {
@@ -324,7 +325,11 @@
         handed_on: bool,
         rng: &mut R,
     ) -> Option<Duration> {
-        let end = if sent { End::Failed } else { End::NotRun };
+        let end = if sent {
+            AttemptOutcome::Failed
+        } else {
+            AttemptOutcome::NotRun
+        };
         let attempts = request.attempts.as_mut()?;
         if attempts.end(now, end, handed_on) != Next::Retry {
             return None;
@@ -332,8 +337,9 @@
         match self.retry {
             Retry::Three => Some(Duration::ZERO),
             Retry::Budget => {
-                let may = end == End::NotRun || self.pools.may_retry(now, self.fleet);
-                may.then(|| attempts.pause(now, rng))
+                let may =
+                    end == AttemptOutcome::NotRun || self.pools.try_take_retry(now, self.fleet);
+                may.then(|| attempts.backoff(now, rng))
             }
         }
     }
@@ -341,12 +347,12 @@
     /// Takes note of a request's end and frees its place.
     pub fn end(&mut self, now: Instant, request: &mut Request, status: Status) {
         let ended = match status {
-            Status::Good => route::Ended::Well,
-            _ => route::Ended::Void,
+            Status::Good => route::Outcome::Success,
+            _ => route::Outcome::Ignored,
         };
         self.leave(now, request, ended);
         if status == Status::Good {
-            self.pools.ended(now, self.fleet, true);
+            self.pools.record_result(now, self.fleet, true);
         }
         let first = request.first;
         match &mut self.gate {
@@ -360,9 +366,9 @@
             Gate::Fair(control) => {
                 let grant = request.grant.take().expect("it holds a place");
                 let ended = match status {
-                    Status::Good => Ended::Whole { first },
-                    Status::Late => Ended::Overloaded,
-                    _ => Ended::Void,
+                    Status::Good => Completion::Answered { first },
+                    Status::Late => Completion::Overloaded,
+                    _ => Completion::Ignored,
                 };
                 control.finish(now, grant, ended);
             }
@@ -383,7 +389,7 @@
     /// Takes over a server's report.
     pub fn report(&mut self, now: Instant, server: key::Server, report: Report) {
         if let Chooser::Scored(table, _) = &mut self.chooser {
-            table.report(now, server, report);
+            table.apply_report(now, server, report);
         }
     }
 }
@@ -397,9 +403,9 @@
         places: scenario.places,
         long_share: scenario.limit("admission.long-share"),
         long_floor: scenario.limit("admission.long-floor"),
-        length: whole(float(scenario.places) * scenario.limit("admission.queue")),
+        queue_length: whole(float(scenario.places) * scenario.limit("admission.queue")),
         slack: scenario.limit("admission.slack"),
         margin: scenario.limit("admission.margin"),
-        retry_most_s: scenario.limit("admission.retry-seconds"),
+        max_retry_after_s: scenario.limit("admission.retry-seconds"),
     }
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -9,7 +9,7 @@
 
 use fescuerack_core::admission::rate;
 use fescuerack_core::attempt::pools;
-use fescuerack_core::route::word;
+use fescuerack_core::route::leaving;
 use fescuerack_core::{cascade, poison, rollout};
 use hmac::{Hmac, KeyInit as _, Mac as _};
 use serde::de::DeserializeOwned;
@@ -34,7 +34,7 @@
     /// Pools that fail.
     pub pools: pools::Digest,
     /// Servers that leave.
-    pub words: word::Digest,
+    pub words: leaving::Digest,
     /// Counts of roll-outs.
     pub rollouts: rollout::Digest,
     /// Ratings.
