--- a/crates/core/src/admission/fair.rs
+++ b/crates/core/src/admission/fair.rs
@@ -1,18 +1,16 @@
 //! Weighted fair queueing between organisations and, within one, by priority
 //! and then between callers.
 //!
-//! The pattern: a few organisations, or a few sessions of one, send most of
-//! the load. Served in order of arrival they take the capacity in proportion
-//! to what they send, and a small municipality's parents wait behind a large
-//! one's batch.
+//! This handles the load where a few organisations, or a few sessions of one organisation, send
+//! most of the requests. In order of arrival they would take the capacity in proportion to what
+//! they send, and the parents of a small municipality would wait behind the batch of a large one.
 //!
-//! Organisations are served in the order of start tags (start-time fair
-//! queueing): serving one moves its tag by the inverse of its weight, and an
-//! organisation that was idle starts at the present tag, so that it is served
-//! next but cannot save up for a burst. Priority orders work *within* an
-//! organisation only: were it compared between organisations, one could take
-//! all capacity by calling its work urgent. Callers of one organisation and
-//! priority take turns in the same way.
+//! Organisations are served in the order of their start tags (start-time fair queueing). Serving
+//! a request advances the tag of its organisation by the inverse of its weight. An organisation
+//! that was idle starts at the current tag, so that it is served next but cannot accumulate
+//! credit for a burst. Priority orders requests *within* an organisation only: if it were compared
+//! between organisations, one of them could take all capacity by marking its work urgent. Callers
+//! with the same organisation and priority take turns in the same way.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -22,37 +20,37 @@
 use super::Ticket;
 use crate::num::float;
 
-/// Whose turn a request waits for.
+/// The organisation, priority and caller that a request is queued under.
 #[derive(Clone, Copy, Debug)]
 pub struct Flow {
-    /// Who pays.
+    /// Organisation that is billed.
     pub organisation: key::Organisation,
     /// Its weight, at least 1.
     pub weight: u32,
-    /// Priority; a lower number goes first.
+    /// Priority; lower numbers go first.
     pub priority: u8,
     /// Hash of the session or caller.
     pub caller: u64,
 }
 
-/// Distance by which serving one request moves the tag of an organisation of
-/// weight 1; large, so that integer division keeps weights exact enough.
-const UNIT: u64 = 1 << 20;
+/// Distance by which serving one request advances the tag of an organisation of weight 1. It is
+/// large so that dividing it by a weight loses little precision.
+const TAG_STEP: u64 = 1 << 20;
 
 #[derive(Clone, Debug, Default)]
 struct Organisation {
     tag: u64,
     weight: u32,
     waiting: usize,
-    levels: BTreeMap<u8, Level>,
+    levels: BTreeMap<u8, PriorityLevel>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Level {
+struct PriorityLevel {
     waiting: usize,
-    turn: u64,
+    current_tag: u64,
     callers: BTreeMap<u64, Caller>,
-    /// By tag; among equal ones, who has waited longest goes first.
+    /// Callers by tag; among equal tags, the one whose request has waited longest goes first.
     order: BTreeSet<(u64, Ticket, u64)>,
 }
 
@@ -62,25 +60,25 @@
     tickets: VecDeque<Ticket>,
 }
 
-/// A queue that is fair between organisations and between callers.
+/// Queue that is fair between organisations and between callers.
 #[derive(Clone, Debug, Default)]
-pub struct Fair {
-    turn: u64,
-    weight: u64,
+pub struct FairQueue {
+    current_tag: u64,
+    total_weight: u64,
     waiting: usize,
     organisations: SecondaryMap<key::Organisation, Organisation>,
     order: BTreeSet<(u64, key::Organisation)>,
 }
 
-impl Fair {
+impl FairQueue {
     /// Adds a request.
     pub fn push(&mut self, flow: Flow, ticket: Ticket) {
-        let organisation = entry(&mut self.organisations, flow);
+        let organisation = organisation_mut(&mut self.organisations, flow);
         if organisation.waiting == 0 {
             organisation.weight = flow.weight;
-            organisation.tag = organisation.tag.max(self.turn);
+            organisation.tag = organisation.tag.max(self.current_tag);
             self.order.insert((organisation.tag, flow.organisation));
-            self.weight += u64::from(flow.weight);
+            self.total_weight += u64::from(flow.weight);
         }
         organisation.waiting += 1;
         self.waiting += 1;
@@ -88,20 +86,20 @@
         level.push(flow.caller, ticket);
     }
 
-    /// Counts a request that was let in without waiting.
+    /// Charges an organisation for a request that runs without waiting.
     pub fn charge(&mut self, flow: Flow) {
-        let organisation = entry(&mut self.organisations, flow);
-        let start = organisation.tag.max(self.turn);
-        organisation.tag = start + UNIT / u64::from(flow.weight);
-        self.turn = self.turn.max(start);
+        let organisation = organisation_mut(&mut self.organisations, flow);
+        let start = organisation.tag.max(self.current_tag);
+        organisation.tag = start + TAG_STEP / u64::from(flow.weight);
+        self.current_tag = self.current_tag.max(start);
     }
 
-    /// Takes out the request whose turn it is.
+    /// Removes and returns the request that is served next.
     pub fn pop(&mut self) -> Option<Ticket> {
         let (tag, key) = self.order.pop_first()?;
-        self.turn = self.turn.max(tag);
+        self.current_tag = self.current_tag.max(tag);
         let organisation = &mut self.organisations[key];
-        organisation.tag = tag + UNIT / u64::from(organisation.weight);
+        organisation.tag = tag + TAG_STEP / u64::from(organisation.weight);
         let mut first = organisation.levels.first_entry()?;
         let ticket = first.get_mut().pop();
         if first.get().waiting == 0 {
@@ -112,12 +110,12 @@
         if organisation.waiting > 0 {
             self.order.insert((organisation.tag, key));
         } else {
-            self.weight -= u64::from(organisation.weight);
+            self.total_weight -= u64::from(organisation.weight);
         }
         ticket
     }
 
-    /// Removes a request; `false` when it is not here.
+    /// Removes a request; returns `false` if it is not queued.
     pub fn remove(&mut self, flow: Flow, ticket: Ticket) -> bool {
         let Some(organisation) = self.organisations.get_mut(flow.organisation) else {
             return false;
@@ -135,27 +133,27 @@
         self.waiting -= 1;
         if organisation.waiting == 0 {
             self.order.remove(&(organisation.tag, flow.organisation));
-            self.weight -= u64::from(organisation.weight);
+            self.total_weight -= u64::from(organisation.weight);
         }
         true
     }
 
-    /// Returns the share of service that a request's organisation gets among
-    /// those that wait.
+    /// Returns the share of service that the organisation of a request gets among the
+    /// organisations with waiting requests.
     #[must_use]
     pub fn share(&self, flow: Flow) -> f64 {
         let counted = self.waiting(flow.organisation) > 0;
-        let own = u64::from(flow.weight);
+        let weight = u64::from(flow.weight);
         let all = if counted {
-            self.weight
+            self.total_weight
         } else {
-            self.weight + own
+            self.total_weight + weight
         };
-        float(usize::try_from(own).unwrap_or(usize::MAX))
+        float(usize::try_from(weight).unwrap_or(usize::MAX))
             / float(usize::try_from(all).unwrap_or(usize::MAX)).max(1.0)
     }
 
-    /// Returns how many requests of the same organisation go before a new one.
+    /// Returns how many requests of the same organisation are served before a new one.
     #[must_use]
     pub fn ahead(&self, flow: Flow) -> usize {
         self.organisations
@@ -168,7 +166,7 @@
             })
     }
 
-    /// Returns how many requests of an organisation wait.
+    /// Returns the number of waiting requests of an organisation.
     #[must_use]
     pub fn waiting(&self, organisation: key::Organisation) -> usize {
         self.organisations
@@ -176,20 +174,20 @@
             .map_or(0, |organisation| organisation.waiting)
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 }
 
-fn entry(
+fn organisation_mut(
     organisations: &mut SecondaryMap<key::Organisation, Organisation>,
     flow: Flow,
 ) -> &mut Organisation {
@@ -199,11 +197,11 @@
     &mut organisations[flow.organisation]
 }
 
-impl Level {
+impl PriorityLevel {
     fn push(&mut self, key: u64, ticket: Ticket) {
-        let turn = self.turn;
+        let current_tag = self.current_tag;
         let caller = self.callers.entry(key).or_insert_with(|| Caller {
-            tag: turn,
+            tag: current_tag,
             tickets: VecDeque::new(),
         });
         if caller.tickets.is_empty() {
@@ -215,12 +213,12 @@
 
     fn pop(&mut self) -> Option<Ticket> {
         let (tag, ticket, key) = self.order.pop_first()?;
-        self.turn = self.turn.max(tag);
+        self.current_tag = self.current_tag.max(tag);
         let caller = self.callers.get_mut(&key)?;
         caller.tickets.pop_front();
         caller.tag = tag + 1;
-        // A caller with nothing left is forgotten: there may be millions of
-        // sessions, and its next request starts at the present turn anyway.
+        // A caller without waiting requests is removed: there may be millions of sessions, and its
+        // next request starts at the current tag anyway.
         match caller.tickets.front() {
             None => {
                 self.callers.remove(&key);
@@ -256,8 +254,8 @@
         true
     }
 
-    /// Requests that go before the next one of a caller: its own, and as many
-    /// of each other caller, which take turns with it.
+    /// Returns how many requests are served before the next one of a caller: its own, and as many
+    /// of each other caller, since callers take turns.
     fn ahead(&self, key: u64) -> usize {
         let own = self
             .callers
--- a/crates/core/src/admission/fifo.rs
+++ b/crates/core/src/admission/fifo.rs
@@ -1,43 +1,43 @@
-//! The baseline: first in, first out before a fixed number of places.
+//! Baseline admission: a first-in, first-out queue before a fixed number of places.
 //!
-//! It serves whoever came first, also when the answer can no longer be on
-//! time; benches compare [`super::Control`] with it.
+//! It serves requests in order of arrival, even if the answer can no longer be in time. Benches
+//! compare [`super::Controller`] with it.
 
 use std::collections::VecDeque;
 
 use super::Ticket;
 use crate::clock::Instant;
 
-/// What happens to a request that arrives.
+/// Decision about an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Runs at once.
+    /// The request runs at once.
     Run,
-    /// Waits; the ticket is later returned by [`Queue::finish`].
+    /// The request waits; [`Queue::finish`] returns the ticket later.
     Wait(Ticket),
-    /// Is turned away; the caller may return at this time.
+    /// The request is refused; the caller may retry at this time.
     Refuse(Instant),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct Waiter {
     ticket: Ticket,
     deadline: Instant,
 }
 
-/// A first-in, first-out queue before a fixed number of places.
+/// First-in, first-out queue before a fixed number of places.
 #[derive(Clone, Debug)]
 pub struct Queue {
     places: usize,
     running: usize,
-    length: usize,
-    waiting: VecDeque<Waiting>,
-    next: u64,
+    queue_length: usize,
+    waiting: VecDeque<Waiter>,
+    next_ticket: u64,
 }
 
 impl Queue {
-    /// Milliseconds after which a caller that was turned away may return.
-    const RETRY_MS: u64 = 1000;
+    /// Milliseconds after which a refused caller may retry.
+    const RETRY_AFTER_MS: u64 = 1000;
 
     /// Creates a queue before `places` places.
     #[must_use]
@@ -45,32 +45,32 @@
         Self {
             places,
             running: 0,
-            length: places * 4,
+            queue_length: places * 4,
             waiting: VecDeque::new(),
-            next: 0,
+            next_ticket: 0,
         }
     }
 
-    /// Decides about a request that arrives.
+    /// Decides whether an arriving request runs, waits or is refused.
     pub fn offer(&mut self, now: Instant, deadline: Instant) -> Verdict {
         if self.running < self.places {
             self.running += 1;
             return Verdict::Run;
         }
-        if self.waiting.len() >= self.length || deadline <= now {
-            return Verdict::Refuse(now.plus_millis(Self::RETRY_MS));
+        if self.waiting.len() >= self.queue_length || deadline <= now {
+            return Verdict::Refuse(now.plus_millis(Self::RETRY_AFTER_MS));
         }
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        self.waiting.push_back(Waiting { ticket, deadline });
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        self.waiting.push_back(Waiter { ticket, deadline });
         Verdict::Wait(ticket)
     }
 
-    /// Frees a place and returns the ticket that takes it.
+    /// Frees a place and returns the ticket that takes it, if any.
     ///
     /// # Panics
     ///
-    /// When nothing runs.
+    /// Panics if no request is running.
     pub fn finish(&mut self, now: Instant) -> Option<Ticket> {
         assert!(self.running > 0, "a request finished that never ran");
         while let Some(waiting) = self.waiting.pop_front() {
@@ -82,14 +82,14 @@
         None
     }
 
-    /// Removes a ticket whose caller has gone; `false` when it already runs.
+    /// Removes a ticket whose caller has disconnected; returns `false` if it no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.ticket != ticket);
         self.waiting.len() < before
     }
 
-    /// Returns how many requests run and how many wait.
+    /// Returns the numbers of running and of waiting requests.
     #[must_use]
     pub fn load(&self) -> (usize, usize) {
         (self.running, self.waiting.len())
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,31 +1,28 @@
-//! What is let in, what waits and what is turned away.
+//! Admission control: which requests run at once, which wait and which are refused.
 //!
-//! [`Controller`] decides about every request of one instance. The patterns of
-//! load it answers, and what goes wrong without it:
+//! [`Controller`] decides for every request of one instance. A *place* is one unit of the
+//! instance's concurrency limit; a running request holds one. The load patterns that the
+//! controller handles, and what goes wrong without it:
 //!
-//! * **Saturation.** A queue that serves in order of arrival serves everyone
-//!   late: at twice the capacity nearly every answer misses its deadline and
-//!   the capacity is spent on answers nobody waits for. So a request waits only
-//!   while it can still finish; when it no longer can, or when its
-//!   organisation's backlog says on arrival that it will not, it is refused at
-//!   once as not run, with a time to come back ([`Reason::TooLate`]).
-//! * **A few callers or organisations with most of the load.** [`fair`] gives
-//!   organisations their weighted shares and callers within one an equal turn.
-//! * **Long work among short.** A dossier holds its place a hundred times
-//!   longer than a chat reply. Long work may hold at most
-//!   [`Thresholds::long_share`] of the places, and short work leaves
-//!   [`Thresholds::long_floor`] of them to waiting long work.
-//! * **Runners that slow down.** A fixed limit is too high when a third of the
-//!   pool is lost and too low when it is back; [`limit`] follows what runners
-//!   finish.
-//! * **A retrying crowd.** Equal `Retry-After` values bring the crowd back at
-//!   one moment; [`Refusal::retry_at`] is spread at random over the time that the
-//!   backlog needs.
+//! * **Saturation.** A first-come, first-served queue delays every request: at twice the
+//!   capacity nearly every answer misses its deadline, and the capacity is spent on answers that
+//!   nobody waits for any more. So a request waits only while it can still finish in time. When
+//!   it no longer can, or when its organisation's backlog shows on arrival that it will not, it
+//!   is refused immediately as not run, with a time to retry at ([`Reason::TooLate`]).
+//! * **Most of the load from a few callers or organisations.** [`fair`] gives organisations
+//!   their weighted shares and the callers of one organisation equal turns.
+//! * **Long work mixed with short work.** A dossier holds its place a hundred times longer than
+//!   a chat reply. Long work may hold at most [`Thresholds::long_share`] of the places, and short
+//!   work leaves [`Thresholds::long_floor`] of them free for long work that waits.
+//! * **Backend servers that slow down.** A fixed limit is too high when a third of the pool is
+//!   lost and too low when it is back. [`limit`] adapts to what the backend servers finish.
+//! * **Synchronised retries.** Equal `Retry-After` values make all refused callers retry at the
+//!   same moment. [`Refusal::retry_at`] is spread at random over the time that the backlog needs.
 //!
-//! A refusal is always final and given at once, and nothing of the request has
-//! left for a backend server: "not run" is true by construction.
+//! A refusal is final and immediate, and nothing of the request has been sent to a backend
+//! server, so reporting it as not run is always true.
 //!
-//! [`fifo`] is the baseline that benches compare with.
+//! [`fifo`] is the baseline for benches.
 
 pub mod fair;
 pub mod fifo;
@@ -41,100 +38,108 @@
 
 use crate::clock::Instant;
 use crate::num::{Mean, float, seconds, whole};
-use fair::{Fair, Flow};
+use fair::{FairQueue, Flow};
 use limit::{Limit, Sample};
 use request::Lane;
 pub use request::{
     Completion, Grant, Reason, Refusal, Request, Resolution, Summary, Thresholds, Ticket, Verdict,
 };
 
+/// A request that waits for a place.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct Waiter {
     flow: Flow,
     lane: Lane,
     class: Option<key::Class>,
-    latest: Instant,
+    latest_start: Instant,
 }
 
+/// The queue of one lane, with the number of its requests that run and their mean service time.
 #[derive(Clone, Debug, Default)]
-struct Queue {
+struct LaneQueue {
     running: usize,
-    fair: Fair,
-    service: Mean,
+    waiting: FairQueue,
+    service_s: Mean,
 }
 
-/// Admission of one instance.
+/// Admission controller of one instance.
 #[derive(Clone, Debug)]
 pub struct Controller {
     thresholds: Thresholds,
     limit: Limit,
-    short: Queue,
-    long: Queue,
-    waiting: BTreeMap<Ticket, Waiting>,
-    expiry: BTreeSet<(Instant, Ticket)>,
-    classes: SecondaryMap<key::Class, Mean>,
-    next: u64,
+    short: LaneQueue,
+    long: LaneQueue,
+    waiters: BTreeMap<Ticket, Waiter>,
+    /// Waiting tickets by the latest time at which they can start and still finish.
+    latest_starts: BTreeSet<(Instant, Ticket)>,
+    /// Seconds of service by class of work.
+    class_service_s: SecondaryMap<key::Class, Mean>,
+    next_ticket: u64,
 }
 
 impl Controller {
-    /// Seconds that a request is expected to run before any has finished.
-    const FIRST_GUESS_S: f64 = 0.0;
+    /// Expected service time in seconds before any request has finished.
+    const INITIAL_SERVICE_S: f64 = 0.0;
 
-    /// Creates the admission of an instance.
+    /// Creates the admission controller of an instance.
     #[must_use]
     pub fn new(thresholds: Thresholds) -> Self {
         Self {
             limit: Limit::new(thresholds.places),
             thresholds,
-            short: Queue::default(),
-            long: Queue::default(),
-            waiting: BTreeMap::new(),
-            expiry: BTreeSet::new(),
-            classes: SecondaryMap::new(),
-            next: 0,
+            short: LaneQueue::default(),
+            long: LaneQueue::default(),
+            waiters: BTreeMap::new(),
+            latest_starts: BTreeSet::new(),
+            class_service_s: SecondaryMap::new(),
+            next_ticket: 0,
         }
     }
 
-    /// Takes over thresholds that a new configuration brings.
+    /// Applies the thresholds of a new configuration.
     pub fn set_thresholds(&mut self, thresholds: Thresholds) {
         self.limit.set_max(thresholds.places);
         self.thresholds = thresholds;
     }
 
-    /// Decides about a request that arrives.
-    pub fn offer<R: Rng>(&mut self, now: Instant, ask: &Request, rng: &mut R) -> Verdict {
-        let lane = if ask.long { Lane::Long } else { Lane::Short };
+    /// Decides whether an arriving request runs, waits or is refused.
+    pub fn offer<R: Rng>(&mut self, now: Instant, request: &Request, rng: &mut R) -> Verdict {
+        let lane = if request.long {
+            Lane::Long
+        } else {
+            Lane::Short
+        };
         let flow = Flow {
-            organisation: ask.organisation,
-            weight: ask.weight.max(1),
-            priority: ask.priority,
-            caller: ask.caller,
+            organisation: request.organisation,
+            weight: request.weight.max(1),
+            priority: request.priority,
+            caller: request.caller,
         };
-        // With a place free the estimate is not asked: it may stem from a pool
-        // that was slow, and refusing on it would keep it from being corrected.
-        let idle = self.queue(lane).fair.is_empty() && self.has_place(lane);
-        if idle && now < ask.deadline {
-            self.queue_mut(lane).fair.charge(flow);
-            return Verdict::Run(self.grant(now, lane, ask.class));
+        // A free place is given without consulting the estimate: the estimate may come from a
+        // time when the pool was slow, and refusing because of it would prevent its correction.
+        let idle = self.queue(lane).waiting.is_empty() && self.has_place(lane);
+        if idle && now < request.deadline {
+            self.queue_mut(lane).waiting.charge(flow);
+            return Verdict::Run(self.grant(now, lane, request.class));
         }
-        let expected = seconds(self.expected_s(ask.class, lane));
-        let latest = Instant(ask.deadline.0.saturating_sub(micros(expected)));
-        let slack_s = latest.since(now).as_secs_f64() * self.thresholds.slack;
-        if latest <= now || self.wait_s(lane, flow) > slack_s {
+        let expected = seconds(self.expected_service_s(request.class, lane));
+        let latest_start = Instant(request.deadline.0.saturating_sub(micros(expected)));
+        let slack_s = latest_start.since(now).as_secs_f64() * self.thresholds.slack;
+        if latest_start <= now || self.expected_wait_s(lane, flow) > slack_s {
             return Verdict::Refuse(self.refusal(now, Reason::TooLate, lane, flow, rng));
         }
         if self.is_full(lane, flow) {
             return Verdict::Refuse(self.refusal(now, Reason::QueueFull, lane, flow, rng));
         }
-        Verdict::Wait(self.enqueue(flow, lane, ask.class, latest))
+        Verdict::Wait(self.enqueue(flow, lane, request.class, latest_start))
     }
 
-    /// Frees the place of a request that has ended; [`Self::poll`] then says
-    /// who takes it.
+    /// Frees the place of a request that has ended; [`Self::poll`] then gives it to a waiting
+    /// request.
     ///
     /// # Panics
     ///
-    /// When a request ends that never ran.
+    /// Panics if no request of the grant's lane is running.
     pub fn finish(&mut self, now: Instant, grant: Grant, ended: Completion) {
         let running = self.short.running + self.long.running;
         let queue = self.queue_mut(grant.lane);
@@ -143,14 +148,14 @@
         match ended {
             Completion::Answered { first } => {
                 let took = now.since(grant.start).as_secs_f64();
-                queue.service.add(took);
+                queue.service_s.add(took);
                 if let Some(class) = grant.class
-                    && let Some(entry) = self.classes.entry(class)
+                    && let Some(entry) = self.class_service_s.entry(class)
                 {
                     entry.or_default().add(took);
                 }
-                // Prompts of long work differ too much in length for their
-                // first token to tell of load.
+                // Prompts of long work differ too much in length for their time to first token
+                // to indicate load.
                 if grant.lane == Lane::Short {
                     let first = first.since(grant.start).as_secs_f64();
                     let sample = Sample::Answered { first, whole: took };
@@ -162,88 +167,90 @@
         }
     }
 
-    /// Returns what became of requests that waited: who runs now and who is
-    /// turned away because it can no longer finish.
+    /// Returns the waiting requests that are resolved now: those that run, and those that are
+    /// refused because they can no longer finish in time.
     ///
     /// # Panics
     ///
-    /// When the queues disagree about who waits.
+    /// Panics if the queues and the list of waiting requests disagree.
     pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<Resolution> {
         let mut turns = Vec::new();
-        while let Some((latest, ticket)) = self.expiry.first().copied() {
-            if latest > now {
+        while let Some((latest_start, ticket)) = self.latest_starts.first().copied() {
+            if latest_start > now {
                 break;
             }
             let Some(gone) = self.remove(ticket) else {
-                unreachable!("every expiry belongs to a request that waits");
+                unreachable!("every latest start belongs to a waiting request");
             };
             let refusal = self.refusal(now, Reason::TooLate, gone.lane, gone.flow, rng);
             turns.push(Resolution::Refuse(ticket, refusal));
         }
         for lane in [Lane::Short, Lane::Long] {
             while self.has_place(lane) {
-                let Some(ticket) = self.queue_mut(lane).fair.pop() else {
+                let Some(ticket) = self.queue_mut(lane).waiting.pop() else {
                     break;
                 };
-                let waiting = self.forget(ticket).expect("a queued ticket waits");
-                let grant = self.grant(now, lane, waiting.class);
+                let waiter = self.unregister(ticket).expect("a queued ticket waits");
+                let grant = self.grant(now, lane, waiter.class);
                 turns.push(Resolution::Run(ticket, grant));
             }
         }
         turns
     }
 
-    /// Returns when the next request that waits can no longer finish.
+    /// Returns when the next waiting request becomes unable to finish in time.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Instant> {
-        self.expiry.first().map(|(latest, _)| *latest)
+        self.latest_starts
+            .first()
+            .map(|(latest_start, _)| *latest_start)
     }
 
-    /// Removes a ticket whose caller has gone; `false` when it waits no more.
+    /// Removes a ticket whose caller has disconnected; returns `false` if it no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.remove(ticket).is_some()
     }
 
-    /// Returns how many requests run and how many wait.
+    /// Returns the numbers of running and of waiting requests.
     #[must_use]
     pub fn load(&self) -> (usize, usize) {
-        (self.short.running + self.long.running, self.waiting.len())
+        (self.short.running + self.long.running, self.waiters.len())
     }
 
-    /// Returns the figures of the state dump.
+    /// Returns the figures for the state dump.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
             limit: self.limit.get(),
             running: self.short.running,
             running_long: self.long.running,
-            waiting: self.short.fair.len(),
-            waiting_long: self.long.fair.len(),
+            waiting: self.short.waiting.len(),
+            waiting_long: self.long.waiting.len(),
         }
     }
 
-    fn queue(&self, lane: Lane) -> &Queue {
+    fn queue(&self, lane: Lane) -> &LaneQueue {
         match lane {
             Lane::Short => &self.short,
             Lane::Long => &self.long,
         }
     }
 
-    fn queue_mut(&mut self, lane: Lane) -> &mut Queue {
+    fn queue_mut(&mut self, lane: Lane) -> &mut LaneQueue {
         match lane {
             Lane::Short => &mut self.short,
             Lane::Long => &mut self.long,
         }
     }
 
-    /// Places that the lane may hold at present.
+    /// Returns the number of places that the lane may hold now.
     fn places(&self, lane: Lane) -> usize {
         let limit = self.limit.get();
         let share = |share: f64| whole(float(limit) * share).max(1);
         match lane {
             Lane::Long => share(self.thresholds.long_share),
             Lane::Short => {
-                let floor = if self.long.fair.is_empty() {
+                let floor = if self.long.waiting.is_empty() {
                     0
                 } else {
                     share(self.thresholds.long_floor)
@@ -256,8 +263,8 @@
     fn has_place(&self, lane: Lane) -> bool {
         let all = self.short.running + self.long.running;
         let free = match lane {
-            // The floor of long work is kept free by the short lane's own
-            // bound, so long work is not held up by the sum.
+            // The bound of the short lane already keeps the floor of long work free, so the
+            // total does not block long work.
             Lane::Long => all < self.limit.get().max(2),
             Lane::Short => true,
         };
@@ -273,32 +280,32 @@
         }
     }
 
-    /// Seconds that a request of this class is expected to run.
-    fn expected_s(&self, class: Option<key::Class>, lane: Lane) -> f64 {
+    /// Returns the expected service time of a request of this class, in seconds.
+    fn expected_service_s(&self, class: Option<key::Class>, lane: Lane) -> f64 {
         let lane_s = self
             .queue(lane)
-            .service
-            .upper(self.thresholds.margin, Self::FIRST_GUESS_S);
-        let mean = class.and_then(|class| self.classes.get(class));
+            .service_s
+            .upper(self.thresholds.margin, Self::INITIAL_SERVICE_S);
+        let mean = class.and_then(|class| self.class_service_s.get(class));
         mean.map_or(lane_s, |mean| mean.upper(self.thresholds.margin, lane_s))
     }
 
-    /// Seconds that a request of this flow is expected to wait: what its
-    /// organisation has ahead of it, at the organisation's share of the rate
-    /// at which the lane's places become free (Little's law).
-    fn wait_s(&self, lane: Lane, flow: Flow) -> f64 {
+    /// Returns the expected wait of a request of this flow, in seconds: the requests of its
+    /// organisation ahead of it, divided by the organisation's share of the rate at which the
+    /// lane's places become free (Little's law).
+    fn expected_wait_s(&self, lane: Lane, flow: Flow) -> f64 {
         let queue = self.queue(lane);
-        let rate = float(self.places(lane)) / queue.service.value.max(1e-6);
-        let ahead = float(queue.fair.ahead(flow) + 1);
-        ahead / (rate * queue.fair.share(flow))
+        let rate = float(self.places(lane)) / queue.service_s.value.max(1e-6);
+        let ahead = float(queue.waiting.ahead(flow) + 1);
+        ahead / (rate * queue.waiting.share(flow))
     }
 
-    /// Whether the organisation's part of the queue is full. Each has its
-    /// weighted part, so that a greedy one cannot fill the others' too.
+    /// Returns whether the organisation's part of the queue is full. Each organisation has its
+    /// weighted part, so that one with a large backlog cannot use up the parts of the others.
     fn is_full(&self, lane: Lane, flow: Flow) -> bool {
-        let fair = &self.queue(lane).fair;
-        let part = float(self.thresholds.queue_length) * fair.share(flow);
-        fair.waiting(flow.organisation) >= whole(part).max(1)
+        let waiting = &self.queue(lane).waiting;
+        let part = float(self.thresholds.queue_length) * waiting.share(flow);
+        waiting.waiting(flow.organisation) >= whole(part).max(1)
     }
 
     fn enqueue(
@@ -306,41 +313,41 @@
         flow: Flow,
         lane: Lane,
         class: Option<key::Class>,
-        latest: Instant,
+        latest_start: Instant,
     ) -> Ticket {
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        self.queue_mut(lane).fair.push(flow, ticket);
-        self.expiry.insert((latest, ticket));
-        let waiting = Waiting {
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        self.queue_mut(lane).waiting.push(flow, ticket);
+        self.latest_starts.insert((latest_start, ticket));
+        let waiter = Waiter {
             flow,
             lane,
             class,
-            latest,
+            latest_start,
         };
-        self.waiting.insert(ticket, waiting);
+        self.waiters.insert(ticket, waiter);
         ticket
     }
 
-    fn remove(&mut self, ticket: Ticket) -> Option<Waiting> {
-        let waiting = self.forget(ticket)?;
+    fn remove(&mut self, ticket: Ticket) -> Option<Waiter> {
+        let waiter = self.unregister(ticket)?;
         let removed = self
-            .queue_mut(waiting.lane)
-            .fair
-            .remove(waiting.flow, ticket);
-        assert!(removed, "a request waits that is in no queue");
-        Some(waiting)
+            .queue_mut(waiter.lane)
+            .waiting
+            .remove(waiter.flow, ticket);
+        assert!(removed, "a waiting request is in no queue");
+        Some(waiter)
     }
 
-    fn forget(&mut self, ticket: Ticket) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&ticket)?;
-        self.expiry.remove(&(waiting.latest, ticket));
-        Some(waiting)
+    fn unregister(&mut self, ticket: Ticket) -> Option<Waiter> {
+        let waiter = self.waiters.remove(&ticket)?;
+        self.latest_starts.remove(&(waiter.latest_start, ticket));
+        Some(waiter)
     }
 
-    /// The caller may come back once the present backlog is gone, at a random
-    /// moment within as long again: at one moment the crowd would only meet
-    /// itself.
+    /// Returns a refusal whose caller may retry once the present backlog is served, at a random
+    /// moment within the same time again: refused callers that all retry at one moment would
+    /// only compete with each other.
     fn refusal<R: Rng>(
         &self,
         now: Instant,
@@ -349,10 +356,12 @@
         flow: Flow,
         rng: &mut R,
     ) -> Refusal {
-        let most = self.thresholds.max_retry_after_s;
-        let least_s = self.wait_s(lane, flow).clamp(1.0, (most / 2.0).max(1.0));
-        let spread_s = rng.random::<f64>() * least_s;
-        let retry_at = now + seconds((least_s + spread_s).min(most.max(1.0)));
+        let max_s = self.thresholds.max_retry_after_s;
+        let min_s = self
+            .expected_wait_s(lane, flow)
+            .clamp(1.0, (max_s / 2.0).max(1.0));
+        let spread_s = rng.random::<f64>() * min_s;
+        let retry_at = now + seconds((min_s + spread_s).min(max_s.max(1.0)));
         Refusal { reason, retry_at }
     }
 }
--- a/crates/core/src/admission/request.rs
+++ b/crates/core/src/admission/request.rs
@@ -1,39 +1,39 @@
-//! What is asked of admission and what it answers.
+//! Requests to the admission controller, its decisions and its thresholds.
 
 use fescuerack_config::key;
 
 use crate::clock::Instant;
 
-/// Identifies a request that waits.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Thresholds of admission; every one may be set in the configuration.
+/// Thresholds of admission; each can be set in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Requests that run at a time at most, whatever runners report.
+    /// Maximum number of requests that run at a time, the upper bound of the adaptive limit.
     pub places: usize,
-    /// Share of the places that long work may hold. With 0.3 a flood of
-    /// dossiers leaves chat at least 0.7 of the places.
+    /// Share of the places that long work may hold. With 0.3, any number of dossiers leaves chat
+    /// at least 0.7 of the places.
     pub long_share: f64,
-    /// Share of the places kept for long work that waits, so that a flood of
-    /// chat does not stop the night's dossiers altogether.
+    /// Share of the places reserved for long work that waits, so that heavy chat traffic does not
+    /// starve the nightly dossiers.
     pub long_floor: f64,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub queue_length: usize,
-    /// Share of the time until the latest start that the expected wait may
-    /// take. The estimate is a mean: at 1.0 half of those let in would be
-    /// dropped later, after waiting in vain.
+    /// Share of the time until its latest start that a request's expected wait may take. The
+    /// estimate is a mean: at 1.0, half of the queued requests would be refused later, after a
+    /// useless wait.
     pub slack: f64,
-    /// Deviations above the mean that a request is expected to run. Two cover
+    /// Mean deviations above the mean service time that a request is expected to take. Two cover
     /// about 95 in 100 of the usual spread of answer lengths.
     pub margin: f64,
-    /// Longest `Retry-After`, in seconds.
+    /// Maximum `Retry-After`, in seconds.
     pub max_retry_after_s: f64,
 }
 
 impl Thresholds {
-    /// Returns the defaults for `places` places.
+    /// Returns the default thresholds for `places` places.
     #[must_use]
     pub fn new(places: usize) -> Self {
         Self {
@@ -48,37 +48,37 @@
     }
 }
 
-/// A request that asks to be let in.
+/// A request as admission sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Who pays for it.
+    /// Organisation that is billed for it.
     pub organisation: key::Organisation,
-    /// Share of the organisation relative to others, at least 1.
+    /// Weight of the organisation relative to others, at least 1.
     pub weight: u32,
-    /// Hash of its session, or of whoever sends it.
+    /// Hash of its session, or of the caller if it has none.
     pub caller: u64,
-    /// Class of work, when it names one.
+    /// Class of work, if the request names one.
     pub class: Option<key::Class>,
-    /// Priority; a lower number goes first.
+    /// Priority; lower numbers go first.
     pub priority: u8,
-    /// Whether it draws on the budget of long work.
+    /// Whether it is long work, which has its own bounds.
     pub long: bool,
     /// When its answer is due.
     pub deadline: Instant,
 }
 
-/// What happens to a request that arrives.
+/// Decision about an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Runs at once.
+    /// The request runs at once.
     Run(Grant),
-    /// Waits; [`super::Controller::poll`] later returns the ticket.
+    /// The request waits; [`super::Controller::poll`] returns the ticket later.
     Wait(Ticket),
-    /// Is turned away.
+    /// The request is refused.
     Refuse(Refusal),
 }
 
-/// Why a request is turned away.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// It can no longer finish before its deadline.
@@ -87,16 +87,16 @@
     QueueFull,
 }
 
-/// A request that is turned away; nothing of it was run.
+/// Refusal of a request of which nothing has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: Reason,
-    /// When its caller may come back.
+    /// When its caller may retry.
     pub retry_at: Instant,
 }
 
-/// A place held by a request that runs.
+/// A place held by a running request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[must_use]
 pub struct Grant {
@@ -105,47 +105,48 @@
     pub(super) start: Instant,
 }
 
-/// How a request that ran has ended.
+/// How a running request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// Its answer was whole; the first token came at this time.
+    /// The answer was complete.
     Answered {
-        /// When the first part of the answer came.
+        /// When the first part of the answer arrived.
         first: Instant,
     },
-    /// Runners refused it or let it run out of time.
+    /// Backend servers refused it or did not answer in time.
     Overloaded,
-    /// It says nothing about runners: its caller went away, or it was wrong.
+    /// The end says nothing about the backend servers: the caller disconnected, or the request was
+    /// invalid.
     Ignored,
 }
 
-/// What becomes of a request that waited.
+/// Outcome of waiting for a place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Resolution {
-    /// It runs now.
+    /// The request runs now.
     Run(Ticket, Grant),
-    /// It can no longer finish and is turned away.
+    /// The request can no longer finish in time and is refused.
     Refuse(Ticket, Refusal),
 }
 
-/// The budget that a request draws on.
+/// Which of the two queues, with its bounds, a request belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lane {
     Short,
     Long,
 }
 
-/// Figures of the state dump.
+/// Figures for the state dump.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 pub struct Summary {
-    /// Present limit of requests that run.
+    /// Current limit of running requests.
     pub limit: usize,
-    /// Short requests that run.
+    /// Running short requests.
     pub running: usize,
-    /// Long requests that run.
+    /// Running long requests.
     pub running_long: usize,
-    /// Short requests that wait.
+    /// Waiting short requests.
     pub waiting: usize,
-    /// Long requests that wait.
+    /// Waiting long requests.
     pub waiting_long: usize,
 }
--- a/crates/core/tests/all/admission.rs
+++ b/crates/core/tests/all/admission.rs
@@ -1,4 +1,4 @@
-//! Admission under the patterns of load that it answers.
+//! Tests of admission under the load patterns that it handles.
 
 use fescuerack_config::{Names, key};
 use fescuerack_core::admission::{
@@ -28,7 +28,7 @@
         }
     }
 
-    fn ask(&mut self, organisation: &str, deadline_ms: u64) -> Request {
+    fn request(&mut self, organisation: &str, deadline_ms: u64) -> Request {
         Request {
             organisation: self.names.organisations.intern(organisation),
             weight: 1,
@@ -40,9 +40,9 @@
         }
     }
 
-    fn offer(&mut self, now_ms: u64, ask: &Request) -> Verdict {
+    fn offer(&mut self, now_ms: u64, request: &Request) -> Verdict {
         let now = Instant::from_millis(now_ms);
-        self.control.offer(now, ask, &mut self.rng)
+        self.control.offer(now, request, &mut self.rng)
     }
 
     fn poll(&mut self, now_ms: u64) -> Vec<Resolution> {
@@ -50,9 +50,9 @@
         self.control.poll(now, &mut self.rng)
     }
 
-    /// Fills every place, each request having run `service_ms` before.
+    /// Fills every place, after a first round of requests that each ran for `service_ms`.
     fn saturate(&mut self, service_ms: u64) -> Vec<Grant> {
-        let ask = self.ask("filler", 1_000_000);
+        let request = self.request("filler", 1_000_000);
         let mut grants = Vec::new();
         for round in 0..2 {
             let now = round * service_ms;
@@ -62,7 +62,7 @@
                     .finish(at, grant, Completion::Answered { first: at });
             }
             for _ in 0..PLACES {
-                let Verdict::Run(grant) = self.offer(now, &ask) else {
+                let Verdict::Run(grant) = self.offer(now, &request) else {
                     panic!("a place is free");
                 };
                 grants.push(grant);
@@ -72,22 +72,23 @@
     }
 }
 
-// A parent sends a chat request while all places are taken. Its deadline comes
-// nearer until the answer could not be in time any more. Served late it would
-// cost a place and help nobody, so at that moment, not at its deadline, it is
-// turned away.
+// A request waits for a place while all are taken, until its answer could no longer be in time.
+// Served after that it would use a place for nothing, so it must be refused at that moment and not
+// only at its deadline.
 #[test]
 fn poll_refuses_when_too_late_to_finish() {
     let mut fixture = Fixture::new();
     let _grants = fixture.saturate(1_000);
-    let ask = fixture.ask("small", 6_000);
-    let Verdict::Wait(ticket) = fixture.offer(1_000, &ask) else {
+    let request = fixture.request("small", 6_000);
+    let Verdict::Wait(ticket) = fixture.offer(1_000, &request) else {
         panic!("it can still finish");
     };
     assert!(fixture.poll(4_900).is_empty());
-    let turns = fixture.poll(5_001);
-    assert!(matches!(turns[..], [Resolution::Refuse(refused, refusal)]
-            if refused == ticket && refusal.reason == Reason::TooLate));
+    let resolutions = fixture.poll(5_001);
+    assert!(
+        matches!(resolutions[..], [Resolution::Refuse(refused, refusal)]
+            if refused == ticket && refusal.reason == Reason::TooLate)
+    );
     assert_eq!(fixture.control.load().1, 0);
 }
 
@@ -95,50 +96,50 @@
 fn offer_refuses_at_once_what_cannot_finish() {
     let mut fixture = Fixture::new();
     let _grants = fixture.saturate(1_000);
-    let ask = fixture.ask("small", 1_900);
-    let Verdict::Refuse(refusal) = fixture.offer(1_000, &ask) else {
+    let request = fixture.request("small", 1_900);
+    let Verdict::Refuse(refusal) = fixture.offer(1_000, &request) else {
         panic!("a second is needed and 0.9 remain");
     };
     assert_eq!(refusal.reason, Reason::TooLate);
     assert!(refusal.retry_at > Instant::from_millis(1_000));
 }
 
-// A crowd is turned away at one moment. With equal times to come back it would
-// meet itself again a moment later.
+// Many callers are refused at one moment. With equal retry times they would all retry at one
+// moment too, and be refused again.
 #[test]
 fn refusal_spreads_returns() {
     let mut fixture = Fixture::new();
     let _grants = fixture.saturate(1_000);
-    let ask = fixture.ask("small", 1_500);
+    let request = fixture.request("small", 1_500);
     let mut returns = Vec::new();
     for _ in 0..100 {
-        if let Verdict::Refuse(refusal) = fixture.offer(1_000, &ask) {
+        if let Verdict::Refuse(refusal) = fixture.offer(1_000, &request) {
             returns.push(refusal.retry_at);
         }
     }
     returns.sort_unstable();
     assert_eq!(returns.len(), 100);
     let spread = returns[99].since(returns[0]).as_millis();
-    assert!(spread > 900, "all come back within {spread} ms");
-    let most = Instant::from_millis(1_000 + 30_000);
-    assert!(returns.iter().all(|retry| *retry <= most));
+    assert!(spread > 900, "all retry within {spread} ms");
+    let latest_retry = Instant::from_millis(1_000 + 30_000);
+    assert!(returns.iter().all(|retry| *retry <= latest_retry));
 }
 
-// One municipality's batch has filled the queue when a small one sends a single
-// request. In order of arrival it would wait for the whole batch.
+// The batch of one organisation has filled the queue when another sends a single request. In order
+// of arrival the single request would wait for the whole batch.
 #[rstest]
 #[case::equal(1, 1)]
 #[case::heavier(3, 2)]
 fn pop_shares_between_organisations(#[case] weight: u32, #[case] within: usize) {
     let mut fixture = Fixture::new();
     let mut grants = fixture.saturate(1_000);
-    let greedy = fixture.ask("greedy", 1_000_000);
+    let greedy = fixture.request("greedy", 1_000_000);
     for _ in 0..20 {
         fixture.offer(1_000, &greedy);
     }
     let small = Request {
         weight,
-        ..fixture.ask("small", 1_000_000)
+        ..fixture.request("small", 1_000_000)
     };
     let Verdict::Wait(ticket) = fixture.offer(1_000, &small) else {
         panic!("it waits");
@@ -150,7 +151,7 @@
         if fixture
             .poll(2_000)
             .iter()
-            .any(|turn| matches!(turn, Resolution::Run(run, _) if *run == ticket))
+            .any(|resolution| matches!(resolution, Resolution::Run(run, _) if *run == ticket))
         {
             position = index + 1;
         }
@@ -161,13 +162,13 @@
     );
 }
 
-// Within one organisation a script without a session sends hundreds of
-// requests; a parent's session sends one.
+// Within one organisation, a script without a session sends many requests and another caller's
+// session sends one, which must not wait for all of them.
 #[test]
 fn pop_shares_between_callers() {
     let mut fixture = Fixture::new();
     let mut grants = fixture.saturate(1_000);
-    let script = fixture.ask("one", 1_000_000);
+    let script = fixture.request("one", 1_000_000);
     for _ in 0..30 {
         fixture.offer(1_000, &script);
     }
@@ -187,47 +188,47 @@
     }
     assert!(
         run.iter()
-            .any(|turn| matches!(turn, Resolution::Run(run, _) if *run == ticket))
+            .any(|resolution| matches!(resolution, Resolution::Run(run, _) if *run == ticket))
     );
 }
 
-// Dossiers hold their places a hundred times longer than chat. A flood of them
-// must leave room for chat, and chat some for them.
+// Dossiers hold their places a hundred times longer than chat. Any number of them must leave places
+// for chat, and chat must leave some places for them.
 #[test]
 fn offer_bounds_long_work_and_keeps_its_floor() {
     let mut fixture = Fixture::new();
     let dossier = Request {
         long: true,
-        ..fixture.ask("one", 1_000_000)
+        ..fixture.request("one", 1_000_000)
     };
     let running = |verdict: &Verdict| matches!(verdict, Verdict::Run(_));
     let long = (0..20)
         .filter(|_| running(&fixture.offer(0, &dossier)))
         .count();
     assert_eq!(long, 2, "0.3 of 8 places");
-    let chat = fixture.ask("one", 1_000_000);
+    let chat = fixture.request("one", 1_000_000);
     let short = (0..20)
         .filter(|_| running(&fixture.offer(0, &chat)))
         .count();
     assert_eq!(short, PLACES - 2);
 }
 
-// Runners refuse work for a while (a third of the pool is lost), then answer
-// as before. The limit follows both ways and never reaches zero.
+// Backend servers refuse work for a while (a third of the pool is lost), then answer as before. The
+// limit must follow in both directions and never reach zero.
 #[test]
-fn limit_follows_what_runners_finish() {
+fn limit_follows_what_backend_servers_finish() {
     let mut fixture = Fixture::new();
-    let ask = fixture.ask("one", u64::MAX / 2_000);
+    let request = fixture.request("one", u64::MAX / 2_000);
     let mut now = 0;
     for _ in 0..50 {
         now += 300;
-        if let Verdict::Run(grant) = fixture.offer(now, &ask) {
+        if let Verdict::Run(grant) = fixture.offer(now, &request) {
             let at = Instant::from_millis(now);
             fixture.control.finish(at, grant, Completion::Overloaded);
         }
     }
-    let least = fixture.control.summary().limit;
-    assert!((1..PLACES).contains(&least), "the limit fell to {least}");
+    let lowest = fixture.control.summary().limit;
+    assert!((1..PLACES).contains(&lowest), "the limit fell to {lowest}");
     let mut grants = Vec::new();
     for _ in 0..400 {
         now += 100;
@@ -238,12 +239,12 @@
                 .finish(at, grant, Completion::Answered { first: at });
         }
         for _ in 0..PLACES {
-            if let Verdict::Run(grant) = fixture.offer(now, &ask) {
+            if let Verdict::Run(grant) = fixture.offer(now, &request) {
                 grants.push(grant);
             }
         }
-        for turn in fixture.poll(now) {
-            if let Resolution::Run(_, grant) = turn {
+        for resolution in fixture.poll(now) {
+            if let Resolution::Run(_, grant) = resolution {
                 grants.push(grant);
             }
         }
@@ -285,7 +286,7 @@
     ]
 }
 
-/// What the callers of a random run know.
+/// Requests by state, as the callers of a random run see them.
 #[derive(Default)]
 struct Callers {
     running: Vec<Grant>,
@@ -296,7 +297,7 @@
 }
 
 impl Callers {
-    fn verdict(&mut self, verdict: Verdict) {
+    fn record_verdict(&mut self, verdict: Verdict) {
         self.offered += 1;
         match verdict {
             Verdict::Run(grant) => self.running.push(grant),
@@ -305,9 +306,9 @@
         }
     }
 
-    /// Each turn is of someone who waits, so none is told twice.
-    fn turn(&mut self, turn: Resolution) {
-        let ticket = match turn {
+    /// Records a resolution. It must belong to a waiting request, so that none is answered twice.
+    fn record_resolution(&mut self, resolution: Resolution) {
+        let ticket = match resolution {
             Resolution::Run(ticket, grant) => {
                 self.running.push(grant);
                 ticket
@@ -322,7 +323,7 @@
     }
 }
 
-fn play(steps: &[Step]) {
+fn run_steps(steps: &[Step]) {
     let mut names = Names::new();
     let organisations: Vec<key::Organisation> = (0..4)
         .map(|index| names.organisations.intern(&index.to_string()))
@@ -340,7 +341,7 @@
                 long,
                 within_ms,
             } => {
-                let ask = Request {
+                let request = Request {
                     organisation: organisations[organisation],
                     weight: u32::try_from(organisation).unwrap_or(0) + 1,
                     caller,
@@ -349,7 +350,7 @@
                     long,
                     deadline: now.plus_millis(within_ms),
                 };
-                callers.verdict(control.offer(now, &ask, &mut rng));
+                callers.record_verdict(control.offer(now, &request, &mut rng));
             }
             Step::Finish { index, how } if !callers.running.is_empty() => {
                 let grant = callers.running.swap_remove(index % callers.running.len());
@@ -370,22 +371,25 @@
             Step::Pass { ms } => now = now.plus_millis(ms),
             Step::Finish { .. } | Step::Cancel { .. } => {}
         }
-        for turn in control.poll(now, &mut rng) {
-            callers.turn(turn);
+        for resolution in control.poll(now, &mut rng) {
+            callers.record_resolution(resolution);
         }
         let known = (callers.running.len(), callers.waiting.len());
         assert_eq!(control.load(), known);
-        let told = callers.refused + callers.ended + known.0 + known.1;
-        assert_eq!(told, callers.offered, "a request was lost or told twice");
-        assert!(known.0 <= 6 + 1, "more run than there are places");
+        let accounted = callers.refused + callers.ended + known.0 + known.1;
+        assert_eq!(
+            accounted, callers.offered,
+            "a request was lost or answered twice"
+        );
+        assert!(known.0 <= 6 + 1, "more requests run than there are places");
         assert!(control.next_expiry().is_none_or(|expiry| expiry > now));
     }
 }
 
-// Requests come, wait, end and go away in any order: none is lost, none is
-// answered twice, and nobody waits past the time at which it could finish.
+// Requests arrive, wait, end and are cancelled in random order: none may be lost or answered twice,
+// and none may wait past the time at which it could still finish.
 #[test]
-fn control_random_steps_lose_and_double_none() {
+fn controller_random_steps_lose_and_double_none() {
     let steps = std::env::var("FESCUERACK_STEPS").ok();
     let steps = steps.and_then(|steps| steps.parse().ok()).unwrap_or(200);
     let config = Config {
@@ -396,7 +400,7 @@
     };
     let strategy = proptest::collection::vec(step(), 1..=steps);
     let result = TestRunner::new(config).run(&strategy, |steps| {
-        play(&steps);
+        run_steps(&steps);
         Ok(())
     });
     result.expect("the invariants hold");
