--- a/crates/core/src/admission/rate.rs
+++ b/crates/core/src/admission/rate.rs
@@ -63,7 +63,8 @@
     /// Share of the limit, 0 to 1.
     pub share: f64,
     /// Whether the instance needs more.
-    pub lacks: bool,
+    #[serde(rename = "lacks")]
+    pub needs_more: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -72,7 +73,7 @@
     share: f64,
     need_per_s: f64,
     requests: u32,
-    lacks: bool,
+    needs_more: bool,
     tokens: f64,
     filled_at: Instant,
 }
@@ -120,7 +121,7 @@
             bucket.tokens -= 1.0;
             return Ok(());
         }
-        bucket.lacks = true;
+        bucket.needs_more = true;
         let wait = (1.0 - bucket.tokens) / (bucket.rate * bucket.share).max(1e-6);
         Err(now + seconds(wait))
     }
@@ -172,7 +173,7 @@
                 let name = names.organisations.name(key).to_string();
                 let owned = OwnedShare {
                     share: bucket.share,
-                    lacks: bucket.lacks,
+                    needs_more: bucket.needs_more,
                 };
                 (name, owned)
             });
@@ -218,7 +219,7 @@
 struct View {
     equal_share: f64,
     owned: f64,
-    lacking: usize,
+    needing_more: usize,
 }
 
 impl View {
@@ -231,7 +232,7 @@
         let mut view = Self {
             equal_share,
             owned: 0.0,
-            lacking: 0,
+            needing_more: 0,
         };
         let mut known_peers = 0;
         for owned in peers
@@ -240,7 +241,7 @@
         {
             known_peers += 1;
             view.owned += owned.share;
-            view.lacking += usize::from(owned.lacks);
+            view.needing_more += usize::from(owned.needs_more);
         }
         // A peer without a current digest, or whose digest lacks this limit, may own `1/n`.
         let unknown_peers = instances.saturating_sub(1).saturating_sub(known_peers);
@@ -256,7 +257,7 @@
             share,
             need_per_s: 0.0,
             requests: 0,
-            lacks: false,
+            needs_more: false,
             tokens: 1.0,
             filled_at: now,
         }
@@ -279,11 +280,11 @@
             self.need_per_s.max(requests_per_s) * HEADROOM_FACTOR / self.rate.max(1e-6);
         let floor = view.equal_share * IDLE_SHARE;
         let spare = (1.0 - self.share - view.owned).max(0.0);
-        if std::mem::take(&mut self.lacks) || needed_share > self.share {
-            let lacking = float(view.lacking.max(1) + 1);
+        if std::mem::take(&mut self.needs_more) || needed_share > self.share {
+            let needing_more = float(view.needing_more.max(1) + 1);
             let wanted = (needed_share - self.share).max(0.0);
-            self.share += (spare / lacking).min(wanted);
-            self.lacks = needed_share > self.share;
+            self.share += (spare / needing_more).min(wanted);
+            self.needs_more = needed_share > self.share;
         } else {
             self.share = needed_share.max(floor).min(self.share);
         }
--- a/crates/core/src/attempt/budget.rs
+++ b/crates/core/src/attempt/budget.rs
@@ -1,27 +1,26 @@
-//! A budget of further attempts, as a share of traffic.
+//! Retry budget: further attempts as a share of the traffic.
 //!
-//! The pattern: a pool fails for a moment. With a fixed number of retries the
-//! load triples just when capacity is least. A budget lets the usual few
-//! failures be retried at once and bounds what a failing pool gets to
-//! `1 + share` times the traffic.
+//! When a pool fails for a moment, a fixed number of retries per request triples the load just when
+//! the capacity is lowest. A budget allows the usual few failures to be retried at once, and bounds
+//! the load on a failing pool to `1 + retry_ratio` times the traffic.
 
-/// A budget.
+/// Retry budget of one pool, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     tokens: f64,
 }
 
-/// Thresholds of retries; every one may be set in the configuration.
+/// Thresholds of retries; each can be set in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Further attempts per first attempt. With 0.1 amplification stays within
-    /// 1.1, and one failure in ten is still hidden from callers.
+    /// Further attempts per first attempt. With 0.1 the load is amplified by at most 1.1, and one
+    /// failure in ten is still hidden from callers.
     pub retry_ratio: f64,
-    /// Further attempts that may be saved up; covers the few failures of a
-    /// quiet hour, in which no share of traffic would amount to one.
+    /// Maximum number of further attempts that accumulate. They cover the few failures at times of
+    /// low traffic, when the share of the traffic does not amount to one attempt.
     pub max_saved: f64,
-    /// Share of failed attempts from which a pool counts as failing. Under a
-    /// half, another server is still likely to answer.
+    /// Share of failed attempts from which a pool counts as failing. Below a half, another server is
+    /// still likely to answer.
     pub failing_share: f64,
 }
 
@@ -44,14 +43,14 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the share of one first attempt.
     pub fn deposit(&mut self, thresholds: &Thresholds) {
         self.tokens = (self.tokens + thresholds.retry_ratio).min(thresholds.max_saved);
     }
 
-    /// Takes one further attempt if more than `kept` remain.
-    pub fn withdraw(&mut self, kept: f64) -> bool {
-        let enough = self.tokens >= kept + 1.0;
+    /// Takes one further attempt if at least `reserve` remain after it.
+    pub fn withdraw(&mut self, reserve: f64) -> bool {
+        let enough = self.tokens >= reserve + 1.0;
         if enough {
             self.tokens -= 1.0;
         }
--- a/crates/core/src/attempt/hedge.rs
+++ b/crates/core/src/attempt/hedge.rs
@@ -1,37 +1,38 @@
-//! When a second attempt runs beside the first.
+//! Hedged requests: when a second attempt runs in parallel with the first.
 //!
-//! The pattern: one server in many is slow, and whoever is on it waits long
-//! though another server would answer at once. A hedge is sent once the first
-//! token is later than nearly all are, so it costs a few attempts in a hundred.
+//! If one server of many is slow, the requests on it wait although another server would answer at
+//! once. A hedge is sent when the first token is later than nearly all others, so hedges add only a
+//! few attempts per hundred.
 //!
-//! It pays only while there is room: when requests wait for a place, a hedge
-//! takes one from somebody else. It is for idempotent work only, at most one
-//! per request, and comes out of the retry budget.
+//! A hedge is useful only while there is free capacity: when requests wait for a place, it takes
+//! one from another request. Only idempotent requests are hedged, at most once each, and every hedge
+//! is taken from the retry budget.
 //!
-//! None is sent unless the configuration asks for it (`attempt.hedge-ms`): with
-//! one server ten times slower the choice of servers alone keeps the p99 of the
-//! first token at that of a healthy pool (docs/BENCHMARKS.md).
+//! Hedges are off unless the configuration sets `attempt.hedge-ms`: with one server that is ten
+//! times slower, server selection alone keeps the p99 time to first token at that of a healthy pool
+//! (docs/BENCHMARKS.md).
 
 use std::time::Duration;
 
 use crate::num::{Mean, seconds};
 
-/// Deviations above the mean first token from which it is late. Mean absolute
-/// deviations: four are about three standard deviations.
-const DEVIATIONS: f64 = 4.0;
-/// Samples before lateness can be told.
-const SAMPLES: u32 = 20;
+/// Number of mean absolute deviations above the mean from which a first token is late; four are about
+/// three standard deviations.
+const LATE_DEVIATIONS: f64 = 4.0;
+/// Minimum number of samples before a first token can be judged late.
+const MIN_SAMPLES: u32 = 20;
 
-/// Returns after which time without a first token a hedge pays, if ever before
-/// `remaining` is over; never within `least_s` seconds, and never at all when
-/// that is 0.
+/// Returns the time without a first token after which a hedge is sent.
+///
+/// The time is at least `min_s` seconds. Returns `None` if a hedge could not bring its first token
+/// within `remaining`, if there are too few samples, or if `min_s` is 0, which turns hedges off.
 #[must_use]
-pub fn delay(first: &Mean, least_s: f64, remaining: Duration) -> Option<Duration> {
-    if first.samples < SAMPLES || least_s <= 0.0 {
+pub fn delay(first_token: &Mean, min_s: f64, remaining: Duration) -> Option<Duration> {
+    if first_token.samples < MIN_SAMPLES || min_s <= 0.0 {
         return None;
     }
-    let late = seconds(first.upper(DEVIATIONS, least_s).max(least_s));
+    let late = seconds(first_token.upper(LATE_DEVIATIONS, min_s).max(min_s));
     // A hedge that cannot bring its first token in time only adds load.
-    let useful = late + seconds(first.value) < remaining;
+    let useful = late + seconds(first_token.value) < remaining;
     useful.then_some(late)
 }
--- a/crates/core/src/attempt/mod.rs
+++ b/crates/core/src/attempt/mod.rs
@@ -1,19 +1,16 @@
-//! Attempts of a request at backend servers: when another one may follow.
+//! Attempts of a request at backend servers, and when another attempt may follow.
 //!
-//! The pattern: a pool fails or slows, and everyone who waits sends again.
-//! Three attempts for each request triple the load on a pool that already
-//! fails, and keep it failing after the cause has gone. So a further attempt
-//! needs a part of the budget of its pool ([`budget`]), none is made while
-//! this instance and its peers see the pool failing ([`pools`]), and the
-//! deadline of the request bounds all of them and is never extended.
+//! When a pool fails or slows down, every waiting request is sent again. Three attempts per request
+//! triple the load on a pool that already fails, and keep it failing after the cause is gone. So each
+//! further attempt is taken from the retry budget of its pool ([`budget`]), none is made while the
+//! counts of this instance and its peers show the pool as failing ([`pools`]), and the deadline of
+//! the request bounds all attempts and is never extended.
 //!
-//! Retries are made here and nowhere else: the HTTP clients make none and
-//! instances do not forward requests to each other, so attempts do not
-//! multiply between levels.
+//! Retries are made only here: the HTTP clients do not retry and instances do not forward requests to
+//! each other, so attempts do not multiply between layers.
 //!
-//! A request that is not idempotent gets a further attempt only while it surely
-//! has not run, and never a hedge ([`hedge`]); [`Attempts::start`] stops the
-//! process rather than run it twice.
+//! A request that is not idempotent gets a further attempt only while it has certainly not run, and is
+//! never hedged ([`hedge`]). [`Attempts::start`] panics rather than run it twice.
 
 pub mod budget;
 pub mod hedge;
@@ -31,32 +28,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptOutcome {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Done,
-    /// No byte of the request left, or the server said that it did not start.
+    /// No byte of the request was sent, or the server reported that it did not start.
     NotRun,
-    /// The connection broke or timed out after bytes had left.
+    /// The connection broke or timed out after bytes had been sent.
     Unknown,
-    /// The server answered with an error of its own.
+    /// The server answered with an error.
     Failed,
 }
 
-/// What a caller may be told of its request.
+/// The outcome of a request, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Answered.
+    /// The request was answered.
     Done,
-    /// Surely not run.
+    /// The request has certainly not run.
     NotRun,
-    /// Perhaps run.
+    /// The request may have run.
     Unknown,
 }
 
 /// What follows an attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Another attempt at another server.
+    /// Another attempt, at another server.
     Retry,
     /// The request ends.
     Stop(Outcome),
@@ -67,22 +64,22 @@
 pub struct Attempts {
     idempotent: bool,
     deadline: Instant,
-    most: u32,
+    max_attempts: u32,
     made: u32,
-    perhaps_run: bool,
+    may_have_run: bool,
     tried: BTreeSet<key::Server>,
 }
 
 impl Attempts {
-    /// Creates the state of a request that may be attempted `most` times.
+    /// Creates the state of a request that may be attempted at most `max_attempts` times.
     #[must_use]
-    pub fn new(idempotent: bool, deadline: Instant, most: u32) -> Self {
+    pub fn new(idempotent: bool, deadline: Instant, max_attempts: u32) -> Self {
         Self {
             idempotent,
             deadline,
-            most,
+            max_attempts,
             made: 0,
-            perhaps_run: false,
+            may_have_run: false,
             tried: BTreeSet::new(),
         }
     }
@@ -91,64 +88,64 @@
     ///
     /// # Panics
     ///
-    /// When a request that is not idempotent may already have run: a second
-    /// run would repeat what must not be repeated.
+    /// Panics if the request is not idempotent and may already have run, because a second run would
+    /// repeat its effects.
     pub fn start(&mut self, server: key::Server) {
         assert!(
-            self.idempotent || !self.perhaps_run,
+            self.idempotent || !self.may_have_run,
             "a non-idempotent request would run twice"
         );
         self.made += 1;
         self.tried.insert(server);
     }
 
-    /// Decides what follows; `handed_on` says that the caller already has a
-    /// part of the answer.
-    pub fn end(&mut self, now: Instant, end: AttemptOutcome, handed_on: bool) -> Next {
-        self.perhaps_run |= end != AttemptOutcome::NotRun;
-        if end == AttemptOutcome::Done {
+    /// Records the end of an attempt and decides what follows. `relayed` is whether a part of the
+    /// answer was already passed on to the caller.
+    pub fn end(&mut self, now: Instant, outcome: AttemptOutcome, relayed: bool) -> Next {
+        self.may_have_run |= outcome != AttemptOutcome::NotRun;
+        if outcome == AttemptOutcome::Done {
             return Next::Stop(Outcome::Done);
         }
-        let repeatable = self.idempotent || !self.perhaps_run;
-        if repeatable && !handed_on && self.made < self.most && now < self.deadline {
+        let repeatable = self.idempotent || !self.may_have_run;
+        if repeatable && !relayed && self.made < self.max_attempts && now < self.deadline {
             return Next::Retry;
         }
         Next::Stop(self.outcome())
     }
 
-    /// Milliseconds of the longest pause before the second attempt.
+    /// Maximum backoff before the second attempt, in milliseconds.
     const BACKOFF_BASE_MS: u64 = 20;
-    /// Milliseconds of the longest pause at all.
+    /// Maximum backoff before any attempt, in milliseconds.
     const BACKOFF_MAX_MS: u64 = 500;
 
-    /// Returns how long to wait before the next attempt: a random part of a
-    /// time that doubles, so that the requests that a failing server drops
-    /// together do not come back together, and never beyond the deadline.
+    /// Returns how long to wait before the next attempt: exponential backoff with full jitter, never
+    /// beyond the deadline. The jitter spreads the retries of requests that a failing server dropped
+    /// at the same time.
     #[must_use]
     pub fn backoff<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
         let doublings = self.made.saturating_sub(1).min(8);
-        let most = (Self::BACKOFF_BASE_MS << doublings).min(Self::BACKOFF_MAX_MS);
-        let pause = Duration::from_millis(rng.random_range(0..=most));
-        pause.min(self.deadline.since(now))
+        let max_ms = (Self::BACKOFF_BASE_MS << doublings).min(Self::BACKOFF_MAX_MS);
+        let backoff = Duration::from_millis(rng.random_range(0..=max_ms));
+        backoff.min(self.deadline.since(now))
     }
 
-    /// Returns how many attempts were made.
+    /// Returns the number of attempts made.
     #[must_use]
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Returns what may be said when no further attempt is made.
+    /// Returns the outcome if no further attempt is made and none was answered.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
-        if self.perhaps_run {
+        if self.may_have_run {
             Outcome::Unknown
         } else {
             Outcome::NotRun
         }
     }
 
-    /// Returns the servers that were tried.
+    /// Returns the servers that have been tried.
     #[must_use]
     pub fn tried(&self) -> &BTreeSet<key::Server> {
         &self.tried
--- a/crates/core/src/attempt/pools.rs
+++ b/crates/core/src/attempt/pools.rs
@@ -1,11 +1,10 @@
-//! What this instance and its peers know of pools that fail.
+//! Detection of failing pools from the attempts of this instance and its peers.
 //!
-//! An instance that sends 15 requests a second sees a failing pool late: it
-//! takes it some failures, each of which it may retry. Its peers have seen as
-//! many. Each tells the others its recent counts of attempts that went well
-//! and badly; together they stop retries everywhere within about a second.
-//! The counts are soft: they halve every [`HALF_S`], so a pool that is well
-//! again gets its retries back without any message that says so.
+//! An instance that sends 15 requests per second detects a failing pool late: it needs some failures
+//! first, each of which it may retry. Its peers have each seen as many. So the instances exchange
+//! their recent counts of successful and failed attempts, which together stop retries everywhere
+//! within about a second. The counts decay, halving every [`HALF_LIFE_S`] seconds, so a pool that has
+//! recovered gets its retries back without an explicit message.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +15,31 @@
 use super::budget::{Budget, Thresholds};
 use crate::clock::Instant;
 
-/// Seconds in which a count halves.
-pub const HALF_S: f64 = 5.0;
-/// Attempts that must be known before a pool counts as failing.
-const LEAST: f64 = 10.0;
-/// Part of the budget that hedges leave to retries: a hedge saves time, a
-/// retry saves an answer.
-const KEPT: f64 = 5.0;
-/// Pools named in a digest at most.
-const MOST: usize = 64;
+/// Half-life of the counts, in seconds.
+pub const HALF_LIFE_S: f64 = 5.0;
+/// Minimum number of recent attempts before a pool counts as failing.
+const MIN_ATTEMPTS: f64 = 10.0;
+/// Further attempts in the budget that hedges leave to retries: a hedge saves time, but a retry saves an
+/// answer.
+const RETRY_RESERVE: f64 = 5.0;
+/// Maximum number of pools in a digest.
+const MAX_DIGEST_POOLS: usize = 64;
 
 /// Recent attempts at one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// That went well.
-    pub well: f64,
-    /// That went badly.
-    pub badly: f64,
+    /// Successful attempts.
+    #[serde(rename = "well")]
+    pub succeeded: f64,
+    /// Failed attempts.
+    #[serde(rename = "badly")]
+    pub failed: f64,
 }
 
-/// What an instance tells its peers: recent attempts by the name of the pool.
+/// The message to peers: recent attempts by the name of the pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Milliseconds on the sender's clock; an older digest is not taken over.
+    /// Milliseconds on the sender's clock; receivers ignore a digest that is not newer.
     #[serde(default)]
     pub at: u64,
     /// Counts by pool.
@@ -56,108 +57,110 @@
 #[derive(Clone, Debug)]
 struct Peer {
     at: u64,
-    heard: Instant,
+    received_at: Instant,
     counts: SecondaryMap<key::Fleet, Counts>,
 }
 
-/// The pools as one instance sees them.
+/// The pools, with their retry budgets, at one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     thresholds: Thresholds,
-    own: SecondaryMap<key::Fleet, Pool>,
+    local: SecondaryMap<key::Fleet, Pool>,
     peers: BTreeMap<String, Peer>,
 }
 
 impl Counts {
-    fn aged(self, now: Instant, since: Instant) -> Self {
-        let factor = (-now.since(since).as_secs_f64() / HALF_S).exp2();
+    fn decayed(self, now: Instant, since: Instant) -> Self {
+        let factor = (-now.since(since).as_secs_f64() / HALF_LIFE_S).exp2();
         Self {
-            well: self.well * factor,
-            badly: self.badly * factor,
+            succeeded: self.succeeded * factor,
+            failed: self.failed * factor,
         }
     }
 
     fn plus(self, other: Self) -> Self {
         Self {
-            well: self.well + other.well,
-            badly: self.badly + other.badly,
+            succeeded: self.succeeded + other.succeeded,
+            failed: self.failed + other.failed,
         }
     }
 }
 
 impl Pools {
-    /// Milliseconds after which a peer's counts are forgotten.
-    const OLD_MS: u64 = 30_000;
+    /// Milliseconds after which a peer's counts are dropped.
+    const PEER_EXPIRY_MS: u64 = 30_000;
 
-    /// Returns pools of which nothing is known yet.
+    /// Creates an empty set of pools.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over thresholds that a new configuration brings.
+    /// Applies the thresholds of a new configuration.
     pub fn set_thresholds(&mut self, thresholds: Thresholds) {
         self.thresholds = thresholds;
     }
 
-    /// Counts the first attempt of a request.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self, now: Instant, fleet: key::Fleet) {
         let thresholds = self.thresholds;
-        self.pool(now, fleet).budget.deposit(&thresholds);
+        self.pool_mut(now, fleet).budget.deposit(&thresholds);
     }
 
-    /// Counts how an attempt ended.
-    pub fn record_result(&mut self, now: Instant, fleet: key::Fleet, well: bool) {
-        let pool = self.pool(now, fleet);
-        pool.counts = pool.counts.aged(now, pool.at);
+    /// Records whether an attempt succeeded.
+    pub fn record_result(&mut self, now: Instant, fleet: key::Fleet, success: bool) {
+        let pool = self.pool_mut(now, fleet);
+        pool.counts = pool.counts.decayed(now, pool.at);
         pool.at = now;
-        if well {
-            pool.counts.well += 1.0;
+        if success {
+            pool.counts.succeeded += 1.0;
         } else {
-            pool.counts.badly += 1.0;
+            pool.counts.failed += 1.0;
         }
     }
 
-    /// Takes a retry from the budget if the pool is worth one.
+    /// Takes a retry from the budget of a pool; returns `false` if the pool fails or the budget is used
+    /// up.
     pub fn try_take_retry(&mut self, now: Instant, fleet: key::Fleet) -> bool {
-        !self.is_failing(now, fleet) && self.pool(now, fleet).budget.withdraw(0.0)
+        !self.is_failing(now, fleet) && self.pool_mut(now, fleet).budget.withdraw(0.0)
     }
 
-    /// Takes a hedge from the budget if the pool is worth one.
+    /// Takes a hedge from the budget of a pool; returns `false` if the pool fails or the budget has no
+    /// more than its reserve for retries.
     pub fn try_take_hedge(&mut self, now: Instant, fleet: key::Fleet) -> bool {
-        !self.is_failing(now, fleet) && self.pool(now, fleet).budget.withdraw(KEPT)
+        !self.is_failing(now, fleet) && self.pool_mut(now, fleet).budget.withdraw(RETRY_RESERVE)
     }
 
-    /// Returns whether a pool fails, by own and peers' recent attempts.
+    /// Returns whether a pool fails, according to the recent attempts of this instance and its peers.
     #[must_use]
     pub fn is_failing(&self, now: Instant, fleet: key::Fleet) -> bool {
-        let own = self.own.get(fleet);
-        let mut all = own.map_or_else(Counts::default, |pool| pool.counts.aged(now, pool.at));
+        let local = self.local.get(fleet);
+        let mut sum = local.map_or_else(Counts::default, |pool| pool.counts.decayed(now, pool.at));
         for peer in self.peers.values() {
-            if now >= peer.heard.plus_millis(Self::OLD_MS) {
+            if now >= peer.received_at.plus_millis(Self::PEER_EXPIRY_MS) {
                 continue;
             }
             if let Some(counts) = peer.counts.get(fleet) {
-                all = all.plus(counts.aged(now, peer.heard));
+                sum = sum.plus(counts.decayed(now, peer.received_at));
             }
         }
-        let total = all.well + all.badly;
-        total >= LEAST && all.badly >= total * self.thresholds.failing_share
+        let total = sum.succeeded + sum.failed;
+        total >= MIN_ATTEMPTS && sum.failed >= total * self.thresholds.failing_share
     }
 
-    /// Returns how many further attempts the budget of a pool holds.
+    /// Returns the number of further attempts in the budget of a pool.
     #[must_use]
     pub fn remaining(&self, fleet: key::Fleet) -> f64 {
-        let pool = self.own.get(fleet);
+        let pool = self.local.get(fleet);
         pool.map_or(self.thresholds.max_saved, |pool| pool.budget.remaining())
     }
 
-    /// Returns what to tell peers.
+    /// Returns the digest for peers.
     #[must_use]
     pub fn digest(&self, names: &Names, now: Instant) -> Digest {
-        let pools = self.own.iter().take(MOST).map(|(key, pool)| {
+        let pools = self.local.iter().take(MAX_DIGEST_POOLS).map(|(key, pool)| {
             let name = names.fleets.name(key).to_string();
-            (name, pool.counts.aged(now, pool.at))
+            (name, pool.counts.decayed(now, pool.at))
         });
         Digest {
             at: now.0 / 1000,
@@ -165,43 +168,43 @@
         }
     }
 
-    /// Takes over a peer's digest; one that is not newer than the last changes
-    /// nothing. After a restart the peer's clock starts again, which is taken
-    /// as newer.
+    /// Merges a digest from a peer. A digest that is not newer than the last one is ignored. After a
+    /// restart the peer's clock starts again; a digest that is older by more than
+    /// [`Self::PEER_EXPIRY_MS`] therefore counts as newer.
     pub fn merge(&mut self, names: &Names, now: Instant, from: &str, digest: &Digest) {
         if let Some(known) = self.peers.get(from) {
-            let restarted = digest.at.saturating_add(Self::OLD_MS) < known.at;
+            let restarted = digest.at.saturating_add(Self::PEER_EXPIRY_MS) < known.at;
             if digest.at <= known.at && !restarted {
                 return;
             }
         }
         self.peers
-            .retain(|_, peer| now < peer.heard.plus_millis(Self::OLD_MS));
+            .retain(|_, peer| now < peer.received_at.plus_millis(Self::PEER_EXPIRY_MS));
         let mut counts = SecondaryMap::new();
-        for (name, told) in digest.pools.iter().take(MOST) {
-            let valid = told.well >= 0.0 && told.badly >= 0.0;
-            let finite = told.well.is_finite() && told.badly.is_finite();
+        for (name, reported) in digest.pools.iter().take(MAX_DIGEST_POOLS) {
+            let valid = reported.succeeded >= 0.0 && reported.failed >= 0.0;
+            let finite = reported.succeeded.is_finite() && reported.failed.is_finite();
             if let Some(key) = names.fleets.get(name).filter(|_| valid && finite) {
-                counts.insert(key, *told);
+                counts.insert(key, *reported);
             }
         }
         let peer = Peer {
             at: digest.at,
-            heard: now,
+            received_at: now,
             counts,
         };
         self.peers.insert(from.to_owned(), peer);
     }
 
-    fn pool(&mut self, now: Instant, fleet: key::Fleet) -> &mut Pool {
-        if !self.own.contains_key(fleet) {
+    fn pool_mut(&mut self, now: Instant, fleet: key::Fleet) -> &mut Pool {
+        if !self.local.contains_key(fleet) {
             let pool = Pool {
                 counts: Counts::default(),
                 at: now,
                 budget: Budget::new(&self.thresholds),
             };
-            self.own.insert(fleet, pool);
+            self.local.insert(fleet, pool);
         }
-        &mut self.own[fleet]
+        &mut self.local[fleet]
     }
 }
--- a/crates/core/tests/all/attempt.rs
+++ b/crates/core/tests/all/attempt.rs
@@ -1,4 +1,4 @@
-//! Retries, hedges and limits across instances.
+//! Tests of retries, hedges and rate limits across instances.
 
 use fescuerack_config::{Names, key};
 use fescuerack_core::admission::rate::RateLimits;
@@ -18,8 +18,8 @@
     (names, fleet, organisation, servers)
 }
 
-// The whole pool fails for a while. With three retries each, it would get four
-// times its load; the budget keeps it within 1.1 times after what was saved.
+// A pool fails for a while. Three retries per request would give it four times its load; the budget
+// must keep it within 1.1 times, plus the retries that had accumulated.
 #[test]
 fn try_take_retry_bounds_amplification() {
     let (_, fleet, ..) = names();
@@ -28,7 +28,7 @@
     for step in 0..10_000 {
         let now = Instant::from_millis(step * 10);
         pools.record_first_attempt(now, fleet);
-        // Nearly every second attempt fails: just under what counts as failing.
+        // Nearly every second attempt fails: just below the share that counts as failing.
         pools.record_result(now, fleet, step % 20 < 11);
         retries += u64::from(step % 20 >= 11 && pools.try_take_retry(now, fleet));
     }
@@ -38,51 +38,53 @@
     );
 }
 
-// A pool breaks. An instance that has sent it little is told by a peer and
-// stops its retries before it has seen the failures itself; once the pool is
-// well, retries come back with no further message.
+// A pool fails. An instance that has sent it few requests must stop its retries because of a peer's
+// digest, before it has failures of its own, and resume them later without a further message.
 #[test]
-fn try_take_retry_stops_on_a_peers_word() {
+fn try_take_retry_stops_on_a_peers_digest() {
     let (names, fleet, ..) = names();
-    let (mut seen, mut told) = (Pools::new(), Pools::new());
+    let (mut busy, mut quiet) = (Pools::new(), Pools::new());
     let now = Instant::from_millis(60_000);
     for _ in 0..20 {
-        seen.record_result(now, fleet, false);
+        busy.record_result(now, fleet, false);
     }
-    told.record_first_attempt(now, fleet);
-    assert!(told.try_take_retry(now, fleet));
-    let digest = seen.digest(&names, now);
-    told.merge(&names, now, "peer", &digest);
-    assert!(!told.try_take_retry(now, fleet));
+    quiet.record_first_attempt(now, fleet);
+    assert!(quiet.try_take_retry(now, fleet));
+    let digest = busy.digest(&names, now);
+    quiet.merge(&names, now, "peer", &digest);
+    assert!(!quiet.try_take_retry(now, fleet));
     // Repeated and older messages change nothing.
     let older = Digest {
         at: digest.at - 1_000,
         ..Digest::default()
     };
-    told.merge(&names, now, "peer", &older);
-    told.merge(&names, now, "peer", &digest);
-    assert!(told.is_failing(now, fleet));
-    assert!(told.try_take_retry(now + Duration::from_secs(30), fleet));
+    quiet.merge(&names, now, "peer", &older);
+    quiet.merge(&names, now, "peer", &digest);
+    assert!(quiet.is_failing(now, fleet));
+    assert!(quiet.try_take_retry(now + Duration::from_secs(30), fleet));
 }
 
 #[test]
 fn merge_ignores_counts_that_make_no_sense() {
     let (names, fleet, ..) = names();
     let mut pools = Pools::new();
-    for (at, badly) in [(1, f64::NAN), (2, f64::INFINITY), (3, -5.0)] {
-        let counts = Counts { well: 0.0, badly };
-        let pools_told = [("fleet".to_owned(), counts), ("unknown".to_owned(), counts)];
+    for (at, failed) in [(1, f64::NAN), (2, f64::INFINITY), (3, -5.0)] {
+        let counts = Counts {
+            succeeded: 0.0,
+            failed,
+        };
+        let reported = [("fleet".to_owned(), counts), ("unknown".to_owned(), counts)];
         let digest = Digest {
             at,
-            pools: pools_told.into(),
+            pools: reported.into(),
         };
         pools.merge(&names, Instant::ORIGIN, "peer", &digest);
         assert!(!pools.is_failing(Instant::ORIGIN, fleet));
     }
 }
 
-// A booking confirmation is sent and the connection breaks: it may have run.
-// It must not be sent again, whatever remains of budget and deadline.
+// The connection breaks after a non-idempotent request, such as a booking, has been sent: it may have
+// run. It must not be sent again, whatever budget and time remain.
 #[test]
 fn end_never_repeats_a_non_idempotent_request() {
     let (_, _, _, servers) = names();
@@ -132,34 +134,38 @@
     for _ in 0..100 {
         first.add(0.1);
     }
-    let after = hedge::delay(&first, 0.2, Duration::from_secs(10)).expect("it pays");
+    let after = hedge::delay(&first, 0.2, Duration::from_secs(10)).expect("a hedge is sent");
     assert!(after >= Duration::from_millis(200));
     assert_eq!(hedge::delay(&first, 0.2, Duration::from_millis(250)), None);
     assert_eq!(hedge::delay(&first, 0.0, Duration::from_secs(10)), None);
 }
 
-/// Runs `count` instances for 60 s, each asked `asked` times a second for a
-/// limit of 100, with digests of an age up to `lag_ms`; returns the most that
-/// passed in any second after the first, and what passed in the last ten.
-fn passed(count: usize, asked: impl Fn(usize, u64) -> u64, lag_ms: u64) -> (u64, u64) {
+/// Runs `count` instances for 60 s under a shared limit of 100 requests per second, each receiving
+/// `requests` per second, with digests up to `lag_ms` old. Returns the maximum number that passed in
+/// any second after the first, and the number that passed in the last ten.
+fn max_and_last_passed(
+    count: usize,
+    requests: impl Fn(usize, u64) -> u64,
+    lag_ms: u64,
+) -> (u64, u64) {
     let (names, _, organisation, _) = names();
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     let mut instances: Vec<_> = (0..count).map(|_| RateLimits::new()).collect();
     for instance in &mut instances {
         instance.register(Instant::ORIGIN, organisation, 100.0, count);
     }
-    let mut told = std::collections::VecDeque::new();
+    let mut digests = std::collections::VecDeque::new();
     let mut seconds = vec![0; 60];
     for second in 0..60_u64 {
         let now = Instant::from_millis(second * 1_000 + 1);
         for (index, instance) in instances.iter().enumerate() {
-            told.push_back((now, index, instance.digest(&names, now)));
+            digests.push_back((now, index, instance.digest(&names, now)));
         }
-        while told
+        while digests
             .front()
             .is_some_and(|(at, ..)| now.since(*at) >= Duration::from_millis(lag_ms))
         {
-            let (_, from, digest) = told.pop_front().expect("one is there");
+            let (_, from, digest) = digests.pop_front().expect("one is there");
             for (index, instance) in instances.iter_mut().enumerate() {
                 if index != from {
                     instance.merge(&names, now, &from.to_string(), &digest);
@@ -168,40 +174,40 @@
         }
         for (index, instance) in instances.iter_mut().enumerate() {
             instance.refresh(now, count);
-            // Also a little out of order, as threads come.
-            for step in 0..asked(index, second) {
+            // Slightly out of order, as calls of several threads are.
+            for step in 0..requests(index, second) {
                 let jitter = rng.random_range(0..5);
-                let at = now + Duration::from_millis(step * 990 / asked(index, second) + jitter);
+                let at = now + Duration::from_millis(step * 990 / requests(index, second) + jitter);
                 let spent = instance.try_acquire(at, organisation, 100.0, count);
                 seconds[usize::try_from(second).unwrap_or(0)] += u64::from(spent.is_ok());
             }
         }
     }
-    let most = seconds[1..].iter().max().copied().unwrap_or(0);
-    (most, seconds[50..].iter().sum())
+    let max = seconds[1..].iter().max().copied().unwrap_or(0);
+    (max, seconds[50..].iter().sum())
 }
 
-// An organisation sends three times its limit, spread over all instances, then
-// through one only. No message is sent per request and digests are 3 s old.
+// An organisation sends three times its limit, first spread over all instances, then through one
+// only. The limit must hold although digests are 3 s old and no message is sent per request.
 #[test]
 fn try_acquire_holds_the_limit_across_instances() {
-    let (most, last) = passed(9, |_, _| 33, 3_000);
-    assert!(most <= 150, "{most} passed in a second of 100");
+    let (max, last) = max_and_last_passed(9, |_, _| 33, 3_000);
+    assert!(max <= 150, "{max} passed in a second of 100");
     assert!(
         (850..=1_100).contains(&last),
         "{last} passed in ten seconds"
     );
     let one = |index, second| u64::from(index == 0 && second > 10) * 300 + 1;
-    let (most, last) = passed(9, one, 3_000);
-    assert!(most <= 150, "{most} passed in a second of 100");
+    let (max, last) = max_and_last_passed(9, one, 3_000);
+    assert!(max <= 150, "{max} passed in a second of 100");
     assert!(
         last >= 600,
-        "an instance gets what the others leave: {last}"
+        "an instance gets what the others do not use: {last}"
     );
 }
 
 #[test]
-fn try_acquire_unheard_keeps_to_its_part() {
+fn try_acquire_without_peers_keeps_to_its_part() {
     let (_, _, organisation, _) = names();
     let mut rates = RateLimits::new();
     let mut passed = 0;
