--- a/crates/client/src/admin/mod.rs
+++ b/crates/client/src/admin/mod.rs
@@ -100,6 +100,6 @@
     }
     Ok(Ledger {
         sums,
-        doubles: totals.doubles,
+        doubles: totals.duplicates,
     })
 }
--- a/crates/core/benches/member.rs
+++ b/crates/core/benches/member.rs
@@ -70,7 +70,7 @@
                 exchange.replica.set(slice, json!(0), size);
             }
             if digest > 0 {
-                exchange.tell([("counts".to_owned(), json!("x".repeat(digest)))].into());
+                exchange.set_digests([("counts".to_owned(), json!("x".repeat(digest)))].into());
             }
             exchanges.push(exchange);
         }
@@ -121,7 +121,7 @@
 
     fn step(&mut self, millis: u64) {
         for index in 0..self.exchanges.len() {
-            if self.exchanges[index].take_pressing() {
+            if self.exchanges[index].take_urgent() {
                 for _ in 0..Exchange::FANOUT {
                     self.exchange(index, millis);
                 }
--- a/crates/core/src/ledger/book.rs
+++ b/crates/core/src/ledger/buffer.rs
@@ -19,7 +19,7 @@
 
 use super::{Entry, Segment};
 
-/// Position of an entry; it is kept once [`Book::kept_until`] is above it.
+/// Position of an entry; it is kept once [`Buffer::stored_until`] is above it.
 #[derive(
     Clone,
     Copy,
@@ -60,7 +60,7 @@
 
 /// Gathers entries until they are kept in the store.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct Buffer {
     limits: Limits,
     /// Name of this start of the process; part of the identity of sums.
     writer: String,
@@ -98,7 +98,7 @@
     after: Ticket,
 }
 
-impl Book {
+impl Buffer {
     /// Returns an empty book of one start of a process.
     #[must_use]
     pub fn new(writer: &str, limits: Limits) -> Self {
@@ -127,7 +127,7 @@
 
     /// Adds an entry that another instance may write too: of a claim, or taken
     /// over from a peer.
-    pub fn adopt(&mut self, entry: Entry) -> Ticket {
+    pub fn add_shared(&mut self, entry: Entry) -> Ticket {
         self.push(entry, false)
     }
 
@@ -236,7 +236,7 @@
     /// # Panics
     ///
     /// When another segment is under way: entries would be lost.
-    pub fn kept(&mut self, sequence: u64) {
+    pub fn mark_stored(&mut self, sequence: u64) {
         let Some(Sent { segment, after, .. }) = self.sent.take() else {
             return;
         };
@@ -256,7 +256,7 @@
 
     /// Returns the first ticket that is not kept.
     #[must_use]
-    pub fn kept_until(&self) -> Ticket {
+    pub fn stored_until(&self) -> Ticket {
         self.kept_until
     }
 
@@ -300,25 +300,25 @@
     }
 
     /// Remembers that a peer holds every entry before `until`.
-    pub fn copied(&mut self, until: Ticket) {
+    pub fn mark_copied(&mut self, until: Ticket) {
         self.copied_until = self.copied_until.max(until);
     }
 
     /// Forgets that a peer held copies: it is gone, and another one is to get
     /// them all.
-    pub fn copy_again(&mut self) {
+    pub fn reset_copies(&mut self) {
         self.copied_until = self.kept_until;
     }
 
     /// Returns the first ticket that only this process knows.
     #[must_use]
-    pub fn safe_until(&self) -> Ticket {
+    pub fn durable_until(&self) -> Ticket {
         self.kept_until.max(self.copied_until)
     }
 
     /// Returns whether peers hold copies that the store does not have yet.
     #[must_use]
-    pub fn has_copies_out(&self) -> bool {
+    pub fn has_unstored_copies(&self) -> bool {
         self.copied_until > self.kept_until
     }
 
@@ -334,7 +334,7 @@
         sent.chain(self.sums.values()).chain(open)
     }
 
-    /// Empties the book after a peer has taken [`Book::entries`].
+    /// Empties the book after a peer has taken [`Buffer::entries`].
     pub fn hand_off(&mut self) {
         self.kept += self.pending();
         self.sent = None;
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -1,11 +1,11 @@
 //! The ledger: each answered request is billed once.
 //!
-//! - [`Book`] gathers entries into segments and knows which are kept. A
+//! - [`Buffer`] gathers entries into segments and knows which are kept. A
 //!   segment is written create-if-absent under instance, incarnation and
 //!   sequence number, so that writing it again is harmless.
 //! - [`Totals`] reads: it drops doubled requests by their identifier and adds
 //!   up per organisation.
-//! - [`Shelf`] holds copies of peers' entries until their owner says that the
+//! - [`PeerCopies`] holds copies of peers' entries until their owner says that the
 //!   store has them, and gives them up for writing when the owner is gone.
 //!
 //! The identity of an entry is the instance's own, never the caller's
@@ -16,12 +16,12 @@
 //! the request is never billed, or a segment whose answer was lost is written
 //! twice and billed twice.
 
-mod book;
-mod shelf;
+mod buffer;
+mod peer_copies;
 mod totals;
 
-pub use book::{Book, Limits, Ticket};
-pub use shelf::{Hold, Shelf};
+pub use buffer::{Buffer, Limits, Ticket};
+pub use peer_copies::{Hold, PeerCopies};
 pub use totals::{Sum, Totals};
 
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/ledger/shelf.rs
+++ b/crates/core/src/ledger/peer_copies.rs
@@ -16,7 +16,7 @@
 /// Milliseconds of silence after which an owner counts as gone. An owner
 /// speaks every second while it has copies out; a pause of some seconds must
 /// not make every peer write doubles.
-pub const SILENCE_MS: u64 = 10_000;
+pub const OWNER_TIMEOUT_MS: u64 = 10_000;
 
 #[derive(Clone, Debug)]
 struct Owner {
@@ -26,15 +26,15 @@
 
 /// Copies by owner.
 #[derive(Clone, Debug, Default)]
-pub struct Shelf {
+pub struct PeerCopies {
     owners: BTreeMap<String, Owner>,
     bytes: usize,
 }
 
-impl Shelf {
+impl PeerCopies {
     /// Bytes of copies that are held; beyond it a copy is refused and its
     /// owner knows that it is alone with it.
-    pub const LARGEST: usize = 4 << 20;
+    pub const MAX_BYTES: usize = 4 << 20;
 
     /// Returns an empty shelf.
     #[must_use]
@@ -59,7 +59,7 @@
         let kept = held.entries.extract_if(..kept_until, |_, _| true);
         let freed: usize = kept.map(|(_, entry)| entry.size()).sum();
         self.bytes -= freed;
-        if self.bytes + size > Self::LARGEST {
+        if self.bytes + size > Self::MAX_BYTES {
             return false;
         }
         for (ticket, entry) in copies {
@@ -74,8 +74,8 @@
     }
 
     /// Gives up the entries of every owner that has been silent for too long.
-    pub fn orphans(&mut self, now: Instant) -> Vec<Entry> {
-        let gone = |owner: &Owner| owner.heard.plus_millis(SILENCE_MS) <= now;
+    pub fn take_orphans(&mut self, now: Instant) -> Vec<Entry> {
+        let gone = |owner: &Owner| owner.heard.plus_millis(OWNER_TIMEOUT_MS) <= now;
         let orphaned = self.owners.extract_if(.., |_, owner| gone(owner));
         let entries: Vec<Entry> = orphaned
             .flat_map(|(_, owner)| owner.entries.into_values())
@@ -85,7 +85,7 @@
     }
 
     /// Gives up everything, for a process that ends.
-    pub fn all(&mut self) -> Vec<Entry> {
+    pub fn drain(&mut self) -> Vec<Entry> {
         self.bytes = 0;
         let owners = std::mem::take(&mut self.owners).into_values();
         owners
--- a/crates/core/src/ledger/totals.rs
+++ b/crates/core/src/ledger/totals.rs
@@ -1,4 +1,4 @@
-//! Reading: doubles dropped, totals per organisation and version.
+//! Reading: duplicates dropped, totals per organisation and version.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,7 +35,7 @@
     /// Sum by organisation and version.
     pub sums: BTreeMap<String, BTreeMap<String, Sum>>,
     /// Entries that were dropped because their request was seen before.
-    pub doubles: u64,
+    pub duplicates: u64,
     seen: BTreeSet<String>,
 }
 
@@ -49,7 +49,7 @@
     /// Adds an entry unless its request was seen; returns whether it counts.
     pub fn add(&mut self, entry: &Entry) -> bool {
         if !self.seen.insert(entry.request.clone()) {
-            self.doubles += 1;
+            self.duplicates += 1;
             return false;
         }
         let sum = Sum {
--- a/crates/core/src/member/parcel.rs
+++ b/crates/core/src/member/digest_scheduler.rs
@@ -12,20 +12,20 @@
 
 /// Chooses the digests of each message in turn.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Parcel {
+pub struct DigestScheduler {
     next: String,
     credit: usize,
 }
 
-impl Parcel {
+impl DigestScheduler {
     /// Bytes of digests that a message may carry on average. An instance sends
     /// two messages a second, of 530 bytes without digests, and receives as
     /// many (measured in `benches/member.rs`): with the list, the load reports
     /// and the configuration what it receives stays under 5 KB a second.
-    pub const BYTES: usize = 550;
+    pub const AVERAGE_BYTES: usize = 550;
     /// Bytes that messages may save up, so that a slice with much to tell gets
     /// its turn in a later message. A larger digest is never carried.
-    pub const LARGEST: usize = 2_600;
+    pub const MAX_BYTES: usize = 2_600;
 
     /// Returns a parcel that begins with the first slice.
     #[must_use]
@@ -34,15 +34,15 @@
     }
 
     /// Returns the digests that the next message carries.
-    pub fn fill(&mut self, digests: &BTreeMap<String, Value>) -> BTreeMap<String, Value> {
-        self.credit = (self.credit + Self::BYTES).min(Self::LARGEST);
+    pub fn select(&mut self, digests: &BTreeMap<String, Value>) -> BTreeMap<String, Value> {
+        self.credit = (self.credit + Self::AVERAGE_BYTES).min(Self::MAX_BYTES);
         let mut chosen = BTreeMap::new();
         let later = digests.range(self.next.clone()..);
         let earlier = digests.range(..self.next.clone());
         self.next.clear();
         for (slice, digest) in later.chain(earlier) {
             let bytes = digest.to_string().len();
-            if bytes > Self::LARGEST {
+            if bytes > Self::MAX_BYTES {
                 continue;
             }
             if bytes > self.credit {
--- a/crates/core/src/member/exchange.rs
+++ b/crates/core/src/member/exchange.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 use thiserror::Error;
 
-use super::message::{Message, OLDEST, PROTOCOL};
-use super::window::{Window, is_timely};
-use super::{Key, Parcel, Replica, State, View};
+use super::message::{Message, OLDEST_PROTOCOL, PROTOCOL};
+use super::replay_window::{ReplayWindow, is_timely};
+use super::{DigestScheduler, Key, Replica, State, View};
 use crate::clock::Instant;
 
 /// Who this process is.
@@ -37,7 +37,7 @@
 
 /// What a message brings that is to be merged by the slices.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Input {
+pub struct Payload {
     /// Sender.
     pub origin: String,
     /// Shared states, by slice.
@@ -62,10 +62,10 @@
     Time,
     /// The message was already received, or is of an earlier start.
     #[error("message was already received")]
-    Repeated,
+    Replayed,
     /// An answer to another request than the one that was sent.
     #[error("answer to another request")]
-    Crossed,
+    Mismatched,
 }
 
 /// The exchange of one process with its peers.
@@ -74,9 +74,9 @@
     identity: Identity,
     sequence: u64,
     state: State,
-    pressing: bool,
-    window: Window,
-    parcel: Parcel,
+    urgent: bool,
+    window: ReplayWindow,
+    scheduler: DigestScheduler,
     digests: BTreeMap<String, Value>,
     /// Instances of the fleet.
     pub view: View,
@@ -100,9 +100,9 @@
             replica: Replica::new(),
             sequence: 0,
             state: State::Live,
-            pressing: false,
-            window: Window::new(),
-            parcel: Parcel::new(),
+            urgent: false,
+            window: ReplayWindow::new(),
+            scheduler: DigestScheduler::new(),
             digests: BTreeMap::new(),
             identity,
         }
@@ -116,25 +116,25 @@
     /// Says from now on that this process leaves.
     pub fn leave(&mut self) {
         self.state = State::Leaving;
-        self.pressing = true;
+        self.urgent = true;
     }
 
     /// Asks for exchanges at once, because a digest holds news that should not
     /// wait for its turn.
-    pub fn press(&mut self) {
-        self.pressing = true;
+    pub fn mark_urgent(&mut self) {
+        self.urgent = true;
     }
 
     /// Sets the digests that the next messages carry.
-    pub fn tell(&mut self, digests: BTreeMap<String, Value>) {
+    pub fn set_digests(&mut self, digests: BTreeMap<String, Value>) {
         self.digests = digests;
     }
 
     /// Returns whether something must be told at once, and takes it as told:
     /// the caller begins [`Exchange::FANOUT`] exchanges.
-    pub fn take_pressing(&mut self) -> bool {
-        let changed = self.replica.take_pressing();
-        std::mem::take(&mut self.pressing) || changed
+    pub fn take_urgent(&mut self) -> bool {
+        let changed = self.replica.take_urgent();
+        std::mem::take(&mut self.urgent) || changed
     }
 
     /// Chooses a peer and returns the message that begins an exchange with it.
@@ -144,9 +144,9 @@
         revision: u64,
         rng: &mut R,
     ) -> Option<(Key, Message)> {
-        let partner = self.view.partner(time.now, rng)?;
+        let partner = self.view.choose_peer(time.now, rng)?;
         let mut message = self.message(time, revision);
-        message.states = self.replica.hot();
+        message.states = self.replica.recent_changes();
         Some((partner, message))
     }
 
@@ -161,7 +161,7 @@
     /// # Errors
     ///
     /// Why the request is refused; nothing of it is taken over.
-    pub fn receive(&mut self, time: Time, request: Message) -> Result<Input, Refusal> {
+    pub fn receive(&mut self, time: Time, request: Message) -> Result<Payload, Refusal> {
         self.check(time, &request)?;
         Ok(self.take_over(time, request))
     }
@@ -176,10 +176,10 @@
         time: Time,
         sequence: u64,
         answer: Message,
-    ) -> Result<Input, Refusal> {
+    ) -> Result<Payload, Refusal> {
         let expected = Some((self.identity.id.clone(), sequence));
         if answer.answers != expected {
-            return Err(Refusal::Crossed);
+            return Err(Refusal::Mismatched);
         }
         self.check(time, &answer)?;
         Ok(self.take_over(time, answer))
@@ -216,7 +216,7 @@
             revision,
             hashes: self.replica.hashes(),
             states: BTreeMap::new(),
-            digests: self.parcel.fill(&self.digests),
+            digests: self.scheduler.select(&self.digests),
         }
     }
 
@@ -224,7 +224,7 @@
         if message.fleet != self.identity.fleet {
             return Err(Refusal::Fleet);
         }
-        if message.protocol < OLDEST {
+        if message.protocol < OLDEST_PROTOCOL {
             return Err(Refusal::Protocol);
         }
         if !is_timely(message.sent, time.wall) {
@@ -236,14 +236,14 @@
             sequence,
             ..
         } = message;
-        if *origin == self.identity.id || !self.window.take(origin, *incarnation, *sequence) {
-            return Err(Refusal::Repeated);
+        if *origin == self.identity.id || !self.window.accept(origin, *incarnation, *sequence) {
+            return Err(Refusal::Replayed);
         }
         Ok(())
     }
 
-    fn take_over(&mut self, time: Time, message: Message) -> Input {
-        self.view.hear(
+    fn take_over(&mut self, time: Time, message: Message) -> Payload {
+        self.view.record_message(
             time.now,
             &message.origin,
             &message.zone,
@@ -251,7 +251,7 @@
             message.incarnation,
             message.state,
         );
-        Input {
+        Payload {
             origin: message.origin,
             states: message.states,
             digests: message.digests,
--- a/crates/core/src/member/message.rs
+++ b/crates/core/src/member/message.rs
@@ -14,7 +14,7 @@
 /// A later version may add fields and slices, which earlier ones pass over. It rises only when that does not suffice.
 pub const PROTOCOL: u32 = 1;
 /// Oldest version of the protocol that this process still understands.
-pub const OLDEST: u32 = 1;
+pub const OLDEST_PROTOCOL: u32 = 1;
 
 /// One direction of an exchange between two instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -14,7 +14,7 @@
 //!   passed on at once. At rest it costs a few bytes.
 //! - What an instance tells of itself, or passes on of others (its counts, its
 //!   use of a limit), is a digest. Each message carries as many digests as fit
-//!   ([`Parcel`]).
+//!   ([`DigestScheduler`]).
 //!
 //! Each instance begins one exchange a second with one random peer, and a
 //! message holds a bounded number of bytes, so the cost of an instance does
@@ -22,21 +22,21 @@
 //! all others something every second move 340 messages a second into every
 //! instance, more than ten times the budget of 5 KB a second.
 
+mod digest_scheduler;
 mod exchange;
 mod message;
 mod owner;
-mod parcel;
+mod replay_window;
 mod replica;
 mod view;
-mod window;
 
-pub use exchange::{Exchange, Identity, Input, Refusal, Time};
-pub use message::{Message, OLDEST, PROTOCOL};
+pub use digest_scheduler::DigestScheduler;
+pub use exchange::{Exchange, Identity, Payload, Refusal, Time};
+pub use message::{Message, OLDEST_PROTOCOL, PROTOCOL};
 pub use owner::{owner, owners};
-pub use parcel::Parcel;
+pub use replay_window::{MAX_CLOCK_SKEW_MS, ReplayWindow};
 pub use replica::Replica;
 pub use view::{Instance, State, View};
-pub use window::{SKEW_MS, Window};
 
 slotmap::new_key_type! {
     /// An instance of the fleet, as this process knows it.
--- a/crates/core/src/member/window.rs
+++ b/crates/core/src/member/replay_window.rs
@@ -13,7 +13,7 @@
 
 /// Milliseconds by which the clocks of two instances may differ, travel
 /// included.
-pub const SKEW_MS: u64 = 30_000;
+pub const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 /// Positions behind the highest one that are still told apart.
 const WIDTH: u64 = 64;
 
@@ -26,11 +26,11 @@
 
 /// Which messages of each instance were received.
 #[derive(Clone, Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     seen: BTreeMap<String, Seen>,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Returns a window that has seen nothing.
     #[must_use]
     pub fn new() -> Self {
@@ -38,7 +38,7 @@
     }
 
     /// Returns whether a message is new, and remembers it.
-    pub fn take(&mut self, origin: &str, incarnation: u64, sequence: u64) -> bool {
+    pub fn accept(&mut self, origin: &str, incarnation: u64, sequence: u64) -> bool {
         let seen = self.seen.entry(origin.to_owned()).or_default();
         if incarnation < seen.incarnation {
             return false;
@@ -79,5 +79,5 @@
 #[must_use]
 pub fn is_timely(sent: Instant, wall: Instant) -> bool {
     let millis = wall.since(sent).max(sent.since(wall)).as_millis();
-    millis <= u128::from(SKEW_MS)
+    millis <= u128::from(MAX_CLOCK_SKEW_MS)
 }
--- a/crates/core/src/member/replica.rs
+++ b/crates/core/src/member/replica.rs
@@ -6,7 +6,7 @@
 //! hashes differ, the state itself is sent and merged, and from then on both
 //! hold the same. So a repeated, reordered or lost message does no harm.
 //!
-//! A change is hot for a few messages: it is sent along without waiting to be
+//! A change is changes for a few messages: it is sent along without waiting to be
 //! asked, which is what makes a halt cross a fleet of 340 instances in a few
 //! exchanges. Since a random spread can miss an instance, the comparison of
 //! hashes goes on for ever.
@@ -21,7 +21,7 @@
     state: Value,
     hash: u64,
     sends: u32,
-    pressing: bool,
+    urgent: bool,
 }
 
 /// The shared soft state that this process holds, by slice.
@@ -35,7 +35,7 @@
     pub const EXTRA_SENDS: u32 = 2;
     /// Largest state of one slice, in bytes of JSON. It bounds a message and
     /// the memory; a slice must forget before it grows beyond.
-    pub const LARGEST: usize = 4_096;
+    pub const MAX_STATE_BYTES: usize = 4_096;
 
     /// Returns a replica that holds nothing.
     #[must_use]
@@ -46,12 +46,12 @@
     /// Takes over what a slice holds now. A change is sent along with the next
     /// messages to a fleet of `members` instances.
     ///
-    /// Returns whether it changed; a state over [`Replica::LARGEST`] is not
+    /// Returns whether it changed; a state over [`Replica::MAX_STATE_BYTES`] is not
     /// taken.
     pub fn set(&mut self, slice: &str, state: Value, members: usize) -> bool {
         let hash = hash(&state);
         let known = self.entries.get(slice).map(|entry| entry.hash);
-        if known == Some(hash) || state.to_string().len() > Self::LARGEST {
+        if known == Some(hash) || state.to_string().len() > Self::MAX_STATE_BYTES {
             return false;
         }
         let entry = Entry {
@@ -59,7 +59,7 @@
             hash,
             sends: members.max(2).ilog2() + Self::EXTRA_SENDS,
             // What a slice holds at the start is not news.
-            pressing: known.is_some(),
+            urgent: known.is_some(),
         };
         self.entries.insert(slice.to_owned(), entry);
         true
@@ -81,15 +81,15 @@
     }
 
     /// Returns the states to send along unasked, and counts the sending.
-    pub fn hot(&mut self) -> BTreeMap<String, Value> {
-        let mut hot = BTreeMap::new();
+    pub fn recent_changes(&mut self) -> BTreeMap<String, Value> {
+        let mut changes = BTreeMap::new();
         for (slice, entry) in &mut self.entries {
             if entry.sends > 0 {
                 entry.sends -= 1;
-                hot.insert(slice.clone(), entry.state.clone());
+                changes.insert(slice.clone(), entry.state.clone());
             }
         }
-        hot
+        changes
     }
 
     /// Returns the states that differ from a peer's, given the peer's hashes.
@@ -107,12 +107,12 @@
 
     /// Returns whether a change has not been sent yet, and forgets that it
     /// was asked: the caller exchanges at once.
-    pub fn take_pressing(&mut self) -> bool {
-        let mut pressing = false;
+    pub fn take_urgent(&mut self) -> bool {
+        let mut urgent = false;
         for entry in self.entries.values_mut() {
-            pressing |= std::mem::take(&mut entry.pressing);
+            urgent |= std::mem::take(&mut entry.urgent);
         }
-        pressing
+        urgent
     }
 }
 
--- a/crates/core/src/member/view.rs
+++ b/crates/core/src/member/view.rs
@@ -45,7 +45,7 @@
     /// Whether the platform's list shows it.
     pub listed: bool,
     /// When it was last heard.
-    pub heard: Option<Instant>,
+    pub last_received: Option<Instant>,
     /// Exchanges that failed since it was last heard.
     pub failures: u32,
     /// Until when it is not chosen for an exchange.
@@ -64,17 +64,17 @@
 impl View {
     /// Failures after which an instance is suspected. One may be a restart of
     /// a connection; three in a row at one exchange a second are not.
-    pub const FAILURES: u32 = 3;
+    pub const SUSPICION_FAILURES: u32 = 3;
     /// Milliseconds for which a suspected instance is left alone. Long enough
     /// that a dead instance costs few failed exchanges before the list drops
     /// it, short enough that a healed partition is found within seconds.
     pub const SUSPICION_MS: u64 = 5_000;
     /// Milliseconds for which an instance that the list does not show stays
     /// known after it was last heard.
-    pub const UNLISTED_MS: u64 = 30_000;
+    pub const UNLISTED_RETENTION_MS: u64 = 30_000;
     /// One exchange in this many goes to another availability zone, so that
     /// most traffic stays where it is cheap and news still crosses quickly.
-    pub const CROSS_ZONE: u32 = 4;
+    pub const CROSS_ZONE_INTERVAL: u32 = 4;
 
     /// Creates a view of the process `own` in `zone`.
     #[must_use]
@@ -117,7 +117,7 @@
 
     /// Records a message of an instance; a message of an earlier start of it
     /// is passed over, and `false` is returned.
-    pub fn hear(
+    pub fn record_message(
         &mut self,
         now: Instant,
         id: &str,
@@ -142,17 +142,17 @@
         if state == State::Leaving {
             instance.state = State::Leaving;
         }
-        instance.heard = Some(now);
+        instance.last_received = Some(now);
         instance.failures = 0;
         instance.suspected_until = Instant::ORIGIN;
         true
     }
 
     /// Records that an exchange with an instance failed.
-    pub fn fail(&mut self, now: Instant, key: Key) {
+    pub fn record_failure(&mut self, now: Instant, key: Key) {
         if let Some(instance) = self.instances.get_mut(key) {
             instance.failures += 1;
-            if instance.failures >= Self::FAILURES {
+            if instance.failures >= Self::SUSPICION_FAILURES {
                 instance.suspected_until = now.plus_millis(Self::SUSPICION_MS);
             }
         }
@@ -185,8 +185,8 @@
 
     /// Chooses an instance for an exchange: mostly one of the own availability
     /// zone, sometimes one of another. Suspected and leaving ones are left out.
-    pub fn partner<R: Rng>(&self, now: Instant, rng: &mut R) -> Option<Key> {
-        let cross = rng.random_ratio(1, Self::CROSS_ZONE);
+    pub fn choose_peer<R: Rng>(&self, now: Instant, rng: &mut R) -> Option<Key> {
+        let cross = rng.random_ratio(1, Self::CROSS_ZONE_INTERVAL);
         let mut near = Vec::new();
         let mut far = Vec::new();
         for (key, instance) in &self.instances {
@@ -238,7 +238,7 @@
             incarnation: 0,
             state: State::Live,
             listed: false,
-            heard: None,
+            last_received: None,
             failures: 0,
             suspected_until: Instant::ORIGIN,
         });
@@ -250,8 +250,8 @@
         let index = &mut self.index;
         self.instances.retain(|_, instance| {
             let recent = instance
-                .heard
-                .is_some_and(|heard| now < heard.plus_millis(Self::UNLISTED_MS));
+                .last_received
+                .is_some_and(|heard| now < heard.plus_millis(Self::UNLISTED_RETENTION_MS));
             let keep = instance.listed || recent;
             if !keep {
                 index.remove(&instance.id);
--- a/crates/core/src/order/mod.rs
+++ b/crates/core/src/order/mod.rs
@@ -3,11 +3,11 @@
 //! Loading and unloading versions is done by one instance at a time for each
 //! fleet. Two that worked side by side would load and unload in turns and draw
 //! twice on the weight store's rate. Whoever holds the lease on the fleet
-//! gives the orders ([`Holder`]); what is to be done follows from the
+//! gives the orders ([`LeaseHolder`]); what is to be done follows from the
 //! configuration and from what the engines say they have ([`plan()`]).
 
-mod holder;
+mod lease;
 mod plan;
 
-pub use holder::{Holder, MARGIN_MS, Permit, RENEW_MS, TTL_MS};
-pub use plan::{Engine, Grace, Plan, plan};
+pub use lease::{LEASE_MARGIN_MS, LEASE_RENEWAL_MS, LEASE_TTL_MS, LeaseHolder, Permit};
+pub use plan::{Engine, GracePeriod, PlannedOrder, plan};
--- a/crates/core/src/order/plan.rs
+++ b/crates/core/src/order/plan.rs
@@ -9,7 +9,7 @@
 //! An unload could cut an answer that still runs, and a withdrawn version may
 //! have to come back quickly. So only what the configuration no longer names
 //! for the fleet is unloaded, and only after every answer must have ended
-//! ([`Grace`]).
+//! ([`GracePeriod`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
 
 /// One order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum PlannedOrder {
     /// Load a version.
     Load(key::Server, key::Version),
     /// Unload a version.
@@ -37,15 +37,15 @@
 
 /// Versions that are no longer wanted, with the time at which they may go.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Grace {
+pub struct GracePeriod {
     due: BTreeMap<key::Version, Instant>,
 }
 
-impl Grace {
+impl GracePeriod {
     /// Milliseconds after which no answer of a version can still run: the
     /// longest deadline that a caller may ask for, and a minute for what it
     /// takes until all instances have the configuration.
-    pub const MS: u64 = 11 * 60 * 1_000;
+    pub const DURATION_MS: u64 = 11 * 60 * 1_000;
 
     /// Returns no versions.
     #[must_use]
@@ -55,10 +55,14 @@
 
     /// Takes note of the versions that are loaded somewhere and not wanted,
     /// and returns those that may be unloaded.
-    pub fn pass(&mut self, now: Instant, idle: &BTreeSet<key::Version>) -> BTreeSet<key::Version> {
+    pub fn update(
+        &mut self,
+        now: Instant,
+        idle: &BTreeSet<key::Version>,
+    ) -> BTreeSet<key::Version> {
         self.due.retain(|version, _| idle.contains(version));
         for version in idle {
-            let due = now.plus_millis(Self::MS);
+            let due = now.plus_millis(Self::DURATION_MS);
             self.due.entry(*version).or_insert(due);
         }
         let passed = self.due.iter().filter(|(_, due)| **due <= now);
@@ -74,11 +78,11 @@
     unload: &BTreeSet<key::Version>,
     engines: &[Engine],
     loads: usize,
-) -> Vec<Plan> {
+) -> Vec<PlannedOrder> {
     let mut orders = Vec::new();
     for engine in engines {
         for version in engine.loaded.intersection(unload) {
-            orders.push(Plan::Unload(engine.server, *version));
+            orders.push(PlannedOrder::Unload(engine.server, *version));
         }
     }
     let mut copies: BTreeMap<key::Version, usize> = BTreeMap::new();
@@ -105,7 +109,7 @@
         };
         missing.swap_remove(index);
         *copies.entry(version).or_insert(0) += 1;
-        orders.push(Plan::Load(server, version));
+        orders.push(PlannedOrder::Load(server, version));
     }
     orders
 }
--- a/crates/core/src/rollout/board/exchange.rs
+++ b/crates/core/src/rollout/board/exchange.rs
@@ -49,7 +49,7 @@
         let mut records = self.records.clone();
         records.retain(|_, record| *record != Record::default());
         let bytes = serde_json::to_string(&records).map_or(0, |text| text.len());
-        if bytes > Replica::LARGEST {
+        if bytes > Replica::MAX_STATE_BYTES {
             for record in records.values_mut() {
                 record.steps.clear();
             }
--- a/crates/core/tests/all/member.rs
+++ b/crates/core/tests/all/member.rs
@@ -4,7 +4,8 @@
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::member::{
-    Exchange, Identity, Input, Message, Parcel, Refusal, State, Time, View, Window, owner, owners,
+    DigestScheduler, Exchange, Identity, Message, Payload, Refusal, ReplayWindow, State, Time,
+    View, owner, owners,
 };
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
@@ -38,7 +39,7 @@
 
 /// Lets `one` exchange with `other`, merging by taking the larger number, and
 /// returns what each was brought.
-fn exchange(one: &mut Exchange, other: &mut Exchange, millis: u64) -> (Input, Input) {
+fn exchange(one: &mut Exchange, other: &mut Exchange, millis: u64) -> (Payload, Payload) {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let (_, request) = one.begin(time(millis), 1, &mut rng).expect("a partner");
     let about = (request.origin.clone(), request.sequence);
@@ -74,8 +75,8 @@
     knowing.replica.set("halts", json!(0), 2);
     unknowing.replica.set("halts", json!(0), 2);
     for _ in 0..8 {
-        knowing.replica.hot();
-        unknowing.replica.hot();
+        knowing.replica.recent_changes();
+        unknowing.replica.recent_changes();
     }
     knowing.replica.set("halts", json!(7), 2);
     if knowing_begins {
@@ -95,7 +96,7 @@
     one.replica.set("halts", json!(7), 2);
     other.replica.set("halts", json!(7), 2);
     for _ in 0..8 {
-        one.replica.hot();
+        one.replica.recent_changes();
     }
     let (brought, answered) = exchange(&mut one, &mut other, 1);
     assert!(brought.states.is_empty() && answered.states.is_empty());
@@ -113,12 +114,12 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let (_, word) = leaving.begin(time(1), 1, &mut rng).expect("a partner");
     assert!(peer.receive(time(1), word.clone()).is_ok());
-    assert_eq!(peer.receive(time(2), word.clone()), Err(Refusal::Repeated));
+    assert_eq!(peer.receive(time(2), word.clone()), Err(Refusal::Replayed));
     let mut restarted = instance("a", 2);
     know(&mut restarted, &["b"]);
     let (_, hello) = restarted.begin(time(3), 1, &mut rng).expect("a partner");
     assert!(peer.receive(time(3), hello).is_ok());
-    assert_eq!(peer.receive(time(4), word), Err(Refusal::Repeated));
+    assert_eq!(peer.receive(time(4), word), Err(Refusal::Replayed));
     let key = peer.view.find("a").expect("known");
     assert!(peer.view.is_live(Instant::from_millis(4), key));
 }
@@ -127,7 +128,7 @@
 #[case::other_fleet(|message: &mut Message| message.fleet = "other".to_owned(), Refusal::Fleet)]
 #[case::too_old(|message: &mut Message| message.sent = Instant::ORIGIN, Refusal::Time)]
 #[case::old_protocol(|message: &mut Message| message.protocol = 0, Refusal::Protocol)]
-#[case::own(|message: &mut Message| message.origin = "b".to_owned(), Refusal::Repeated)]
+#[case::own(|message: &mut Message| message.origin = "b".to_owned(), Refusal::Replayed)]
 fn receive_foreign_is_refused(#[case] change: fn(&mut Message), #[case] refusal: Refusal) {
     let mut sender = instance("a", 1);
     let mut peer = instance("b", 1);
@@ -148,7 +149,7 @@
     know(&mut asking, &["b"]);
     let answer = peer.answer(time(1), 1, ("a".to_owned(), 9), &BTreeMap::new());
     let refused = asking.receive_answer(time(1), 8, answer);
-    assert_eq!(refused, Err(Refusal::Crossed));
+    assert_eq!(refused, Err(Refusal::Mismatched));
 }
 
 // During a rolling upgrade a later version sends a later protocol number,
@@ -158,7 +159,7 @@
     let mut later = instance("a", 1);
     let mut peer = instance("b", 1);
     know(&mut later, &["b"]);
-    later.tell([("unknown-slice".to_owned(), json!({"x": 1}))].into());
+    later.set_digests([("unknown-slice".to_owned(), json!({"x": 1}))].into());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let (_, message) = later.begin(time(1), 1, &mut rng).expect("a partner");
     let mut json = serde_json::to_value(message).expect("plain fields");
@@ -170,12 +171,12 @@
 }
 
 #[test]
-fn window_take_accepts_each_position_once() {
-    let mut window = Window::new();
+fn replay_window_accept_accepts_each_position_once() {
+    let mut window = ReplayWindow::new();
     let order = [5, 3, 4, 70, 6, 5, 3, 70, 69];
     let taken: Vec<bool> = order
         .iter()
-        .map(|position| window.take("a", 1, *position))
+        .map(|position| window.accept("a", 1, *position))
         .collect();
     // 6 is 64 behind 70 and can no longer be told from a repeated one.
     assert_eq!(
@@ -196,9 +197,9 @@
     );
     let key = view.find("b").expect("listed");
     let now = Instant::from_millis(10);
-    for _ in 0..View::FAILURES {
+    for _ in 0..View::SUSPICION_FAILURES {
         assert!(view.is_live(now, key));
-        view.fail(now, key);
+        view.record_failure(now, key);
     }
     assert!(!view.is_live(now, key));
     assert!(view.is_live(now.plus_millis(View::SUSPICION_MS), key));
@@ -210,13 +211,13 @@
 fn view_leaving_holds_for_one_start() {
     let mut view = View::new("a", "espoo-a");
     let now = Instant::from_millis(10);
-    assert!(view.hear(now, "b", "espoo-a", "b:1", 1, State::Leaving));
+    assert!(view.record_message(now, "b", "espoo-a", "b:1", 1, State::Leaving));
     view.observe(now, [("b", "espoo-a", "b:1", State::Live)].into_iter());
     let key = view.find("b").expect("known");
     assert!(!view.is_live(now, key));
-    assert!(!view.hear(now, "b", "espoo-a", "b:1", 0, State::Live));
+    assert!(!view.record_message(now, "b", "espoo-a", "b:1", 0, State::Live));
     assert!(!view.is_live(now, key));
-    assert!(view.hear(now, "b", "espoo-a", "b:2", 2, State::Live));
+    assert!(view.record_message(now, "b", "espoo-a", "b:2", 2, State::Live));
     assert!(view.is_live(now, key));
 }
 
@@ -242,40 +243,40 @@
 // Three slices have more to tell than messages may carry, one of them more
 // than one message. Each must be heard again and again, within the budget.
 #[test]
-fn parcel_fill_takes_turns() {
+fn digest_scheduler_select_takes_turns() {
     let digest = |bytes| json!("x".repeat(bytes - 2));
     let digests = [
         ("a".to_owned(), digest(400)),
-        ("b".to_owned(), digest(Parcel::LARGEST)),
+        ("b".to_owned(), digest(DigestScheduler::MAX_BYTES)),
         ("c".to_owned(), digest(400)),
     ];
     let digests = digests.into_iter().collect();
-    let mut parcel = Parcel::new();
+    let mut scheduler = DigestScheduler::new();
     let mut heard = BTreeMap::new();
     let mut bytes = 0;
     let messages = 100;
     for _ in 0..messages {
-        for (slice, digest) in parcel.fill(&digests) {
+        for (slice, digest) in scheduler.select(&digests) {
             *heard.entry(slice).or_insert(0) += 1;
             bytes += digest.to_string().len();
         }
     }
-    assert!(bytes <= messages * Parcel::BYTES);
+    assert!(bytes <= messages * DigestScheduler::AVERAGE_BYTES);
     // The wait for the large one may waste a fifth of the rounds that fit.
-    let round = Parcel::LARGEST + 2 * 400;
-    let rounds = messages * Parcel::BYTES / round * 4 / 5;
+    let round = DigestScheduler::MAX_BYTES + 2 * 400;
+    let rounds = messages * DigestScheduler::AVERAGE_BYTES / round * 4 / 5;
     let all_heard = heard.values().all(|times| *times >= rounds);
     assert!(heard.len() == 3 && all_heard, "{heard:?}, {rounds} rounds");
 }
 
 #[test]
-fn parcel_fill_leaves_out_what_never_fits() {
-    let large = json!("x".repeat(Parcel::LARGEST + 1));
+fn digest_scheduler_select_leaves_out_what_never_fits() {
+    let large = json!("x".repeat(DigestScheduler::MAX_BYTES + 1));
     let digests = [("a".to_owned(), large), ("b".to_owned(), json!(1))];
     let digests = digests.into_iter().collect();
-    let mut parcel = Parcel::new();
+    let mut scheduler = DigestScheduler::new();
     for _ in 0..3 {
-        let chosen: Vec<String> = parcel.fill(&digests).into_keys().collect();
+        let chosen: Vec<String> = scheduler.select(&digests).into_keys().collect();
         assert_eq!(chosen, ["b"]);
     }
 }
--- a/crates/core/tests/all/order.rs
+++ b/crates/core/tests/all/order.rs
@@ -4,7 +4,9 @@
 
 use fescuerack_config::{Names, key};
 use fescuerack_core::clock::Instant;
-use fescuerack_core::order::{Engine, Grace, Holder, MARGIN_MS, Plan, TTL_MS, plan};
+use fescuerack_core::order::{
+    Engine, GracePeriod, LEASE_MARGIN_MS, LEASE_TTL_MS, LeaseHolder, PlannedOrder, plan,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
@@ -17,7 +19,7 @@
     now: u64,
     writes: u64,
     lease: Option<(usize, u64)>,
-    holders: [Holder; 2],
+    holders: [LeaseHolder; 2],
     paused_until: [u64; 2],
     /// Orders on their way: when they arrive, and their number.
     travelling: Vec<(u64, u64)>,
@@ -50,7 +52,7 @@
             now: 0,
             writes: 0,
             lease: None,
-            holders: [Holder::new(), Holder::new()],
+            holders: [LeaseHolder::new(), LeaseHolder::new()],
             paused_until: [0; 2],
             travelling: Vec::new(),
             fences,
@@ -94,11 +96,11 @@
         match self.lease {
             None => {
                 self.writes += 1;
-                self.lease = Some((who, self.now + TTL_MS));
-                self.holders[who].take(sent, self.writes, self.writes);
+                self.lease = Some((who, self.now + LEASE_TTL_MS));
+                self.holders[who].acquire(sent, self.writes, self.writes);
             }
             Some((holder, _)) if holder == who => {
-                self.lease = Some((who, self.now + TTL_MS));
+                self.lease = Some((who, self.now + LEASE_TTL_MS));
                 self.holders[who].renew(sent);
             }
             Some(_) => {}
@@ -112,7 +114,7 @@
         };
         let deadline = permit.deadline.0 / 1_000;
         let arrives = (self.now + travel).min(deadline);
-        self.travelling.push((arrives, permit.number));
+        self.travelling.push((arrives, permit.fencing_token));
     }
 }
 
@@ -129,7 +131,7 @@
         for step in steps {
             world.apply(step);
         }
-        world.pass(TTL_MS);
+        world.pass(LEASE_TTL_MS);
         prop_assert!(world.effects.is_sorted(), "{:?}", world.effects);
         Ok(())
     });
@@ -154,7 +156,7 @@
 fn order_late_is_caught_by_the_run() {
     let mut world = World::new(false);
     world.apply(Step::Try(0));
-    world.pass(TTL_MS);
+    world.pass(LEASE_TTL_MS);
     world.apply(Step::Try(1));
     world.apply(Step::Order(1, 0));
     let late = Instant::from_millis(world.now);
@@ -167,15 +169,15 @@
 
 #[test]
 fn permit_ends_a_margin_before_the_lease() {
-    let mut holder = Holder::new();
-    holder.take(Instant::ORIGIN, 1, 1);
-    let last = Instant::from_millis(TTL_MS - MARGIN_MS);
+    let mut holder = LeaseHolder::new();
+    holder.acquire(Instant::ORIGIN, 1, 1);
+    let last = Instant::from_millis(LEASE_TTL_MS - LEASE_MARGIN_MS);
     let permit = holder.permit(Instant::from_millis(1), false).expect("held");
     assert_eq!(permit.deadline, last);
     assert!(!permit.is_valid(last));
     assert_eq!(holder.permit(last, false), None);
     let fenced = holder.permit(last, true).expect("held");
-    assert_eq!(fenced.deadline, Instant::from_millis(TTL_MS));
+    assert_eq!(fenced.deadline, Instant::from_millis(LEASE_TTL_MS));
 }
 
 fn versions<const N: usize>(names: &mut Names) -> [key::Version; N] {
@@ -204,8 +206,8 @@
     let loaded: Vec<key::Version> = orders
         .iter()
         .filter_map(|order| match order {
-            Plan::Load(_, version) => Some(*version),
-            Plan::Unload(..) => None,
+            PlannedOrder::Load(_, version) => Some(*version),
+            PlannedOrder::Unload(..) => None,
         })
         .collect();
     assert_eq!(loaded, [new, new]);
@@ -226,19 +228,22 @@
 // An operator takes a version from a fleet while answers of it still run. An
 // unload at once would cut them.
 #[test]
-fn grace_pass_waits_for_running_answers() {
+fn grace_period_update_waits_for_running_answers() {
     let mut names = Names::new();
     let [gone] = versions(&mut names);
     let idle = BTreeSet::from([gone]);
-    let mut grace = Grace::new();
-    assert!(grace.pass(Instant::ORIGIN, &idle).is_empty());
-    let before = Instant::from_millis(Grace::MS - 1);
-    assert!(grace.pass(before, &idle).is_empty());
-    assert_eq!(grace.pass(Instant::from_millis(Grace::MS), &idle), idle);
-    assert!(grace.pass(before, &BTreeSet::new()).is_empty());
+    let mut grace = GracePeriod::new();
+    assert!(grace.update(Instant::ORIGIN, &idle).is_empty());
+    let before = Instant::from_millis(GracePeriod::DURATION_MS - 1);
+    assert!(grace.update(before, &idle).is_empty());
+    assert_eq!(
+        grace.update(Instant::from_millis(GracePeriod::DURATION_MS), &idle),
+        idle
+    );
+    assert!(grace.update(before, &BTreeSet::new()).is_empty());
     assert!(
         grace
-            .pass(Instant::from_millis(Grace::MS), &idle)
+            .update(Instant::from_millis(GracePeriod::DURATION_MS), &idle)
             .is_empty()
     );
 }
--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -4,7 +4,7 @@
 
 use fescuerack_config::Names;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::member::{Parcel, Replica};
+use fescuerack_core::member::{DigestScheduler, Replica};
 use fescuerack_core::rollout::{Board, Cause, Event, Halt, Record, Step};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -236,7 +236,7 @@
     for _ in 0..20 {
         let digest = first.digest();
         let bytes = serde_json::to_string(&digest).expect("plain fields").len();
-        assert!(bytes <= Parcel::LARGEST / 2, "{bytes} bytes");
+        assert!(bytes <= DigestScheduler::MAX_BYTES / 2, "{bytes} bytes");
         heard.extend(
             digest
                 .reports
@@ -273,7 +273,7 @@
         board.adopt(Instant::ORIGIN, model, &record);
         let shared = board.records();
         let bytes = serde_json::to_string(&shared).expect("plain fields").len();
-        assert!(bytes <= Replica::LARGEST, "{bytes} bytes");
+        assert!(bytes <= Replica::MAX_STATE_BYTES, "{bytes} bytes");
         assert_eq!(shared[model].halts.len(), 2);
     }
 }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -12,7 +12,7 @@
 
 use fescuerack_client::drive::Timer as _;
 use fescuerack_client::ledger::{self, Writer};
-use fescuerack_core::ledger::{Book, Entry, Hold, Limits, Segment, Shelf, Ticket};
+use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket};
 use tokio::sync::{Notify, watch};
 
 use crate::aid::{self, Ask, LARGEST_BATCH, Peer};
@@ -35,11 +35,11 @@
 /// State of the ledger in one process.
 #[derive(Debug)]
 pub struct Desk {
-    book: Mutex<Book>,
+    buffer: Mutex<Buffer>,
     added: Condvar,
     copy: Notify,
     safe: watch::Sender<Ticket>,
-    shelf: Mutex<Shelf>,
+    peer_copies: Mutex<PeerCopies>,
     /// The peer that holds our copies.
     keeper: Mutex<Option<Peer>>,
     /// Whether the last write was late.
@@ -50,11 +50,11 @@
     /// Creates an empty ledger of one start of a process.
     pub fn new(incarnation: &str) -> Self {
         Self {
-            book: Mutex::new(Book::new(incarnation, Limits::default())),
+            buffer: Mutex::new(Buffer::new(incarnation, Limits::default())),
             added: Condvar::new(),
             copy: Notify::new(),
             safe: watch::Sender::new(Ticket::default()),
-            shelf: Mutex::new(Shelf::new()),
+            peer_copies: Mutex::new(PeerCopies::new()),
             keeper: Mutex::new(None),
             is_late: AtomicBool::new(false),
         }
@@ -62,14 +62,14 @@
 
     /// Adds an entry; it will be kept.
     pub fn add(&self, entry: Entry) -> Ticket {
-        let ticket = lock(&self.book).add(entry);
+        let ticket = lock(&self.buffer).add(entry);
         self.wake();
         ticket
     }
 
     /// Adds an entry that another instance may add too: that of a claim.
     pub fn add_claimed(&self, entry: Entry) -> Ticket {
-        let ticket = lock(&self.book).adopt(entry);
+        let ticket = lock(&self.buffer).add_shared(entry);
         self.wake();
         ticket
     }
@@ -88,7 +88,7 @@
     }
 
     fn tell(&self) {
-        let until = lock(&self.book).safe_until();
+        let until = lock(&self.buffer).durable_until();
         self.safe.send_if_modified(|safe| {
             let rises = until > *safe;
             *safe = until.max(*safe);
@@ -98,19 +98,19 @@
 
     /// Returns the state for the dump.
     pub fn state(&self) -> serde_json::Value {
-        let book = lock(&self.book);
+        let buffer = lock(&self.buffer);
         serde_json::json!({
-            "pending": book.pending(),
-            "folds": book.folds(),
-            "copies_out": book.has_copies_out(),
-            "copies_held": lock(&self.shelf).len(),
+            "pending": buffer.pending(),
+            "folds": buffer.folds(),
+            "copies_out": buffer.has_unstored_copies(),
+            "copies_held": lock(&self.peer_copies).len(),
         })
     }
 
     /// Holds copies of a peer's entries; returns whether it did.
     pub fn hold(&self, shared: &Shared, asked: Hold) -> bool {
         let now = shared.wall.now();
-        let is_held = lock(&self.shelf).hold(now, asked);
+        let is_held = lock(&self.peer_copies).hold(now, asked);
         if !is_held {
             shared.metrics.count("ledger.shelf_full");
         }
@@ -119,22 +119,22 @@
 
     /// Takes over the entries of a peer that ends; returns whether it did.
     pub fn adopt(&self, entries: Vec<Entry>) -> bool {
-        let mut book = lock(&self.book);
-        if !book.has_room() {
+        let mut buffer = lock(&self.buffer);
+        if !buffer.has_room() {
             return false;
         }
         for entry in entries {
-            book.adopt(entry);
+            buffer.add_shared(entry);
         }
         self.added.notify_one();
         true
     }
 
     fn wait(&self, wait: Duration) {
-        let book = lock(&self.book);
+        let buffer = lock(&self.buffer);
         let waited = self
             .added
-            .wait_timeout_while(book, wait, |book| book.is_empty());
+            .wait_timeout_while(buffer, wait, |buffer| buffer.is_empty());
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 }
@@ -151,16 +151,16 @@
 }
 
 fn take_orphans(shared: &Shared) {
-    let orphans = lock(&shared.ledger.shelf).orphans(shared.wall.now());
+    let orphans = lock(&shared.ledger.peer_copies).take_orphans(shared.wall.now());
     if orphans.is_empty() {
         return;
     }
     let count = orphans.len();
     log::warn!(count; "keeping the ledger entries of a silent peer");
     shared.metrics.count("ledger.orphans");
-    let mut book = lock(&shared.ledger.book);
+    let mut buffer = lock(&shared.ledger.buffer);
     for entry in orphans {
-        book.adopt(entry);
+        buffer.add_shared(entry);
     }
 }
 
@@ -175,14 +175,14 @@
             shared.metrics.count("ledger.store_failed");
             return false;
         }
-        lock(&shared.ledger.book).kept(segment.sequence);
+        lock(&shared.ledger.buffer).mark_stored(segment.sequence);
         shared.ledger.tell();
     }
     true
 }
 
 fn next(shared: &Shared) -> Option<Segment> {
-    lock(&shared.ledger.book).segment().cloned()
+    lock(&shared.ledger.buffer).segment().cloned()
 }
 
 /// Copies entries that the store could not keep in time to a peer.
@@ -206,12 +206,12 @@
     let desk = &shared.ledger;
     let keeper = lock(&desk.keeper).clone();
     let (copies, kept_until) = {
-        let mut book = lock(&desk.book);
+        let mut buffer = lock(&desk.buffer);
         if keeper.is_none() {
             // What an earlier one held may be gone with it.
-            book.copy_again();
+            buffer.reset_copies();
         }
-        (book.offer(LARGEST_BATCH), book.kept_until())
+        (buffer.offer(LARGEST_BATCH), buffer.stored_until())
     };
     if copies.is_empty() && keeper.is_none() {
         return false;
@@ -235,12 +235,12 @@
         return false;
     }
     let Some(until) = until else {
-        let done = !lock(&desk.book).has_copies_out();
+        let done = !lock(&desk.buffer).has_unstored_copies();
         *lock(&desk.keeper) = (!done).then_some(keeper);
         return false;
     };
     *lock(&desk.keeper) = Some(keeper);
-    lock(&desk.book).copied(until);
+    lock(&desk.buffer).mark_copied(until);
     desk.tell();
     shared.metrics.count("ledger.copied");
     true
@@ -249,9 +249,9 @@
 /// Ends the ledger of a process that ends: what the store does not take goes
 /// to a peer, and what no peer takes goes to the log as a last resort.
 pub fn finish(shared: &Arc<Shared>, deadline: fescuerack_core::clock::Instant) {
-    let held = lock(&shared.ledger.shelf).all();
+    let held = lock(&shared.ledger.peer_copies).drain();
     for entry in held {
-        lock(&shared.ledger.book).adopt(entry);
+        lock(&shared.ledger.buffer).add_shared(entry);
     }
     while !keep(shared) {
         if hand_off(shared) {
@@ -265,7 +265,7 @@
 }
 
 fn hand_off(shared: &Arc<Shared>) -> bool {
-    let entries = lock(&shared.ledger.book).entries();
+    let entries = lock(&shared.ledger.buffer).entries();
     let count = entries.len();
     let Some(address) = aid::keeper(shared) else {
         return false;
@@ -278,7 +278,7 @@
             return false;
         }
     }
-    lock(&shared.ledger.book).hand_off();
+    lock(&shared.ledger.buffer).hand_off();
     shared.metrics.count("ledger.handed_off");
     log::info!(count; "handed the ledger to a peer");
     true
@@ -299,7 +299,7 @@
 }
 
 fn leave(shared: &Shared) {
-    for entry in lock(&shared.ledger.book).entries() {
+    for entry in lock(&shared.ledger.buffer).entries() {
         let entry = serde_json::to_string(&entry).unwrap_or_default();
         log::error!(entry; "a ledger entry is kept nowhere else");
     }
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -62,7 +62,7 @@
                 "state": instance.state,
                 "listed": instance.listed,
                 "live": member.view.is_live(now, key),
-                "heard_ms_ago": instance.heard.map(|heard| now.since(heard).as_millis()),
+                "heard_ms_ago": instance.last_received.map(|at| now.since(at).as_millis()),
                 "failures": instance.failures,
             })
         })
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -14,7 +14,7 @@
 use fescuerack_config::file::Kind;
 use fescuerack_config::key;
 use fescuerack_core::member;
-use fescuerack_core::order::{self, Engine, Grace, Holder, Permit, Plan};
+use fescuerack_core::order::{self, Engine, GracePeriod, LeaseHolder, Permit, PlannedOrder};
 use fescuerack_core::route::State;
 use fescuerack_wire::order::{Action, Order};
 
@@ -34,8 +34,8 @@
 /// One fleet's orders at this instance.
 #[derive(Clone, Debug, Default)]
 pub struct Desk {
-    holder: Holder,
-    grace: Grace,
+    holder: LeaseHolder,
+    grace: GracePeriod,
     /// Engine after which the next round goes on.
     last: Option<key::Server>,
     /// What engines had when they were looked at.
@@ -92,10 +92,10 @@
 /// Takes or renews the lease; returns whether it is held.
 fn hold(shared: &Shared, force: &Force, fleet: key::Fleet, desk: &mut Desk) -> bool {
     let now = shared.now();
-    if let Some(lease) = desk.holder.due(now) {
+    if let Some(lease) = desk.holder.renewal_due(now) {
         match shared.store.renew(lease) {
             Ok(_) => desk.holder.renew(now),
-            Err(Fault::Refused { .. }) => desk.holder.lose(),
+            Err(Fault::Refused { .. }) => desk.holder.clear(),
             // Nothing is known: the lease runs on as it was counted.
             Err(_) => shared.metrics.count("orders.store_failed"),
         }
@@ -103,7 +103,7 @@
     if desk.holder.is_held(now) {
         return true;
     }
-    desk.holder.lose();
+    desk.holder.clear();
     let name = force.names.fleets.name(fleet);
     let ranks_first = {
         let member = lock(&shared.member);
@@ -119,14 +119,16 @@
 
 fn take(shared: &Shared, fleet: &str, desk: &mut Desk) -> Result<(), Fault> {
     let sent = shared.now();
-    let lease = shared.store.grant(Duration::from_millis(order::TTL_MS))?;
+    let lease = shared
+        .store
+        .grant(Duration::from_millis(order::LEASE_TTL_MS))?;
     let holder = Bytes::from(shared.settings.instance.clone());
     // The key goes when the lease lapses; its version is the fencing number,
     // because the store numbers all writes in one row. A lost answer leaves a
     // key under a lease that nobody renews, which lapses by itself.
     let key = format!("order/{fleet}");
     if let Swap::Swapped(number) = shared.store.swap(&key, 0, holder, Some(lease.id))? {
-        desk.holder.take(sent, lease.id, number);
+        desk.holder.acquire(sent, lease.id, number);
         shared.metrics.count("orders.taken");
         log::info!(fleet, number; "gives orders to the fleet's engines");
     }
@@ -156,7 +158,7 @@
         .iter()
         .flat_map(|engine| engine.loaded.difference(&wanted).copied())
         .collect();
-    let unload = desk.grace.pass(shared.now(), &idle);
+    let unload = desk.grace.update(shared.now(), &idle);
     let loads = loads(force);
     let fences = force.catalog.fleets[fleet].fences;
     for plan in order::plan(&wanted, &unload, &engines, loads) {
@@ -211,18 +213,18 @@
     force: &Force,
     targets: &[Target],
     permit: Permit,
-    plan: Plan,
+    plan: PlannedOrder,
     desk: &mut Desk,
 ) {
     let (server, version, action) = match plan {
-        Plan::Load(server, version) => (server, version, Action::Load),
-        Plan::Unload(server, version) => (server, version, Action::Unload),
+        PlannedOrder::Load(server, version) => (server, version, Action::Load),
+        PlannedOrder::Unload(server, version) => (server, version, Action::Unload),
     };
     let Some(target) = targets.iter().find(|target| target.server == server) else {
         return;
     };
     let order = Order {
-        number: permit.number,
+        number: permit.fencing_token,
         action,
         version: force.names.versions.name(version).to_string(),
     };
@@ -245,7 +247,7 @@
         Err(Fault::Refused { status, .. }) if status == FENCED => {
             // Somebody holds a higher number: this lease is no longer ours.
             shared.metrics.count("orders.fenced");
-            desk.holder.lose();
+            desk.holder.clear();
         }
         Err(_) => {
             shared.metrics.count("orders.failed");
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use anyhow::{Context as _, Result};
-use fescuerack_core::member::{self, Exchange, Input, Time};
+use fescuerack_core::member::{self, Exchange, Payload, Time};
 use fescuerack_wire::list::Instance;
 use fescuerack_wire::peer::{self, Digest, EXCHANGE, Sealed};
 use jsonrpsee::core::client::ClientT as _;
@@ -68,7 +68,7 @@
     loop {
         let woken = tokio::time::timeout(period, shared.wake.notified()).await;
         publish(&shared);
-        let pressing = lock(&shared.member).take_pressing();
+        let pressing = lock(&shared.member).take_urgent();
         let exchanges = if pressing { Exchange::FANOUT } else { 1 };
         if woken.is_ok() && !pressing {
             continue;
@@ -109,12 +109,12 @@
     // spread by the periodic exchanges alone would take up.
     let mut changed = tell_leaving(shared, &digest);
     if changed {
-        member.press();
+        member.mark_urgent();
     }
     for (slice, state) in states {
         changed |= member.replica.set(&slice, state, members);
     }
-    member.tell(peer::slices(&digest));
+    member.set_digests(peer::slices(&digest));
     drop(member);
     if changed {
         shared.wake.notify_one();
@@ -161,7 +161,7 @@
 }
 
 /// Hands to the slices what a peer told.
-fn take_in(shared: &Shared, input: Input) {
+fn take_in(shared: &Shared, input: Payload) {
     shared.configuration.hear(input.revision);
     let states: peer::Shared = peer::from_slices(input.states);
     versions::merge_records(shared, &states.rollouts);
@@ -208,7 +208,9 @@
     };
     let sequence = message.sequence;
     let Ok(answer) = ask(shared, &address, &message).await else {
-        lock(&shared.member).view.fail(shared.now(), partner);
+        lock(&shared.member)
+            .view
+            .record_failure(shared.now(), partner);
         shared.metrics.count("peers.failed");
         return;
     };
--- a/crates/node/src/versions/suspects.rs
+++ b/crates/node/src/versions/suspects.rs
@@ -89,7 +89,7 @@
 
 /// Has all peers told at once.
 fn press(shared: &Shared) {
-    lock(&shared.member).press();
+    lock(&shared.member).mark_urgent();
     shared.wake.notify_one();
 }
 
--- a/crates/node/tests/all/outage.rs
+++ b/crates/node/tests/all/outage.rs
@@ -25,7 +25,7 @@
 fn billed(world: &World) -> (u64, u64) {
     let store = HttpStore::new(&world.platform.address());
     let totals = ledger::totals(&store).expect("the ledger is readable");
-    (totals.total().requests, totals.doubles)
+    (totals.total().requests, totals.duplicates)
 }
 
 // The store is out for a while. Parents' chat must not notice, and every
--- a/crates/standin/tests/all/ledger.rs
+++ b/crates/standin/tests/all/ledger.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::ledger::{Book, Entry, Hold, Limits, Segment, Shelf, Ticket, Totals};
+use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket, Totals};
 use fescuerack_core::store::{Call, Reply};
 use fescuerack_standin::{Chaos, Odds};
 
@@ -27,8 +27,8 @@
 
 struct Instance {
     name: String,
-    book: Book,
-    shelf: Shelf,
+    buffer: Buffer,
+    peer_copies: PeerCopies,
     /// Which requests stand behind the tickets.
     tickets: BTreeMap<Ticket, String>,
     /// Instance that holds copies.
@@ -79,9 +79,9 @@
         self.started += 1;
         let name = format!("i{}", self.started);
         self.instances.push(Instance {
-            book: Book::new(&name, self.limits),
+            buffer: Buffer::new(&name, self.limits),
             name,
-            shelf: Shelf::new(),
+            peer_copies: PeerCopies::new(),
             tickets: BTreeMap::new(),
             keeper: None,
         });
@@ -121,14 +121,14 @@
             ..Entry::default()
         };
         let instance = &mut self.instances[index];
-        let ticket = instance.book.add(entry);
+        let ticket = instance.buffer.add(entry);
         instance.tickets.insert(ticket, request);
     }
 
     /// Writes the next segment, whose answer may be lost or come late.
     fn write(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        let Some(segment) = instance.book.segment() else {
+        let Some(segment) = instance.buffer.segment() else {
             return;
         };
         let key = format!("ledger/{}/{:06}", instance.name, segment.sequence);
@@ -142,7 +142,7 @@
         };
         let reply = self.store.call(call);
         if matches!(reply, Reply::Swapped(_) | Reply::Conflict(_)) {
-            self.instances[index].book.kept(sequence);
+            self.instances[index].buffer.mark_stored(sequence);
             self.count("segments");
         }
     }
@@ -156,9 +156,9 @@
         let keeper = instance.keeper.clone();
         let keeper = keeper.filter(|keeper| names.contains(keeper));
         if keeper.is_none() {
-            instance.book.copy_again();
+            instance.buffer.reset_copies();
         }
-        let copies = instance.book.offer(1_000);
+        let copies = instance.buffer.offer(1_000);
         if copies.is_empty() && keeper.is_none() {
             return;
         }
@@ -166,7 +166,7 @@
         let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
         let hold = Hold {
             owner: instance.name.clone(),
-            kept_until: instance.book.kept_until(),
+            kept_until: instance.buffer.stored_until(),
             copies,
         };
         instance.keeper = Some(keeper.clone());
@@ -177,10 +177,10 @@
         }
         let now = self.now;
         let peer = self.instances.iter_mut().find(|one| one.name == keeper);
-        let is_held = peer.expect("it is there").shelf.hold(now, hold);
+        let is_held = peer.expect("it is there").peer_copies.hold(now, hold);
         if is_held && !self.dice.chance(0.1) {
             if let Some(until) = until {
-                self.instances[index].book.copied(until);
+                self.instances[index].buffer.mark_copied(until);
                 self.count("copies");
             }
         } else {
@@ -196,15 +196,15 @@
         let (to, hold) = self.late.swap_remove(index);
         let now = self.now;
         if let Some(peer) = self.instances.iter_mut().find(|one| one.name == to) {
-            peer.shelf.hold(now, hold);
+            peer.peer_copies.hold(now, hold);
             self.count("late holds");
         }
     }
 
     fn adopt_orphans(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        for entry in instance.shelf.orphans(self.now) {
-            instance.book.adopt(entry);
+        for entry in instance.peer_copies.take_orphans(self.now) {
+            instance.buffer.add_shared(entry);
             self.counts
                 .entry("orphans")
                 .and_modify(|count| *count += 1)
@@ -216,8 +216,8 @@
     /// an instance killed earlier knew.
     fn kill(&mut self, index: usize) {
         let killed = self.instances.swap_remove(index);
-        let safe = killed.book.safe_until();
-        let kept = killed.book.kept_until();
+        let safe = killed.buffer.durable_until();
+        let kept = killed.buffer.stored_until();
         let held = killed.keeper.is_some();
         let mut promised = BTreeSet::new();
         for (ticket, request) in killed.tickets {
@@ -229,11 +229,11 @@
         }
         // What it held or had taken over from others dies with it.
         self.lost_twice(&killed.name);
-        let mut copies = killed.shelf;
-        for entry in copies.all() {
+        let mut copies = killed.peer_copies;
+        for entry in copies.drain() {
             self.unless_elsewhere(&entry);
         }
-        for entry in killed.book.entries() {
+        for entry in killed.buffer.entries() {
             if !promised.contains(&entry.request) {
                 self.unless_elsewhere(&entry);
             }
@@ -246,7 +246,7 @@
     /// still has it as its own.
     fn unless_elsewhere(&mut self, lost: &Entry) {
         let elsewhere = self.instances.iter().any(|one| {
-            let mut entries = one.book.entries().into_iter();
+            let mut entries = one.buffer.entries().into_iter();
             entries.any(|entry| entry.request == lost.request)
         });
         if !elsewhere {
@@ -270,19 +270,19 @@
             self.write(index);
         }
         let mut leaving = self.instances.swap_remove(index);
-        for entry in leaving.shelf.all() {
-            leaving.book.adopt(entry);
+        for entry in leaving.peer_copies.drain() {
+            leaving.buffer.add_shared(entry);
         }
-        let entries = leaving.book.entries();
+        let entries = leaving.buffer.entries();
         if !entries.is_empty() {
             // The first answer may be lost: it is then handed on once more.
             for _ in 0..=usize::from(self.dice.chance(0.3)) {
                 let other = self.dice.below(self.instances.len());
                 for entry in entries.clone() {
-                    self.instances[other].book.adopt(entry);
+                    self.instances[other].buffer.add_shared(entry);
                 }
             }
-            leaving.book.hand_off();
+            leaving.buffer.hand_off();
             self.count("hand-offs");
         }
         self.lost_twice(&leaving.name);
@@ -305,7 +305,7 @@
             self.adopt_orphans(index);
         }
         for index in 0..self.instances.len() {
-            while self.instances[index].book.segment().is_some() {
+            while self.instances[index].buffer.segment().is_some() {
                 self.write(index);
             }
         }
@@ -347,8 +347,8 @@
         );
         *self.counts.entry("answers").or_default() += self.answered;
         *self.counts.entry("excused by kills").or_default() += lost;
-        *self.counts.entry("doubles dropped").or_default() += totals.doubles;
-        let folds: u64 = self.instances.iter().map(|one| one.book.folds()).sum();
+        *self.counts.entry("doubles dropped").or_default() += totals.duplicates;
+        let folds: u64 = self.instances.iter().map(|one| one.buffer.folds()).sum();
         *self.counts.entry("folds").or_default() += folds;
     }
 }
@@ -369,14 +369,14 @@
 #[test]
 fn book_at_its_bound_folds() {
     const ANSWERS: u64 = 1_000;
-    let mut book = Book::new("i1", SMALL);
+    let mut buffer = Buffer::new("i1", SMALL);
     for number in 0..ANSWERS {
-        book.add(entry(number));
+        buffer.add(entry(number));
     }
-    let bytes: usize = book.entries().iter().map(Entry::size).sum();
+    let bytes: usize = buffer.entries().iter().map(Entry::size).sum();
     assert!(bytes < SMALL.total_bytes + 1_000, "{bytes} bytes are held");
-    assert_eq!(book.pending(), ANSWERS);
-    let cost: u64 = book.entries().iter().map(|entry| entry.cost).sum();
+    assert_eq!(buffer.pending(), ANSWERS);
+    let cost: u64 = buffer.entries().iter().map(|entry| entry.cost).sum();
     assert_eq!(cost, ANSWERS);
 }
 
@@ -384,12 +384,12 @@
 // Copies of later ones must not make their answers look safe.
 #[test]
 fn offer_beside_sums_is_empty() {
-    let mut book = Book::new("i1", SMALL);
+    let mut buffer = Buffer::new("i1", SMALL);
     for number in 0..100 {
-        book.add(entry(number));
+        buffer.add(entry(number));
     }
-    assert!(book.folds() > 0);
-    assert!(book.offer(1_000).is_empty());
+    assert!(buffer.folds() > 0);
+    assert!(buffer.offer(1_000).is_empty());
 }
 
 // An instance is killed or drained in an outage of the store, peers hold its
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -3,7 +3,7 @@
 //! Every message is sealed with a key that all instances of a fleet share, so
 //! that nobody else can tell an instance that a peer leaves or that a roll-out
 //! was halted. The seal covers the exact text of the message; repeated
-//! messages are refused by [`fescuerack_core::member::Window`].
+//! messages are refused by [`fescuerack_core::member::ReplayWindow`].
 
 use std::collections::BTreeMap;
 
