--- a/crates/core/src/ledger/buffer.rs
+++ b/crates/core/src/ledger/buffer.rs
@@ -1,25 +1,28 @@
-//! Entries on their way to the store.
+//! Write buffer for ledger entries that the store does not hold yet.
 //!
-//! Pattern of load: thousands of answers a second against a store that takes
-//! a few hundred writes from the whole fleet. Entries gather while a write is
-//! under way and go together in the next one (group commit), so the number of
-//! writes follows the store's pace and not the callers'.
+//! The fleet answers thousands of requests a second, while the store accepts a
+//! few hundred writes a second from the whole fleet. Entries therefore collect
+//! while a write is in flight and are written together in the next segment
+//! (group commit). The number of writes depends on the store's latency and not
+//! on the request rate.
 //!
-//! One segment is under way at a time. Its content never changes: its write
-//! may have taken effect, and a second content under the same key would be
-//! lost.
+//! One segment is in flight at a time, and its content never changes: its
+//! write may already have taken effect, and a different content written under
+//! the same key would be lost.
 //!
-//! Memory is bounded. In an outage so long that the bound is met, the oldest
-//! entries that were never sent anywhere are folded into one sum per
-//! organisation and version. The bill stays exact; only the lines of single
-//! requests are gone. Refusing requests instead would turn an outage of the
-//! store into one of the product; dropping entries would leave them unbilled.
+//! Memory is bounded. When a store outage lasts until the bound is reached, the
+//! oldest entries that were never sent anywhere are folded into one sum for
+//! each organisation and version. The bill stays exact; only the itemisation
+//! by request is lost. Refusing requests instead would turn an outage of the
+//! store into an outage of the service, and dropping entries would leave them
+//! unbilled.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Entry, Segment};
 
-/// Position of an entry; it is kept once [`Buffer::stored_until`] is above it.
+/// Position of an entry in its buffer. The store holds the entry once
+/// [`Buffer::stored_until`] is above the ticket.
 #[derive(
     Clone,
     Copy,
@@ -34,15 +37,17 @@
 )]
 pub struct Ticket(pub u64);
 
-/// Bounds of a book.
+/// Memory and message bounds of a [`Buffer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of one segment; well under the store's largest value, since JSON
-    /// takes more room than memory.
+    /// Maximum bytes of one segment, counted by [`Entry::size`]. It is well
+    /// below the store's largest value because the JSON encoding is larger than
+    /// the entries in memory.
     pub segment_bytes: usize,
-    /// Bytes of all entries that are not kept yet.
+    /// Maximum bytes of entries that are in no segment yet.
     pub total_bytes: usize,
-    /// Bytes of entries that are not kept yet and were offered to a peer.
+    /// Maximum bytes of entries that are not stored yet and were offered to a
+    /// peer.
     pub offered_bytes: usize,
 }
 
@@ -50,126 +55,131 @@
     fn default() -> Self {
         Self {
             segment_bytes: 400 << 10,
-            // A quarter of the 32 MB that control may take: about 35,000
-            // entries, or 40 minutes at the peak of 15 requests a second.
+            // A quarter of the 32 MB of memory that the control functions may
+            // use: about 35,000 entries, or 40 minutes at the peak of 15
+            // requests a second.
             total_bytes: 8 << 20,
             offered_bytes: 1 << 20,
         }
     }
 }
 
-/// Gathers entries until they are kept in the store.
+/// Holds entries until the store has them.
 #[derive(Clone, Debug)]
 pub struct Buffer {
     limits: Limits,
-    /// Name of this start of the process; part of the identity of sums.
+    /// Incarnation of the process; part of the identity of sums.
     writer: String,
-    open: VecDeque<Open>,
-    open_bytes: usize,
-    sent: Option<Sent>,
+    unsent: VecDeque<Unsent>,
+    unsent_bytes: usize,
+    in_flight: Option<InFlight>,
+    /// Folded entries by organisation and version.
     sums: BTreeMap<(String, String), Entry>,
     folds: u64,
     next_sequence: u64,
     next_ticket: Ticket,
-    kept_until: Ticket,
+    stored_until: Ticket,
     offered_until: Ticket,
     copied_until: Ticket,
-    added: u64,
-    kept: u64,
+    /// Requests of all entries that were ever added.
+    added_requests: u64,
+    /// Requests of all entries that the store or another instance took over.
+    stored_requests: u64,
 }
 
 /// An entry that is in no segment yet.
 #[derive(Clone, Debug)]
-struct Open {
+struct Unsent {
     ticket: Ticket,
     entry: Entry,
-    /// Whether no other instance can ever write it.
-    ours: bool,
+    /// Whether no other instance can ever write the entry.
+    is_exclusive: bool,
 }
 
-/// A segment that is under way.
+/// The segment whose write is in flight.
 #[derive(Clone, Debug)]
-struct Sent {
+struct InFlight {
     segment: Segment,
-    /// Tickets of the last entries of the segment; sums, which come first,
-    /// have none.
+    /// Tickets of the entries at the end of the segment. The sums at its start
+    /// have no ticket.
     tickets: Vec<Ticket>,
     /// First ticket after the segment.
-    after: Ticket,
+    next: Ticket,
 }
 
 impl Buffer {
-    /// Returns an empty book of one start of a process.
+    /// Returns an empty buffer. `writer` names the incarnation of the process.
     #[must_use]
     pub fn new(writer: &str, limits: Limits) -> Self {
         Self {
             limits,
             writer: writer.to_owned(),
-            open: VecDeque::new(),
-            open_bytes: 0,
-            sent: None,
+            unsent: VecDeque::new(),
+            unsent_bytes: 0,
+            in_flight: None,
             sums: BTreeMap::new(),
             folds: 0,
             next_sequence: 0,
             next_ticket: Ticket(0),
-            kept_until: Ticket(0),
+            stored_until: Ticket(0),
             offered_until: Ticket(0),
             copied_until: Ticket(0),
-            added: 0,
-            kept: 0,
+            added_requests: 0,
+            stored_requests: 0,
         }
     }
 
-    /// Adds an entry that only this process can write.
+    /// Adds an entry that no other instance can write.
     pub fn add(&mut self, entry: Entry) -> Ticket {
         self.push(entry, true)
     }
 
-    /// Adds an entry that another instance may write too: of a claim, or taken
-    /// over from a peer.
+    /// Adds an entry that another instance may write as well: the entry of a
+    /// claim, or one taken over from a peer.
     pub fn add_shared(&mut self, entry: Entry) -> Ticket {
         self.push(entry, false)
     }
 
-    /// Returns whether there is room to take entries over from a peer.
+    /// Returns whether there is room to take over entries from a peer.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.open_bytes < self.limits.total_bytes / 2
+        self.unsent_bytes < self.limits.total_bytes / 2
     }
 
-    fn push(&mut self, entry: Entry, ours: bool) -> Ticket {
+    fn push(&mut self, entry: Entry, is_exclusive: bool) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket.0 += 1;
-        self.added += entry.requests;
-        self.open_bytes += entry.size();
-        self.open.push_back(Open {
+        self.added_requests += entry.requests;
+        self.unsent_bytes += entry.size();
+        self.unsent.push_back(Unsent {
             ticket,
             entry,
-            ours,
+            is_exclusive,
         });
-        while self.open_bytes > self.limits.total_bytes && self.fold() {}
+        while self.unsent_bytes > self.limits.total_bytes && self.fold() {}
         ticket
     }
 
-    /// Folds the oldest open entry into the sum of its organisation and
-    /// version; returns whether there was one.
+    /// Folds the oldest foldable unsent entry into the sum of its organisation
+    /// and version. Returns whether there was one.
     ///
-    /// Entries that another instance may write too are told by their identity
-    /// and stay: a sum could not be recognised as their double. That holds for
-    /// entries of claims, for those of a peer, and for those that were offered
-    /// to a peer, whether or not it answered. All are bounded: claims need the
-    /// store, so in an outage they do not grow; a peer's are taken while there
-    /// is room; few are offered at a time.
+    /// Entries that another instance may write as well are not folded: they are
+    /// deduplicated by their identity, and a sum could not be recognised as a
+    /// duplicate of them. These are the entries of claims, those taken over
+    /// from a peer, and those offered to a peer, whether or not it answered.
+    /// Their number is bounded: claims need the store, so they do not grow
+    /// during an outage; entries of a peer are taken only while there is room;
+    /// few entries are offered at a time.
     fn fold(&mut self) -> bool {
         let offered_until = self.offered_until;
-        let foldable = |open: &Open| open.ours && open.ticket >= offered_until;
-        let Some(index) = self.open.iter().position(foldable) else {
+        let foldable = |unsent: &Unsent| unsent.is_exclusive && unsent.ticket >= offered_until;
+        let Some(index) = self.unsent.iter().position(foldable) else {
             return false;
         };
-        let Some(Open { entry, .. }) = self.open.remove(index) else {
+        let Some(Unsent { entry, .. }) = self.unsent.remove(index) else {
             return false;
         };
-        self.open_bytes -= entry.size();
+        self.unsent_bytes -= entry.size();
         let key = (entry.organisation.clone(), entry.version.clone());
         if let Some(sum) = self.sums.get_mut(&key) {
             sum.input_tokens += entry.input_tokens;
@@ -189,83 +199,85 @@
         true
     }
 
-    /// Returns the segment to write: the one that is under way, or the next.
+    /// Returns the segment to write: the one in flight, or a new one.
     pub fn segment(&mut self) -> Option<&Segment> {
-        if self.sent.is_none() {
-            self.seal();
+        if self.in_flight.is_none() {
+            self.seal_segment();
         }
-        self.sent.as_ref().map(|sent| &sent.segment)
+        self.in_flight.as_ref().map(|in_flight| &in_flight.segment)
     }
 
-    fn seal(&mut self) {
+    fn seal_segment(&mut self) {
         let mut entries: Vec<_> = std::mem::take(&mut self.sums).into_values().collect();
         let mut bytes: usize = entries.iter().map(Entry::size).sum();
         let mut tickets = Vec::new();
-        while let Some(open) = self.open.pop_front() {
-            let size = open.entry.size();
+        while let Some(unsent) = self.unsent.pop_front() {
+            let size = unsent.entry.size();
             if !entries.is_empty() && bytes + size > self.limits.segment_bytes {
-                self.open.push_front(open);
+                self.unsent.push_front(unsent);
                 break;
             }
             bytes += size;
-            self.open_bytes -= size;
-            tickets.push(open.ticket);
-            entries.push(open.entry);
+            self.unsent_bytes -= size;
+            tickets.push(unsent.ticket);
+            entries.push(unsent.entry);
         }
         if entries.is_empty() {
             return;
         }
-        let after = self
-            .open
+        let next = self
+            .unsent
             .front()
-            .map_or(self.next_ticket, |open| open.ticket);
+            .map_or(self.next_ticket, |unsent| unsent.ticket);
         let segment = Segment {
             sequence: self.next_sequence,
             entries,
         };
         self.next_sequence += 1;
-        self.sent = Some(Sent {
+        self.in_flight = Some(InFlight {
             segment,
             tickets,
-            after,
+            next,
         });
     }
 
-    /// Forgets the segment that was under way: the store has it.
+    /// Drops the segment in flight after the store has confirmed it.
     ///
     /// # Panics
     ///
-    /// When another segment is under way: entries would be lost.
+    /// When `sequence` is not the segment in flight: entries would be lost.
     pub fn mark_stored(&mut self, sequence: u64) {
-        let Some(Sent { segment, after, .. }) = self.sent.take() else {
+        let Some(InFlight { segment, next, .. }) = self.in_flight.take() else {
             return;
         };
-        assert_eq!(segment.sequence, sequence, "another segment is under way");
-        self.kept += segment
+        assert_eq!(segment.sequence, sequence, "another segment is in flight");
+        self.stored_requests += segment
             .entries
             .iter()
             .map(|entry| entry.requests)
             .sum::<u64>();
-        self.kept_until = after;
+        self.stored_until = next;
         assert_eq!(
-            self.added,
-            self.kept + self.pending(),
-            "an entry was lost or doubled"
+            self.added_requests,
+            self.stored_requests + self.pending(),
+            "a ledger entry was lost or duplicated"
         );
     }
 
-    /// Returns the first ticket that is not kept.
+    /// Returns the first ticket that the store does not hold.
     #[must_use]
     pub fn stored_until(&self) -> Ticket {
-        self.kept_until
+        self.stored_until
     }
 
-    /// Returns entries that neither the store nor a peer has yet, with their
-    /// tickets, for a peer to hold; no more than `bytes` of them, and none
-    /// while [`Limits::offered_bytes`] are out.
+    /// Returns entries that neither the store nor a peer holds yet, with their
+    /// tickets, to be copied to a peer: at most `bytes` of them, or a single
+    /// larger entry. Only the oldest unstored entries, up to
+    /// [`Limits::offered_bytes`], are offered.
     pub fn offer(&mut self, bytes: usize) -> Vec<(Ticket, Entry)> {
         if !self.sums.is_empty() {
-            // A sum holds earlier tickets, which would count as copied.
+            // The tickets of a sum are lower than those offered here and would
+            // be counted as copied.
             return Vec::new();
         }
         let mut out = 0;
@@ -290,73 +302,81 @@
     }
 
     fn ticketed(&self) -> impl Iterator<Item = (Ticket, &Entry)> {
-        let sent = self.sent.iter().flat_map(|sent| {
-            let sums = sent.segment.entries.len() - sent.tickets.len();
-            let entries = sent.segment.entries.iter().skip(sums);
-            sent.tickets.iter().copied().zip(entries)
+        let in_flight = self.in_flight.iter().flat_map(|in_flight| {
+            let sums = in_flight.segment.entries.len() - in_flight.tickets.len();
+            let entries = in_flight.segment.entries.iter().skip(sums);
+            in_flight.tickets.iter().copied().zip(entries)
         });
-        let open = self.open.iter().map(|open| (open.ticket, &open.entry));
-        sent.chain(open)
+        let unsent = self
+            .unsent
+            .iter()
+            .map(|unsent| (unsent.ticket, &unsent.entry));
+        in_flight.chain(unsent)
     }
 
-    /// Remembers that a peer holds every entry before `until`.
+    /// Records that a peer holds a copy of every entry before `until`.
     pub fn mark_copied(&mut self, until: Ticket) {
         self.copied_until = self.copied_until.max(until);
     }
 
-    /// Forgets that a peer held copies: it is gone, and another one is to get
-    /// them all.
+    /// Discards the record of copies because the peer that held them is gone.
+    /// Another peer is to receive all entries that are not stored.
     pub fn reset_copies(&mut self) {
-        self.copied_until = self.kept_until;
+        self.copied_until = self.stored_until;
     }
 
-    /// Returns the first ticket that only this process knows.
+    /// Returns the first ticket that only this process holds.
     #[must_use]
     pub fn durable_until(&self) -> Ticket {
-        self.kept_until.max(self.copied_until)
+        self.stored_until.max(self.copied_until)
     }
 
-    /// Returns whether peers hold copies that the store does not have yet.
+    /// Returns whether a peer holds copies of entries that the store does not
+    /// hold yet.
     #[must_use]
     pub fn has_unstored_copies(&self) -> bool {
-        self.copied_until > self.kept_until
+        self.copied_until > self.stored_until
     }
 
-    /// Returns every entry that is not kept, for a peer to keep.
+    /// Returns every entry that is not stored, to be handed off to a peer.
     #[must_use]
     pub fn entries(&self) -> Vec<Entry> {
-        self.all().cloned().collect()
+        self.pending_entries().cloned().collect()
     }
 
-    fn all(&self) -> impl Iterator<Item = &Entry> {
-        let sent = self.sent.iter().flat_map(|sent| &sent.segment.entries);
-        let open = self.open.iter().map(|open| &open.entry);
-        sent.chain(self.sums.values()).chain(open)
+    fn pending_entries(&self) -> impl Iterator<Item = &Entry> {
+        let in_flight = self
+            .in_flight
+            .iter()
+            .flat_map(|in_flight| &in_flight.segment.entries);
+        let unsent = self.unsent.iter().map(|unsent| &unsent.entry);
+        in_flight.chain(self.sums.values()).chain(unsent)
     }
 
-    /// Empties the book after a peer has taken [`Buffer::entries`].
+    /// Empties the buffer after a peer has taken over [`Buffer::entries`].
     pub fn hand_off(&mut self) {
-        self.kept += self.pending();
-        self.sent = None;
+        self.stored_requests += self.pending();
+        self.in_flight = None;
         self.sums.clear();
-        self.open.clear();
-        self.open_bytes = 0;
-        self.kept_until = self.next_ticket;
+        self.unsent.clear();
+        self.unsent_bytes = 0;
+        self.stored_until = self.next_ticket;
     }
 
-    /// Returns how many requests are not kept yet.
+    /// Returns how many requests are not stored yet.
     #[must_use]
     pub fn pending(&self) -> u64 {
-        self.all().map(|entry| entry.requests).sum()
+        self.pending_entries().map(|entry| entry.requests).sum()
     }
 
-    /// Returns whether everything is kept.
+    /// Returns whether the store holds everything.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.sent.is_none() && self.open.is_empty() && self.sums.is_empty()
+        self.in_flight.is_none() && self.unsent.is_empty() && self.sums.is_empty()
     }
 
-    /// Returns how many sums were begun because the bound was met.
+    /// Returns how many sums were started because [`Limits::total_bytes`] was
+    /// reached.
     #[must_use]
     pub fn folds(&self) -> u64 {
         self.folds
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -1,20 +1,22 @@
-//! The ledger: each answered request is billed once.
+//! Billing ledger: bills each answered request exactly once.
 //!
-//! - [`Buffer`] gathers entries into segments and knows which are kept. A
-//!   segment is written create-if-absent under instance, incarnation and
-//!   sequence number, so that writing it again is harmless.
-//! - [`Totals`] reads: it drops doubled requests by their identifier and adds
-//!   up per organisation.
-//! - [`PeerCopies`] holds copies of peers' entries until their owner says that the
-//!   store has them, and gives them up for writing when the owner is gone.
+//! Two faults stand against that. An instance that is killed right after an
+//! answer would never bill the request, and a segment whose acknowledgement is
+//! lost would be written twice and billed twice.
 //!
-//! The identity of an entry is the instance's own, never the caller's
-//! `X-Request-Id`: two callers that choose the same one would otherwise be
-//! billed once between them.
+//! - [`Buffer`] collects entries into segments and tracks which of them the
+//!   store holds. A segment is created under a key made of instance,
+//!   incarnation and sequence number, and only if the key is absent, so a
+//!   repeated write is harmless.
+//! - [`PeerCopies`] holds copies of peers' entries until their owner reports
+//!   that the store holds them, and releases them for writing when the owner is
+//!   gone.
+//! - [`Totals`] reads the ledger: it drops duplicates by request identity and
+//!   adds up the costs of each organisation and version.
 //!
-//! What goes wrong without it: an instance is killed right after an answer and
-//! the request is never billed, or a segment whose answer was lost is written
-//! twice and billed twice.
+//! The instance chooses the identity of an entry. The caller's `X-Request-Id`
+//! cannot serve as one: two callers that send the same value would be billed
+//! once between them.
 
 mod buffer;
 mod peer_copies;
@@ -26,14 +28,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One request that is to be billed.
+/// One request to be billed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Identity under which it is billed once, chosen by the instance.
+    /// Identity by which duplicates are dropped, chosen by the instance.
     pub request: String,
-    /// Organisation that is billed.
+    /// Organisation to be billed.
     pub organisation: String,
-    /// Version that answered, or the name of the plain service.
+    /// Version that answered, or the name of the service if it has no versions.
     pub version: String,
     /// Input tokens of all attempts and steps.
     pub input_tokens: u64,
@@ -41,15 +43,15 @@
     pub output_tokens: u64,
     /// Cost in micro-euro.
     pub cost: u64,
-    /// Wall-clock time of the answer, in seconds since 1970.
+    /// Wall-clock time of the answer, in seconds since the Unix epoch.
     #[serde(default)]
     pub at: u64,
-    /// Identifier that the caller sees, for questions about a bill; it is no
-    /// identity.
+    /// Request identifier that the caller sees, for questions about a bill. It
+    /// need not be unique.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub label: String,
-    /// Requests that the entry stands for; more than one only after the bound
-    /// of memory was met in a long outage.
+    /// Number of requests that the entry covers. It is more than one only if
+    /// entries were folded because a long outage filled the buffer.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub requests: u64,
 }
@@ -64,11 +66,12 @@
 }
 
 impl Entry {
-    /// Returns roughly how much memory and room in a segment it takes.
+    /// Returns the approximate bytes that the entry takes in memory and in a
+    /// segment.
     #[must_use]
     pub fn size(&self) -> usize {
-        const FIELDS: usize = 160;
-        FIELDS
+        const FIXED_BYTES: usize = 160;
+        FIXED_BYTES
             + self.request.len()
             + self.organisation.len()
             + self.version.len()
@@ -76,10 +79,10 @@
     }
 }
 
-/// A batch of entries.
+/// A batch of entries that is written under one key of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Position among the segments of this incarnation.
+    /// Position among the segments of the writer's incarnation.
     pub sequence: u64,
     /// The entries.
     pub entries: Vec<Entry>,
--- a/crates/core/src/ledger/peer_copies.rs
+++ b/crates/core/src/ledger/peer_copies.rs
@@ -1,30 +1,31 @@
-//! Copies of peers' entries.
+//! Copies of ledger entries that are held for peers.
 //!
-//! The failure it answers: the store is out or slow and an instance that has
-//! just answered is killed. Its entries were only in its memory. An instance
-//! therefore gives a copy to a peer, in another availability zone if there is
-//! one, before an answer ends that the store could not keep in time. The peer holds the copy
-//! until the owner says that the store has it. When the owner has been silent
-//! for too long, the peer writes the entries itself, under the same
-//! identities; a reader drops the doubles if the owner lives after all.
+//! While the store is unavailable or slow, the entries of an instance exist
+//! only in its memory and are lost if it is killed right after an answer. When
+//! the store does not accept an entry in time, the instance therefore copies it
+//! to a peer, in another availability zone if there is one, before the answer
+//! ends. The peer holds the copy until the owner reports that the store holds
+//! the entry. When the owner has been silent for [`OWNER_TIMEOUT_MS`], the peer
+//! writes the entries itself under the same identities. If the owner is alive
+//! after all, readers drop the duplicates.
 
 use std::collections::BTreeMap;
 
 use super::{Entry, Ticket};
 use crate::clock::Instant;
 
-/// Milliseconds of silence after which an owner counts as gone. An owner
-/// speaks every second while it has copies out; a pause of some seconds must
-/// not make every peer write doubles.
+/// Milliseconds without a message after which an owner counts as gone. An owner
+/// sends a message every second while a peer holds its copies. A pause of a few
+/// seconds must not make its peers write duplicates.
 pub const OWNER_TIMEOUT_MS: u64 = 10_000;
 
 #[derive(Clone, Debug)]
 struct Owner {
-    heard: Instant,
+    last_received: Instant,
     entries: BTreeMap<Ticket, Entry>,
 }
 
-/// Copies by owner.
+/// Copies of ledger entries, by owner.
 #[derive(Clone, Debug, Default)]
 pub struct PeerCopies {
     owners: BTreeMap<String, Owner>,
@@ -32,32 +33,32 @@
 }
 
 impl PeerCopies {
-    /// Bytes of copies that are held; beyond it a copy is refused and its
-    /// owner knows that it is alone with it.
+    /// Maximum bytes of copies. Further copies are refused, and their owner does
+    /// not count the entries as durable because it is still their only holder.
     pub const MAX_BYTES: usize = 4 << 20;
 
-    /// Returns an empty shelf.
+    /// Returns a collection without copies.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes copies and forgets those that the store has: all before
-    /// `kept_until`. Returns whether the copies are held.
-    pub fn hold(&mut self, now: Instant, asked: Hold) -> bool {
+    /// Drops the owner's copies before `kept_until`, which the store holds, and
+    /// adds the new ones. Returns whether the new copies are held.
+    pub fn hold(&mut self, now: Instant, request: Hold) -> bool {
         let Hold {
             owner,
             kept_until,
             copies,
-        } = asked;
+        } = request;
         let size: usize = copies.iter().map(|(_, entry)| entry.size()).sum();
         let held = self.owners.entry(owner.clone()).or_insert(Owner {
-            heard: now,
+            last_received: now,
             entries: BTreeMap::new(),
         });
-        held.heard = held.heard.max(now);
-        let kept = held.entries.extract_if(..kept_until, |_, _| true);
-        let freed: usize = kept.map(|(_, entry)| entry.size()).sum();
+        held.last_received = held.last_received.max(now);
+        let stored = held.entries.extract_if(..kept_until, |_, _| true);
+        let freed: usize = stored.map(|(_, entry)| entry.size()).sum();
         self.bytes -= freed;
         if self.bytes + size > Self::MAX_BYTES {
             return false;
@@ -73,10 +74,10 @@
         true
     }
 
-    /// Gives up the entries of every owner that has been silent for too long.
+    /// Removes and returns the entries of every owner that has timed out.
     pub fn take_orphans(&mut self, now: Instant) -> Vec<Entry> {
-        let gone = |owner: &Owner| owner.heard.plus_millis(OWNER_TIMEOUT_MS) <= now;
-        let orphaned = self.owners.extract_if(.., |_, owner| gone(owner));
+        let is_gone = |owner: &Owner| owner.last_received.plus_millis(OWNER_TIMEOUT_MS) <= now;
+        let orphaned = self.owners.extract_if(.., |_, owner| is_gone(owner));
         let entries: Vec<Entry> = orphaned
             .flat_map(|(_, owner)| owner.entries.into_values())
             .collect();
@@ -84,7 +85,7 @@
         entries
     }
 
-    /// Gives up everything, for a process that ends.
+    /// Removes and returns all entries, for a process that shuts down.
     pub fn drain(&mut self) -> Vec<Entry> {
         self.bytes = 0;
         let owners = std::mem::take(&mut self.owners).into_values();
@@ -106,13 +107,13 @@
     }
 }
 
-/// What an owner asks a peer to hold.
+/// Request of an owner that a peer hold copies of its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Hold {
-    /// One start of one instance.
+    /// Owner of the entries: an instance and its incarnation.
     pub owner: String,
-    /// First ticket that the store does not have yet.
+    /// First ticket that the store does not hold yet.
     pub kept_until: Ticket,
-    /// Copies.
+    /// Copies of entries, with their tickets.
     pub copies: Vec<(Ticket, Entry)>,
 }
--- a/crates/core/src/ledger/totals.rs
+++ b/crates/core/src/ledger/totals.rs
@@ -1,4 +1,4 @@
-//! Reading: duplicates dropped, totals per organisation and version.
+//! Totals of the ledger by organisation and version, without duplicates.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +6,10 @@
 
 use super::Entry;
 
-/// What one organisation owes for one version.
+/// Usage and cost of one organisation for one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sum {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
     /// Input tokens.
     pub input_tokens: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Sum {
-    /// Adds another sum.
+    /// Adds another sum to this one.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.input_tokens += other.input_tokens;
@@ -29,12 +29,12 @@
     }
 }
 
-/// Totals of the entries that were read.
+/// Totals of the entries that were read so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Sum by organisation and version.
     pub sums: BTreeMap<String, BTreeMap<String, Sum>>,
-    /// Entries that were dropped because their request was seen before.
+    /// Number of entries dropped because their request was counted before.
     pub duplicates: u64,
     seen: BTreeSet<String>,
 }
@@ -46,7 +46,8 @@
         Self::default()
     }
 
-    /// Adds an entry unless its request was seen; returns whether it counts.
+    /// Adds an entry unless its request was counted before. Returns whether it
+    /// was added.
     pub fn add(&mut self, entry: &Entry) -> bool {
         if !self.seen.insert(entry.request.clone()) {
             self.duplicates += 1;
@@ -62,13 +63,13 @@
         true
     }
 
-    /// Adds a sum whose entries were added up before.
+    /// Adds a sum that was computed elsewhere, without deduplication.
     pub fn add_sum(&mut self, organisation: &str, version: &str, sum: &Sum) {
         let versions = self.sums.entry(organisation.to_owned()).or_default();
         versions.entry(version.to_owned()).or_default().add(sum);
     }
 
-    /// Returns the sum of an organisation over all versions.
+    /// Returns the sum for an organisation over all versions.
     #[must_use]
     pub fn organisation(&self, name: &str) -> Sum {
         let mut total = Sum::default();
@@ -78,7 +79,7 @@
         total
     }
 
-    /// Returns the sum of everything.
+    /// Returns the sum over all organisations and versions.
     #[must_use]
     pub fn total(&self) -> Sum {
         let mut total = Sum::default();
