--- a/crates/standin/tests/all/ledger.rs
+++ b/crates/standin/tests/all/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger: each answered request is billed once, through lost answers of
-//! the store and of peers, kills, pauses, long outages and drains.
+//! Ledger: each answered request is billed exactly once despite lost responses
+//! of the store and of peers, kills, pauses, long outages and drains.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,14 +12,15 @@
 use crate::run::{Dice, schedules};
 
 const INSTANCES: usize = 3;
-/// Bounds that are met often; the bill is then exact in its sums.
-const SMALL: Limits = Limits {
+/// Bounds that are reached often, so that entries are folded and the bill is
+/// exact in its sums only.
+const SMALL_LIMITS: Limits = Limits {
     segment_bytes: 4_000,
     total_bytes: 8_000,
     offered_bytes: 2_000,
 };
-/// Bounds that are never met; every request then has its own line.
-const LARGE: Limits = Limits {
+/// Bounds that are never reached, so that every request keeps its own entry.
+const LARGE_LIMITS: Limits = Limits {
     segment_bytes: 4_000,
     total_bytes: usize::MAX,
     offered_bytes: 2_000,
@@ -29,10 +30,10 @@
     name: String,
     buffer: Buffer,
     peer_copies: PeerCopies,
-    /// Which requests stand behind the tickets.
+    /// Request of each ticket.
     tickets: BTreeMap<Ticket, String>,
-    /// Instance that holds copies.
-    keeper: Option<String>,
+    /// Peer that holds copies of this instance's entries.
+    copy_holder: Option<String>,
 }
 
 struct World {
@@ -41,12 +42,13 @@
     store: Chaos,
     now: Instant,
     instances: Vec<Instance>,
-    /// Holds that arrive late and out of order, for the named instance.
-    late: Vec<(String, Hold)>,
+    /// Delayed copy requests, delivered out of order, with their receivers.
+    delayed_holds: Vec<(String, Hold)>,
     answered: u64,
-    /// Requests that may be unbilled: killed before the entry was safe, or
-    /// owner and keeper killed together; with the requests that each stands for.
-    excused: BTreeMap<String, u64>,
+    /// Entries that may be unbilled because their instance was killed before
+    /// they were durable, or was killed together with the holder of its copies;
+    /// with the number of requests that each covers.
+    may_be_unbilled: BTreeMap<String, u64>,
     started: u64,
     counts: BTreeMap<&'static str, u64>,
 }
@@ -55,13 +57,17 @@
     fn new(seed: u64) -> Self {
         let mut world = Self {
             dice: Dice::new(seed),
-            limits: if seed.is_multiple_of(2) { SMALL } else { LARGE },
+            limits: if seed.is_multiple_of(2) {
+                SMALL_LIMITS
+            } else {
+                LARGE_LIMITS
+            },
             store: Chaos::new(seed ^ 0x1ed_6e2, Odds::HARD),
             now: Instant::from_millis(1),
             instances: Vec::new(),
-            late: Vec::new(),
+            delayed_holds: Vec::new(),
             answered: 0,
-            excused: BTreeMap::new(),
+            may_be_unbilled: BTreeMap::new(),
             started: 0,
             counts: BTreeMap::new(),
         };
@@ -83,7 +89,7 @@
             name,
             peer_copies: PeerCopies::new(),
             tickets: BTreeMap::new(),
-            keeper: None,
+            copy_holder: None,
         });
     }
 
@@ -99,7 +105,7 @@
             70..120 => self.write(index),
             120..165 => self.offer(index),
             165..190 => self.adopt_orphans(index),
-            190..196 => self.deliver_late(),
+            190..196 => self.deliver_delayed_hold(),
             196 | 197 => self.kill(index),
             198 => self.drain(index),
             _ => {
@@ -125,7 +131,7 @@
         instance.tickets.insert(ticket, request);
     }
 
-    /// Writes the next segment, whose answer may be lost or come late.
+    /// Writes the next segment. The response may be lost or delayed.
     fn write(&mut self, index: usize) {
         let instance = &mut self.instances[index];
         let Some(segment) = instance.buffer.segment() else {
@@ -147,57 +153,63 @@
         }
     }
 
-    /// Offers copies to a peer; the message or its answer may be lost, or the
-    /// message may come again later.
+    /// Copies entries to a peer. The message may be delayed, and the message or
+    /// its response may be lost.
     fn offer(&mut self, index: usize) {
         let names: Vec<_> = self.instances.iter().map(|one| one.name.clone()).collect();
         let other = (index + 1 + self.dice.below(names.len() - 1)) % names.len();
         let instance = &mut self.instances[index];
-        let keeper = instance.keeper.clone();
-        let keeper = keeper.filter(|keeper| names.contains(keeper));
-        if keeper.is_none() {
+        let copy_holder = instance.copy_holder.clone();
+        let copy_holder = copy_holder.filter(|copy_holder| names.contains(copy_holder));
+        if copy_holder.is_none() {
             instance.buffer.reset_copies();
         }
         let copies = instance.buffer.offer(1_000);
-        if copies.is_empty() && keeper.is_none() {
+        if copies.is_empty() && copy_holder.is_none() {
             return;
         }
-        let keeper = keeper.unwrap_or_else(|| names[other].clone());
+        let copy_holder = copy_holder.unwrap_or_else(|| names[other].clone());
         let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
         let hold = Hold {
             owner: instance.name.clone(),
             kept_until: instance.buffer.stored_until(),
             copies,
         };
-        instance.keeper = Some(keeper.clone());
+        instance.copy_holder = Some(copy_holder.clone());
         if self.dice.chance(0.1) {
-            self.late.push((keeper, hold));
-            self.instances[index].keeper = None;
+            self.delayed_holds.push((copy_holder, hold));
+            self.instances[index].copy_holder = None;
             return;
         }
         let now = self.now;
-        let peer = self.instances.iter_mut().find(|one| one.name == keeper);
-        let is_held = peer.expect("it is there").peer_copies.hold(now, hold);
+        let peer = self
+            .instances
+            .iter_mut()
+            .find(|one| one.name == copy_holder);
+        let is_held = peer
+            .expect("the holder is live")
+            .peer_copies
+            .hold(now, hold);
         if is_held && !self.dice.chance(0.1) {
             if let Some(until) = until {
                 self.instances[index].buffer.mark_copied(until);
                 self.count("copies");
             }
         } else {
-            self.instances[index].keeper = None;
+            self.instances[index].copy_holder = None;
         }
     }
 
-    fn deliver_late(&mut self) {
-        if self.late.is_empty() {
+    fn deliver_delayed_hold(&mut self) {
+        if self.delayed_holds.is_empty() {
             return;
         }
-        let index = self.dice.below(self.late.len());
-        let (to, hold) = self.late.swap_remove(index);
+        let index = self.dice.below(self.delayed_holds.len());
+        let (to, hold) = self.delayed_holds.swap_remove(index);
         let now = self.now;
         if let Some(peer) = self.instances.iter_mut().find(|one| one.name == to) {
             peer.peer_copies.hold(now, hold);
-            self.count("late holds");
+            self.count("delayed holds");
         }
     }
 
@@ -212,59 +224,61 @@
         }
     }
 
-    /// Kills an instance. What was not safe is excused; so is what only it and
-    /// an instance killed earlier knew.
+    /// Kills an instance. Entries that were not durable may be unbilled, and so
+    /// may those that only this instance and one killed earlier held.
     fn kill(&mut self, index: usize) {
         let killed = self.instances.swap_remove(index);
-        let safe = killed.buffer.durable_until();
-        let kept = killed.buffer.stored_until();
-        let held = killed.keeper.is_some();
-        let mut promised = BTreeSet::new();
+        let durable_until = killed.buffer.durable_until();
+        let stored_until = killed.buffer.stored_until();
+        let is_copied = killed.copy_holder.is_some();
+        let mut durable = BTreeSet::new();
         for (ticket, request) in killed.tickets {
-            if ticket < kept || (ticket < safe && held) {
-                promised.insert(request);
+            if ticket < stored_until || (ticket < durable_until && is_copied) {
+                durable.insert(request);
             } else {
-                self.excused.insert(request, 1);
+                self.may_be_unbilled.insert(request, 1);
             }
         }
-        // What it held or had taken over from others dies with it.
-        self.lost_twice(&killed.name);
+        // Copies that it held and entries that it had taken over are lost.
+        self.forget_copy_holder(&killed.name);
         let mut copies = killed.peer_copies;
         for entry in copies.drain() {
-            self.unless_elsewhere(&entry);
+            self.note_lost_entry(&entry);
         }
         for entry in killed.buffer.entries() {
-            if !promised.contains(&entry.request) {
-                self.unless_elsewhere(&entry);
+            if !durable.contains(&entry.request) {
+                self.note_lost_entry(&entry);
             }
         }
         self.count("kills");
         self.start();
     }
 
-    /// An entry that died with an instance is excused unless a live instance
-    /// still has it as its own.
-    fn unless_elsewhere(&mut self, lost: &Entry) {
-        let elsewhere = self.instances.iter().any(|one| {
+    /// Notes that an entry lost with an instance may be unbilled, unless the
+    /// buffer of a live instance still contains it.
+    fn note_lost_entry(&mut self, lost: &Entry) {
+        let is_elsewhere = self.instances.iter().any(|one| {
             let mut entries = one.buffer.entries().into_iter();
             entries.any(|entry| entry.request == lost.request)
         });
-        if !elsewhere {
-            self.excused.insert(lost.request.clone(), lost.requests);
+        if !is_elsewhere {
+            self.may_be_unbilled
+                .insert(lost.request.clone(), lost.requests);
         }
     }
 
-    /// Holders of copies for the killed one keep them; owners whose keeper was
-    /// killed are on their own again.
-    fn lost_twice(&mut self, killed: &str) {
+    /// Clears the copy holder of every instance whose copies `gone` held. Peers
+    /// that hold copies for `gone` keep them.
+    fn forget_copy_holder(&mut self, gone: &str) {
         for one in &mut self.instances {
-            if one.keeper.as_deref() == Some(killed) {
-                one.keeper = None;
+            if one.copy_holder.as_deref() == Some(gone) {
+                one.copy_holder = None;
             }
         }
     }
 
-    /// Ends an instance gracefully: to the store, or to a peer.
+    /// Shuts an instance down gracefully: its entries go to the store, and the
+    /// rest to a peer.
     fn drain(&mut self, index: usize) {
         for _ in 0..20 {
             self.write(index);
@@ -275,7 +289,7 @@
         }
         let entries = leaving.buffer.entries();
         if !entries.is_empty() {
-            // The first answer may be lost: it is then handed on once more.
+            // The first response may be lost; the entries are then handed off again.
             for _ in 0..=usize::from(self.dice.chance(0.3)) {
                 let other = self.dice.below(self.instances.len());
                 for entry in entries.clone() {
@@ -285,7 +299,7 @@
             leaving.buffer.hand_off();
             self.count("hand-offs");
         }
-        self.lost_twice(&leaving.name);
+        self.forget_copy_holder(&leaving.name);
         self.count("drains");
         self.start();
     }
@@ -294,8 +308,8 @@
         self.store.down = false;
         self.store.odds = Odds::default();
         self.now = self.now.plus_millis(60_000);
-        while !self.late.is_empty() {
-            self.deliver_late();
+        while !self.delayed_holds.is_empty() {
+            self.deliver_delayed_hold();
         }
         self.now = self.now.plus_millis(60_000);
         for _ in 0..64 {
@@ -314,12 +328,12 @@
 
     fn check(&mut self) {
         let mut totals = Totals::new();
-        let mut single = BTreeSet::new();
+        let mut stored = BTreeSet::new();
         for item in self.store.store.keys("ledger/", 0).items {
             let value = self.store.store.get(&item.key).expect("listed");
             let segment: Segment = serde_json::from_slice(&value.bytes).expect("a segment");
             for entry in segment.entries {
-                single.insert(entry.request.clone());
+                stored.insert(entry.request.clone());
                 totals.add(&entry);
             }
         }
@@ -330,24 +344,25 @@
             "{billed} billed of {}",
             self.answered
         );
-        if self.limits == LARGE {
+        if self.limits == LARGE_LIMITS {
             for number in 1..=self.answered {
                 let request = format!("r{number}");
-                let is_there = single.contains(&request) || self.excused.contains_key(&request);
-                assert!(is_there, "{request} is unbilled");
+                let is_accounted_for =
+                    stored.contains(&request) || self.may_be_unbilled.contains_key(&request);
+                assert!(is_accounted_for, "{request} is unbilled");
             }
         }
-        let excused = self.excused.iter();
-        let excused = excused.filter(|(request, _)| !single.contains(*request));
-        let excused: u64 = excused.map(|(_, requests)| requests).sum();
+        let may_be_unbilled = self.may_be_unbilled.iter();
+        let may_be_unbilled = may_be_unbilled.filter(|(request, _)| !stored.contains(*request));
+        let may_be_unbilled: u64 = may_be_unbilled.map(|(_, requests)| requests).sum();
         let lost = self.answered - billed;
         assert!(
-            lost <= excused,
-            "{lost} answers are unbilled, {excused} excused"
+            lost <= may_be_unbilled,
+            "{lost} answers are unbilled, at most {may_be_unbilled} may be"
         );
         *self.counts.entry("answers").or_default() += self.answered;
-        *self.counts.entry("excused by kills").or_default() += lost;
-        *self.counts.entry("doubles dropped").or_default() += totals.duplicates;
+        *self.counts.entry("unbilled after kills").or_default() += lost;
+        *self.counts.entry("duplicates dropped").or_default() += totals.duplicates;
         let folds: u64 = self.instances.iter().map(|one| one.buffer.folds()).sum();
         *self.counts.entry("folds").or_default() += folds;
     }
@@ -364,27 +379,30 @@
     }
 }
 
-// An outage lasts so long that the entries no longer fit. Dropping them would
-// leave them unbilled, keeping them would fill the small instance's memory.
+// A long store outage fills the buffer. Dropping entries would leave them
+// unbilled, and keeping all of them would exhaust the memory of a small instance.
 #[test]
-fn book_at_its_bound_folds() {
+fn buffer_add_at_bound_folds() {
     const ANSWERS: u64 = 1_000;
-    let mut buffer = Buffer::new("i1", SMALL);
+    let mut buffer = Buffer::new("i1", SMALL_LIMITS);
     for number in 0..ANSWERS {
         buffer.add(entry(number));
     }
     let bytes: usize = buffer.entries().iter().map(Entry::size).sum();
-    assert!(bytes < SMALL.total_bytes + 1_000, "{bytes} bytes are held");
+    assert!(
+        bytes < SMALL_LIMITS.total_bytes + 1_000,
+        "{bytes} bytes are held"
+    );
     assert_eq!(buffer.pending(), ANSWERS);
     let cost: u64 = buffer.entries().iter().map(|entry| entry.cost).sum();
     assert_eq!(cost, ANSWERS);
 }
 
-// Entries were folded, so the oldest tickets stand in a sum that no peer has.
-// Copies of later ones must not make their answers look safe.
+// The oldest entries were folded into a sum that no peer holds. Copies of later
+// entries must not make the earlier ones count as durable.
 #[test]
 fn offer_beside_sums_is_empty() {
-    let mut buffer = Buffer::new("i1", SMALL);
+    let mut buffer = Buffer::new("i1", SMALL_LIMITS);
     for number in 0..100 {
         buffer.add(entry(number));
     }
@@ -392,9 +410,9 @@
     assert!(buffer.offer(1_000).is_empty());
 }
 
-// An instance is killed or drained in an outage of the store, peers hold its
-// entries, answers are lost and messages come late. A month later a bill shows
-// a request twice, or not at all.
+// An instance is killed or drained during a store outage while peers hold copies
+// of its entries, responses are lost and messages are delayed. A request could be
+// billed twice, or not at all.
 #[test]
 fn ledger_faults_billed_once() {
     schedules("ledger", |seed, steps| {
