--- a/crates/core/src/member/exchange.rs
+++ b/crates/core/src/member/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of messages between instances, without its network.
+//! Protocol of the exchange of messages between instances, without network I/O.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::{DigestScheduler, Key, Replica, State, View};
 use crate::clock::Instant;
 
-/// Who this process is.
+/// Identity of this process in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// Name of the fleet.
@@ -20,79 +20,80 @@
     pub id: String,
     /// Availability zone.
     pub zone: String,
-    /// Address of the port for peers.
+    /// Address on which it accepts messages of peers.
     pub address: String,
-    /// Start of the process; a later start has a higher number.
+    /// Incarnation: a later start of the process has a higher number.
     pub incarnation: u64,
 }
 
-/// The time, by both clocks.
+/// Current time by both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Time {
     /// Time since the start of the process.
     pub now: Instant,
-    /// Wall-clock time, for what other instances read.
+    /// Wall-clock time, for timestamps that other instances read.
     pub wall: Instant,
 }
 
-/// What a message brings that is to be merged by the slices.
+/// Contents of a message that the slices merge.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Payload {
-    /// Sender.
+    /// Name of the sender.
     pub origin: String,
     /// Shared states, by slice.
     pub states: BTreeMap<String, Value>,
     /// Digests, by slice.
     pub digests: BTreeMap<String, Value>,
-    /// Revision in force at the sender.
+    /// Revision of the sender's active configuration.
     pub revision: u64,
 }
 
 /// Why a message is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// Another fleet's message.
+    /// The message is from another fleet.
     #[error("message of another fleet")]
     Fleet,
-    /// A version of the protocol that is not understood.
+    /// The protocol version is too old.
     #[error("protocol version is not understood")]
     Protocol,
-    /// The sender's clock is too far from the own one.
+    /// The timestamp is too far from the local clock.
     #[error("message is too old or its clock is wrong")]
     Time,
-    /// The message was already received, or is of an earlier start.
+    /// The message was already received, belongs to an earlier incarnation, or
+    /// carries this process's own name.
     #[error("message was already received")]
     Replayed,
-    /// An answer to another request than the one that was sent.
+    /// The answer belongs to another request than the one that was sent.
     #[error("answer to another request")]
     Mismatched,
 }
 
-/// The exchange of one process with its peers.
+/// Exchange of one process with its peers.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     identity: Identity,
     sequence: u64,
     state: State,
-    urgent: bool,
-    window: ReplayWindow,
-    scheduler: DigestScheduler,
+    is_urgent: bool,
+    replay_window: ReplayWindow,
+    digest_scheduler: DigestScheduler,
     digests: BTreeMap<String, Value>,
     /// Instances of the fleet.
     pub view: View,
-    /// Soft state that all instances should hold alike.
+    /// Soft state that all instances should share.
     pub replica: Replica,
 }
 
 impl Exchange {
-    /// Milliseconds between two exchanges that an instance begins.
+    /// Milliseconds between two exchanges that an instance starts.
     pub const PERIOD_MS: u64 = 1_000;
-    /// Peers that are told at once when shared state changes. Each of them
-    /// does the same, so after a few hops nearly all know; the periodic
-    /// exchanges reach the rest.
+    /// Number of peers with which exchanges start at once when shared state
+    /// changes. Each of them does the same, so the change reaches nearly all
+    /// instances after a few hops; the periodic exchanges reach the rest.
     pub const FANOUT: usize = 3;
 
-    /// Creates the exchange of a process that knows no peer yet.
+    /// Creates the exchange of a process without peers.
     #[must_use]
     pub fn new(identity: Identity) -> Self {
         Self {
@@ -100,77 +101,80 @@
             replica: Replica::new(),
             sequence: 0,
             state: State::Live,
-            urgent: false,
-            window: ReplayWindow::new(),
-            scheduler: DigestScheduler::new(),
+            is_urgent: false,
+            replay_window: ReplayWindow::new(),
+            digest_scheduler: DigestScheduler::new(),
             digests: BTreeMap::new(),
             identity,
         }
     }
 
-    /// Sets the address of the port for peers, once it is bound.
+    /// Sets the address on which this process accepts messages of peers, once
+    /// the port is bound.
     pub fn set_address(&mut self, address: String) {
         self.identity.address = address;
     }
 
-    /// Says from now on that this process leaves.
+    /// Announces in all further messages that this process is leaving.
     pub fn leave(&mut self) {
         self.state = State::Leaving;
-        self.urgent = true;
+        self.is_urgent = true;
     }
 
-    /// Asks for exchanges at once, because a digest holds news that should not
-    /// wait for its turn.
+    /// Requests exchanges at once, because a digest holds an update that should
+    /// not wait for the next period.
     pub fn mark_urgent(&mut self) {
-        self.urgent = true;
+        self.is_urgent = true;
     }
 
-    /// Sets the digests that the next messages carry.
+    /// Sets the digests from which the next messages are filled.
     pub fn set_digests(&mut self, digests: BTreeMap<String, Value>) {
         self.digests = digests;
     }
 
-    /// Returns whether something must be told at once, and takes it as told:
-    /// the caller begins [`Exchange::FANOUT`] exchanges.
+    /// Returns whether there are updates that must be sent at once, and clears
+    /// that mark: the caller starts [`Exchange::FANOUT`] exchanges.
     pub fn take_urgent(&mut self) -> bool {
-        let changed = self.replica.take_urgent();
-        std::mem::take(&mut self.urgent) || changed
+        let is_changed = self.replica.take_urgent();
+        std::mem::take(&mut self.is_urgent) || is_changed
     }
 
-    /// Chooses a peer and returns the message that begins an exchange with it.
+    /// Chooses a peer and returns it with the message that starts an exchange.
     pub fn begin<R: Rng>(
         &mut self,
         time: Time,
         revision: u64,
         rng: &mut R,
     ) -> Option<(Key, Message)> {
-        let partner = self.view.choose_peer(time.now, rng)?;
+        let peer = self.view.choose_peer(time.now, rng)?;
         let mut message = self.message(time, revision);
         message.states = self.replica.recent_changes();
-        Some((partner, message))
+        Some((peer, message))
     }
 
-    /// Returns a message that begins an exchange with a peer of the caller's
-    /// choice, for an operator who asks what every instance has in force.
+    /// Returns a message that starts an exchange with a peer that the caller
+    /// chooses. It serves an operator's query for the active revision of every
+    /// instance.
     pub fn begin_with(&mut self, time: Time, revision: u64) -> Message {
         self.message(time, revision)
     }
 
-    /// Takes a request in.
+    /// Receives a request and returns its payload.
     ///
     /// # Errors
     ///
-    /// Why the request is refused; nothing of it is taken over.
+    /// Why the request is refused; nothing of it is applied then.
     pub fn receive(&mut self, time: Time, request: Message) -> Result<Payload, Refusal> {
         self.check(time, &request)?;
-        Ok(self.take_over(time, request))
+        Ok(self.record(time, request))
     }
 
-    /// Takes an answer in to the request with position `sequence`.
+    /// Receives the answer to the request with number `sequence` and returns
+    /// its payload.
     ///
     /// # Errors
     ///
-    /// Why the answer is refused; nothing of it is taken over.
+    /// Why the answer is refused; nothing of it is applied then.
     pub fn receive_answer(
         &mut self,
         time: Time,
@@ -182,11 +186,12 @@
             return Err(Refusal::Mismatched);
         }
         self.check(time, &answer)?;
-        Ok(self.take_over(time, answer))
+        Ok(self.record(time, answer))
     }
 
-    /// Returns the answer to a request whose input the slices have merged:
-    /// `origin`, `sequence` and `hashes` are the request's.
+    /// Returns the answer to a request whose payload the slices have merged.
+    /// `request` is the sender and the sequence number of that request, and
+    /// `hashes` are its hashes.
     pub fn answer(
         &mut self,
         time: Time,
@@ -216,7 +221,7 @@
             revision,
             hashes: self.replica.hashes(),
             states: BTreeMap::new(),
-            digests: self.scheduler.select(&self.digests),
+            digests: self.digest_scheduler.select(&self.digests),
         }
     }
 
@@ -236,13 +241,15 @@
             sequence,
             ..
         } = message;
-        if *origin == self.identity.id || !self.window.accept(origin, *incarnation, *sequence) {
+        if *origin == self.identity.id
+            || !self.replay_window.accept(origin, *incarnation, *sequence)
+        {
             return Err(Refusal::Replayed);
         }
         Ok(())
     }
 
-    fn take_over(&mut self, time: Time, message: Message) -> Payload {
+    fn record(&mut self, time: Time, message: Message) -> Payload {
         self.view.record_message(
             time.now,
             &message.origin,
@@ -259,9 +266,10 @@
         }
     }
 
-    /// Forgets positions of instances that the view no longer knows.
+    /// Drops replay records of instances that are no longer in the view.
     pub fn forget(&mut self) {
         let view = &self.view;
-        self.window.retain(|origin| view.find(origin).is_some());
+        self.replay_window
+            .retain(|origin| view.find(origin).is_some());
     }
 }
--- a/crates/core/src/member/message.rs
+++ b/crates/core/src/member/message.rs
@@ -1,5 +1,5 @@
-//! The message of an exchange. Field names are short because a message is
-//! sent every second for as long as the fleet lives.
+//! Message of an exchange. Its encoded field names are short because every
+//! instance sends messages every second.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,15 @@
 use super::State;
 use crate::clock::Instant;
 
-/// Version of the protocol that this process speaks.
+/// Version of the protocol that this process sends.
 ///
-/// A later version may add fields and slices, which earlier ones pass over. It rises only when that does not suffice.
+/// A later release may add fields and slices, which earlier ones ignore. The
+/// version rises only for changes that this does not cover.
 pub const PROTOCOL: u32 = 1;
-/// Oldest version of the protocol that this process still understands.
+/// Oldest version of the protocol that this process accepts.
 pub const OLDEST_PROTOCOL: u32 = 1;
 
-/// One direction of an exchange between two instances.
+/// One message of an exchange between two instances: the request or its answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// Version of the protocol.
@@ -25,40 +26,41 @@
     /// Name of the fleet; a message of another fleet is refused.
     #[serde(rename = "f")]
     pub fleet: String,
-    /// Sender.
+    /// Name of the sender.
     #[serde(rename = "o")]
     pub origin: String,
     /// Availability zone of the sender.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Address of the sender's port for peers.
+    /// Address on which the sender accepts messages of peers.
     #[serde(rename = "a")]
     pub address: String,
-    /// Start of the sender's process; a later start has a higher number.
+    /// Incarnation of the sender: a later start of its process has a higher
+    /// number.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Position among the messages of that start.
+    /// Position among the messages of that incarnation.
     #[serde(rename = "n")]
     pub sequence: u64,
-    /// In an answer, the request that it answers: its sender and position.
+    /// In an answer, the sender and the sequence number of the request.
     #[serde(rename = "re", default, skip_serializing_if = "Option::is_none")]
     pub answers: Option<(String, u64)>,
-    /// Wall-clock time of the sender.
+    /// Wall-clock time of the sender when it sent the message.
     #[serde(rename = "t")]
     pub sent: Instant,
-    /// Whether the sender takes part.
+    /// Whether the sender accepts work.
     #[serde(rename = "s")]
     pub state: State,
-    /// Revision of the configuration in force at the sender.
+    /// Revision of the sender's active configuration.
     #[serde(rename = "r")]
     pub revision: u64,
     /// Hash of the shared state of each slice.
     #[serde(rename = "h", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub hashes: BTreeMap<String, u64>,
-    /// Shared state of slices that changed or differ.
+    /// Shared state of the slices that changed or differ.
     #[serde(rename = "d", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub states: BTreeMap<String, Value>,
-    /// Digests of slices: what the sender tells of itself or passes on.
+    /// Digest of each slice: what the sender reports of itself or relays.
     #[serde(rename = "p", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub digests: BTreeMap<String, Value>,
 }
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -1,26 +1,28 @@
-//! Which instances are live, and how soft state travels among them.
+//! Fleet membership, and the exchange of soft state between instances.
 //!
-//! Two views are joined. The platform's list names all instances but lags by
-//! seconds; direct evidence (a message that arrived, an exchange that failed)
-//! is fresh but covers few peers. [`View`] joins them and never waits for
-//! agreement: a wrong view costs a call, never a promise, because what must
-//! be agreed goes through the store's compare-and-swap.
+//! Two sources tell which instances are live. The platform's list names every
+//! instance but lags by seconds. Direct evidence, a message that arrived or an
+//! exchange that failed, is recent but covers few peers. [`View`] combines both
+//! and never waits for agreement: a wrong view costs a failed call and never
+//! correctness, because whatever needs agreement goes through the store's
+//! compare-and-swap.
 //!
-//! Soft state is of two kinds, and each has its own way:
+//! There are two kinds of soft state:
 //!
-//! - What all instances should hold alike (a halt of a roll-out, a suspected
-//!   request) is a [`Replica`]: state that can be merged in any order. Two
-//!   instances compare hashes and exchange only what differs; a change is
-//!   passed on at once. At rest it costs a few bytes.
-//! - What an instance tells of itself, or passes on of others (its counts, its
-//!   use of a limit), is a digest. Each message carries as many digests as fit
+//! - State that all instances should share (the halt of a roll-out, a suspected
+//!   request) is held in a [`Replica`] and can be merged in any order. Two
+//!   instances compare hashes and exchange only the states that differ
+//!   (anti-entropy). A change is passed on at once. Without changes this costs
+//!   a few bytes per message.
+//! - State that an instance reports of itself or relays for others (its counts,
+//!   its use of a limit) is a digest. A message carries as many digests as fit
 //!   ([`DigestScheduler`]).
 //!
-//! Each instance begins one exchange a second with one random peer, and a
-//! message holds a bounded number of bytes, so the cost of an instance does
-//! not grow with the fleet. Without the bound, 340 instances that each tell
-//! all others something every second move 340 messages a second into every
-//! instance, more than ten times the budget of 5 KB a second.
+//! Each instance starts one exchange a second with one random peer, and the
+//! size of a message is bounded, so the cost of an instance does not grow with
+//! the fleet. If instead each of 340 instances sent something to all others
+//! every second, each instance would receive 340 messages a second, more than
+//! ten times the budget of 5 KB a second.
 
 mod digest_scheduler;
 mod exchange;
@@ -39,6 +41,6 @@
 pub use view::{Instance, State, View};
 
 slotmap::new_key_type! {
-    /// An instance of the fleet, as this process knows it.
+    /// Key of an instance in the local [`View`].
     pub struct Key;
 }
--- a/crates/core/src/member/owner.rs
+++ b/crates/core/src/member/owner.rs
@@ -1,10 +1,11 @@
-//! Which instance should handle a key: rendezvous hashing.
+//! Assignment of keys to instances by rendezvous hashing.
 //!
-//! Every instance ranks all live instances by a hash of key and name; the
-//! highest should handle the key. When an instance joins or leaves, only the
-//! keys that it gains or loses move. The result is a hint that lets work
-//! coalesce: instances with unlike views may disagree, so whatever must happen
-//! once is decided by compare-and-swap in the store.
+//! Every instance ranks all live instances by a hash of key and name, and the
+//! highest rank should handle the key. When an instance joins or leaves, only
+//! the keys that it gains or loses move. The result is only a hint that gathers
+//! related work at one instance: instances with different views may disagree,
+//! so anything that must happen once is decided by compare-and-swap in the
+//! store.
 
 use sha2::{Digest as _, Sha256};
 
@@ -14,7 +15,8 @@
     live.max_by_key(|name| (rank(key, name), *name))
 }
 
-/// Returns the `count` instances that should handle `key`, best first.
+/// Returns the `count` live instances that rank highest for `key`, highest
+/// first.
 #[must_use]
 pub fn owners<'a>(key: &[u8], live: impl Iterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
     let mut ranked: Vec<_> = live.map(|name| (rank(key, name), name)).collect();
--- a/crates/core/src/member/replay_window.rs
+++ b/crates/core/src/member/replay_window.rs
@@ -1,81 +1,89 @@
-//! Refusal of messages that were already received.
+//! Replay protection: refuses messages that were already received.
 //!
-//! Whoever can read the network could record a message and send it again.
-//! Merging makes a repeated state harmless, but a repeated word such as "I
-//! leave" is not, and answering costs time. A message is refused when its
-//! position was seen, is too far behind the highest one, or when its time is
-//! too far from the own clock: a restarted process has forgotten positions,
-//! and the time bounds what could be repeated to it.
+//! An attacker who can read the network could record a message and send it
+//! again. A repeated state is harmless because it is merged, but a repeated
+//! announcement such as "this instance is leaving" is not, and answering costs
+//! time. A message is refused when its sequence number was already received or
+//! is too far behind the highest one, or when its timestamp is too far from the
+//! local clock. A restarted process has lost the sequence numbers that it
+//! received, and the timestamp bounds which messages can be replayed to it.
 
 use std::collections::BTreeMap;
 
 use crate::clock::Instant;
 
-/// Milliseconds by which the clocks of two instances may differ, travel
-/// included.
+/// Maximum difference between the timestamp of a message and the local clock, in
+/// milliseconds, time in transit included.
 pub const MAX_CLOCK_SKEW_MS: u64 = 30_000;
-/// Positions behind the highest one that are still told apart.
-const WIDTH: u64 = 64;
+/// Number of sequence numbers up to the highest one that are tracked; lower ones
+/// are refused.
+const WINDOW_SIZE: u64 = 64;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Received {
     incarnation: u64,
     highest: u64,
+    /// Bit `n` is set when the message `n` before the highest was received.
     bits: u64,
 }
 
-/// Which messages of each instance were received.
+/// Sequence numbers of the messages that were received from each instance.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayWindow {
-    seen: BTreeMap<String, Seen>,
+    received: BTreeMap<String, Received>,
 }
 
 impl ReplayWindow {
-    /// Returns a window that has seen nothing.
+    /// Returns a window without received messages.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns whether a message is new, and remembers it.
+    /// Records a message and returns whether it is new.
     pub fn accept(&mut self, origin: &str, incarnation: u64, sequence: u64) -> bool {
-        let seen = self.seen.entry(origin.to_owned()).or_default();
-        if incarnation < seen.incarnation {
+        let received = self.received.entry(origin.to_owned()).or_default();
+        if incarnation < received.incarnation {
             return false;
         }
-        if incarnation > seen.incarnation {
-            *seen = Seen {
+        if incarnation > received.incarnation {
+            *received = Received {
                 incarnation,
                 highest: sequence,
                 bits: 1,
             };
             return true;
         }
-        if sequence > seen.highest {
-            let ahead = sequence - seen.highest;
-            seen.bits = if ahead < WIDTH { seen.bits << ahead } else { 0 };
-            seen.bits |= 1;
-            seen.highest = sequence;
+        if sequence > received.highest {
+            let ahead = sequence - received.highest;
+            received.bits = if ahead < WINDOW_SIZE {
+                received.bits << ahead
+            } else {
+                0
+            };
+            received.bits |= 1;
+            received.highest = sequence;
             return true;
         }
-        let behind = seen.highest - sequence;
+        let behind = received.highest - sequence;
         let bit = 1_u64.checked_shl(u32::try_from(behind).unwrap_or(u32::MAX));
         match bit {
-            Some(bit) if seen.bits & bit == 0 => {
-                seen.bits |= bit;
+            Some(bit) if received.bits & bit == 0 => {
+                received.bits |= bit;
                 true
             }
             _ => false,
         }
     }
 
-    /// Forgets instances that are no longer known.
-    pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.seen.retain(|origin, _| known(origin));
+    /// Drops the records of instances for which `is_known` returns `false`.
+    pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
+        self.received.retain(|origin, _| is_known(origin));
     }
 }
 
-/// Returns whether the sender's clock is close enough to the own one.
+/// Returns whether the timestamp of a message is close enough to the local
+/// clock.
 #[must_use]
 pub fn is_timely(sent: Instant, wall: Instant) -> bool {
     let millis = wall.since(sent).max(sent.since(wall)).as_millis();
--- a/crates/core/src/member/replica.rs
+++ b/crates/core/src/member/replica.rs
@@ -1,15 +1,15 @@
-//! Soft state that all instances should hold alike.
+//! Soft state that all instances should share.
 //!
-//! Each slice offers its state as a value that can be merged with another in
-//! any order and any number of times, and that is written the same way by all
-//! instances that hold the same. A message names a hash of each slice; where
-//! hashes differ, the state itself is sent and merged, and from then on both
-//! hold the same. So a repeated, reordered or lost message does no harm.
+//! Each slice provides its state as a value that can be merged with another in
+//! any order and any number of times, and whose encoding is the same on all
+//! instances with the same state. A message carries a hash of each slice. Where
+//! hashes differ, the state itself is sent and merged, after which both
+//! instances hold the same. A repeated, reordered or lost message therefore
+//! does no harm.
 //!
-//! A change is changes for a few messages: it is sent along without waiting to be
-//! asked, which is what makes a halt cross a fleet of 340 instances in a few
-//! exchanges. Since a random spread can miss an instance, the comparison of
-//! hashes goes on for ever.
+//! The next few messages after a change carry it unasked (rumour mongering), so
+//! that a halt reaches a fleet of 340 instances within a few exchanges. Random
+//! spreading can miss an instance, so the comparison of hashes never stops.
 
 use std::collections::BTreeMap;
 
@@ -20,52 +20,54 @@
 struct Entry {
     state: Value,
     hash: u64,
-    sends: u32,
-    urgent: bool,
+    /// Messages that still carry the state unasked.
+    sends_left: u32,
+    is_urgent: bool,
 }
 
-/// The shared soft state that this process holds, by slice.
+/// Shared soft state of this process, by slice.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     entries: BTreeMap<String, Entry>,
 }
 
 impl Replica {
-    /// Messages that carry a change beyond the logarithm of the fleet's size.
+    /// Messages that carry a change unasked, in addition to the binary
+    /// logarithm of the fleet's size.
     pub const EXTRA_SENDS: u32 = 2;
-    /// Largest state of one slice, in bytes of JSON. It bounds a message and
-    /// the memory; a slice must forget before it grows beyond.
+    /// Maximum state of one slice, in bytes of JSON. It bounds messages and
+    /// memory; a slice must drop old state before it exceeds this.
     pub const MAX_STATE_BYTES: usize = 4_096;
 
-    /// Returns a replica that holds nothing.
+    /// Returns an empty replica.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes over what a slice holds now. A change is sent along with the next
-    /// messages to a fleet of `members` instances.
+    /// Sets the state of a slice. A change is sent along with the next messages;
+    /// their number follows from the `members` of the fleet.
     ///
-    /// Returns whether it changed; a state over [`Replica::MAX_STATE_BYTES`] is not
-    /// taken.
+    /// Returns whether the state changed. A state above
+    /// [`Replica::MAX_STATE_BYTES`] is ignored.
     pub fn set(&mut self, slice: &str, state: Value, members: usize) -> bool {
         let hash = hash(&state);
-        let known = self.entries.get(slice).map(|entry| entry.hash);
-        if known == Some(hash) || state.to_string().len() > Self::MAX_STATE_BYTES {
+        let previous = self.entries.get(slice).map(|entry| entry.hash);
+        if previous == Some(hash) || state.to_string().len() > Self::MAX_STATE_BYTES {
             return false;
         }
         let entry = Entry {
             state,
             hash,
-            sends: members.max(2).ilog2() + Self::EXTRA_SENDS,
-            // What a slice holds at the start is not news.
-            urgent: known.is_some(),
+            sends_left: members.max(2).ilog2() + Self::EXTRA_SENDS,
+            // The first state of a slice is not a change.
+            is_urgent: previous.is_some(),
         };
         self.entries.insert(slice.to_owned(), entry);
         true
     }
 
-    /// Returns what a slice holds.
+    /// Returns the state of a slice.
     #[must_use]
     pub fn get(&self, slice: &str) -> Option<&Value> {
         self.entries.get(slice).map(|entry| &entry.state)
@@ -80,22 +82,23 @@
             .collect()
     }
 
-    /// Returns the states to send along unasked, and counts the sending.
+    /// Returns the recently changed states, to be sent along unasked, and counts
+    /// this message for each of them.
     pub fn recent_changes(&mut self) -> BTreeMap<String, Value> {
         let mut changes = BTreeMap::new();
         for (slice, entry) in &mut self.entries {
-            if entry.sends > 0 {
-                entry.sends -= 1;
+            if entry.sends_left > 0 {
+                entry.sends_left -= 1;
                 changes.insert(slice.clone(), entry.state.clone());
             }
         }
         changes
     }
 
-    /// Returns the states that differ from a peer's, given the peer's hashes.
+    /// Returns the states whose hash differs from that of a peer.
     ///
-    /// Slices that the peer does not name are left out: it runs a version that
-    /// does not know them.
+    /// Slices that are missing in the peer's hashes are omitted, because its
+    /// release does not support them.
     #[must_use]
     pub fn differing(&self, hashes: &BTreeMap<String, u64>) -> BTreeMap<String, Value> {
         let entries = self.entries.iter();
@@ -105,18 +108,18 @@
             .collect()
     }
 
-    /// Returns whether a change has not been sent yet, and forgets that it
-    /// was asked: the caller exchanges at once.
+    /// Returns whether there are changes that must be sent at once, and clears
+    /// that mark: the caller starts exchanges.
     pub fn take_urgent(&mut self) -> bool {
-        let mut urgent = false;
+        let mut is_urgent = false;
         for entry in self.entries.values_mut() {
-            urgent |= std::mem::take(&mut entry.urgent);
+            is_urgent |= std::mem::take(&mut entry.is_urgent);
         }
-        urgent
+        is_urgent
     }
 }
 
-/// Returns a hash that is the same on all instances.
+/// Returns a hash of a state that is the same on all instances.
 fn hash(state: &Value) -> u64 {
     let digest = Sha256::digest(state.to_string());
     let mut first = [0; 8];
--- a/crates/core/src/member/view.rs
+++ b/crates/core/src/member/view.rs
@@ -1,14 +1,13 @@
-//! The instances of the fleet: the platform's list joined with direct
-//! evidence.
+//! Instances of the fleet: the platform's list combined with direct evidence.
 //!
-//! - An instance that the list shows is live until it says that it leaves, the
-//!   list says so, or exchanges with it fail repeatedly.
-//! - An instance that sends messages is live although the list does not show
-//!   it yet: the list lags for joining instances too.
-//! - The word of an instance that it leaves holds for that start of it only;
-//!   a restarted one has a higher incarnation and is live again.
-//! - Suspicion is local and ends by itself: a lost region must not be
-//!   forgotten, and must be found again when the network heals.
+//! - A listed instance is live until it announces that it is leaving, the list
+//!   reports it as leaving, or exchanges with it fail repeatedly.
+//! - An instance that sends messages is live even if the list does not show it
+//!   yet, because the list lags for joining instances too.
+//! - An instance's announcement that it is leaving holds for that incarnation
+//!   only. After a restart it has a higher incarnation and is live again.
+//! - Suspicion is local and expires. A region that is cut off must stay known,
+//!   so that its instances are found again when the network heals.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,77 +17,78 @@
 use super::Key;
 use crate::clock::Instant;
 
-/// Whether an instance takes part.
+/// Whether an instance accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes work.
+    /// Accepts work.
     Live,
-    /// Finishes its work and takes no more.
+    /// Finishes its work and accepts no more.
     Leaving,
 }
 
-/// What is known of an instance.
+/// Recorded state of another instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
     /// Name.
     pub id: String,
     /// Availability zone.
     pub zone: String,
-    /// Address of its port for peers, as `host:port`.
+    /// Address on which it accepts messages of peers, as `host:port`.
     pub address: String,
-    /// Start of the process; a later start has a higher number. 0 until the
-    /// instance has been heard.
+    /// Incarnation: a later start of the process has a higher number. 0 until a
+    /// message was received.
     pub incarnation: u64,
-    /// Whether it takes part.
+    /// Whether it accepts work.
     pub state: State,
     /// Whether the platform's list shows it.
     pub listed: bool,
-    /// When it was last heard.
+    /// When its last message was received.
     pub last_received: Option<Instant>,
-    /// Exchanges that failed since it was last heard.
+    /// Exchanges that failed since its last message.
     pub failures: u32,
-    /// Until when it is not chosen for an exchange.
+    /// End of the time in which it counts as failed.
     pub suspected_until: Instant,
 }
 
-/// The instances that this process knows, itself left out.
+/// Other instances of the fleet, as recorded by this process.
 #[derive(Clone, Debug)]
 pub struct View {
-    own: String,
-    zone: String,
+    local_id: String,
+    local_zone: String,
     instances: SlotMap<Key, Instance>,
     index: BTreeMap<String, Key>,
 }
 
 impl View {
-    /// Failures after which an instance is suspected. One may be a restart of
-    /// a connection; three in a row at one exchange a second are not.
+    /// Failed exchanges in a row after which an instance is suspected. A single
+    /// failure may come from a connection that is re-established; three in a
+    /// row at one exchange a second do not.
     pub const SUSPICION_FAILURES: u32 = 3;
-    /// Milliseconds for which a suspected instance is left alone. Long enough
+    /// Milliseconds for which a suspected instance is not contacted. Long enough
     /// that a dead instance costs few failed exchanges before the list drops
     /// it, short enough that a healed partition is found within seconds.
     pub const SUSPICION_MS: u64 = 5_000;
-    /// Milliseconds for which an instance that the list does not show stays
-    /// known after it was last heard.
+    /// Milliseconds after its last message for which an instance that the list
+    /// does not show is kept.
     pub const UNLISTED_RETENTION_MS: u64 = 30_000;
-    /// One exchange in this many goes to another availability zone, so that
-    /// most traffic stays where it is cheap and news still crosses quickly.
+    /// One exchange in this many goes to another availability zone. Most traffic
+    /// stays within a zone, where it is cheap, and updates still cross quickly.
     pub const CROSS_ZONE_INTERVAL: u32 = 4;
 
-    /// Creates a view of the process `own` in `zone`.
+    /// Creates the view of the instance `id` in `zone`, without peers.
     #[must_use]
-    pub fn new(own: &str, zone: &str) -> Self {
+    pub fn new(id: &str, zone: &str) -> Self {
         Self {
-            own: own.to_owned(),
-            zone: zone.to_owned(),
+            local_id: id.to_owned(),
+            local_zone: zone.to_owned(),
             instances: SlotMap::with_key(),
             index: BTreeMap::new(),
         }
     }
 
-    /// Takes over a reading of the platform's list: name, zone, address and
-    /// state of each instance.
+    /// Applies the platform's list: name, zone, address and state of each
+    /// instance.
     pub fn observe<'a>(
         &mut self,
         now: Instant,
@@ -96,10 +96,10 @@
     ) {
         let mut listed = BTreeSet::new();
         for (id, zone, address, state) in list {
-            if id == self.own {
+            if id == self.local_id {
                 continue;
             }
-            let key = self.enter(id, zone, address);
+            let key = self.find_or_insert(id, zone, address);
             listed.insert(key);
             let instance = &mut self.instances[key];
             instance.listed = true;
@@ -112,11 +112,11 @@
         for (key, instance) in &mut self.instances {
             instance.listed = listed.contains(&key);
         }
-        self.forget(now);
+        self.expire_unlisted(now);
     }
 
-    /// Records a message of an instance; a message of an earlier start of it
-    /// is passed over, and `false` is returned.
+    /// Records a message of an instance. Returns `false` and changes nothing if
+    /// the message is from this process or from an earlier incarnation.
     pub fn record_message(
         &mut self,
         now: Instant,
@@ -126,10 +126,10 @@
         incarnation: u64,
         state: State,
     ) -> bool {
-        if id == self.own {
+        if id == self.local_id {
             return false;
         }
-        let key = self.enter(id, zone, address);
+        let key = self.find_or_insert(id, zone, address);
         let instance = &mut self.instances[key];
         if incarnation < instance.incarnation {
             return false;
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Returns whether an instance counts as live.
+    /// Returns whether an instance counts as live: known, not leaving and not
+    /// suspected.
     #[must_use]
     pub fn is_live(&self, now: Instant, key: Key) -> bool {
         self.instances.get(key).is_some_and(|instance| {
@@ -166,68 +167,67 @@
         })
     }
 
-    /// Iterates over the names of the live instances, the own one among them.
+    /// Iterates over the names of the live instances, this one included.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = &str> {
         let others = self
             .instances
             .iter()
             .filter(move |(key, _)| self.is_live(now, *key))
             .map(|(_, instance)| instance.id.as_str());
-        std::iter::once(self.own.as_str()).chain(others)
+        std::iter::once(self.local_id.as_str()).chain(others)
     }
 
-    /// Returns the number of instances that are listed or were heard, the own
-    /// one among them.
+    /// Returns the number of instances in the view, plus this one.
     #[must_use]
     pub fn size(&self) -> usize {
         self.instances.len() + 1
     }
 
-    /// Chooses an instance for an exchange: mostly one of the own availability
-    /// zone, sometimes one of another. Suspected and leaving ones are left out.
+    /// Chooses a random live instance for an exchange, mostly from the local
+    /// availability zone and sometimes from another one.
     pub fn choose_peer<R: Rng>(&self, now: Instant, rng: &mut R) -> Option<Key> {
-        let cross = rng.random_ratio(1, Self::CROSS_ZONE_INTERVAL);
-        let mut near = Vec::new();
-        let mut far = Vec::new();
+        let is_cross_zone = rng.random_ratio(1, Self::CROSS_ZONE_INTERVAL);
+        let mut same_zone = Vec::new();
+        let mut other_zones = Vec::new();
         for (key, instance) in &self.instances {
             if !self.is_live(now, key) {
                 continue;
             }
-            if instance.zone == self.zone {
-                near.push(key);
+            if instance.zone == self.local_zone {
+                same_zone.push(key);
             } else {
-                far.push(key);
+                other_zones.push(key);
             }
         }
-        let pool = match (near.is_empty(), far.is_empty()) {
-            (true, _) => far,
-            (false, false) if cross => far,
-            (false, _) => near,
+        let candidates = match (same_zone.is_empty(), other_zones.is_empty()) {
+            (true, _) => other_zones,
+            (false, false) if is_cross_zone => other_zones,
+            (false, _) => same_zone,
         };
-        if pool.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        Some(pool[rng.random_range(0..pool.len())])
+        Some(candidates[rng.random_range(0..candidates.len())])
     }
 
-    /// Returns an instance.
+    /// Returns the instance with a key.
     #[must_use]
     pub fn get(&self, key: Key) -> Option<&Instance> {
         self.instances.get(key)
     }
 
-    /// Returns the key of an instance.
+    /// Returns the key of the instance with a name.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<Key> {
         self.index.get(id).copied()
     }
 
-    /// Iterates over all instances but the own one.
+    /// Iterates over all other instances.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &Instance)> {
         self.instances.iter()
     }
 
-    fn enter(&mut self, id: &str, zone: &str, address: &str) -> Key {
+    fn find_or_insert(&mut self, id: &str, zone: &str, address: &str) -> Key {
         if let Some(key) = self.index.get(id) {
             return *key;
         }
@@ -246,17 +246,18 @@
         key
     }
 
-    fn forget(&mut self, now: Instant) {
+    /// Removes the instances that are neither listed nor recently active.
+    fn expire_unlisted(&mut self, now: Instant) {
         let index = &mut self.index;
         self.instances.retain(|_, instance| {
-            let recent = instance
+            let is_recent = instance
                 .last_received
-                .is_some_and(|heard| now < heard.plus_millis(Self::UNLISTED_RETENTION_MS));
-            let keep = instance.listed || recent;
-            if !keep {
+                .is_some_and(|received| now < received.plus_millis(Self::UNLISTED_RETENTION_MS));
+            let is_kept = instance.listed || is_recent;
+            if !is_kept {
                 index.remove(&instance.id);
             }
-            keep
+            is_kept
         });
     }
 }
