--- a/crates/core/tests/all/member.rs
+++ b/crates/core/tests/all/member.rs
@@ -1,4 +1,4 @@
-//! Instances, their shared soft state and their messages.
+//! Membership, shared soft state and messages of instances.
 
 use std::collections::BTreeMap;
 
@@ -30,96 +30,99 @@
     Exchange::new(identity)
 }
 
-fn know(exchange: &mut Exchange, names: &[&str]) {
+fn observe(exchange: &mut Exchange, names: &[&str]) {
     let list = names
         .iter()
         .map(|name| (*name, "espoo-a", "address:1", State::Live));
     exchange.view.observe(Instant::ORIGIN, list);
 }
 
-/// Lets `one` exchange with `other`, merging by taking the larger number, and
-/// returns what each was brought.
+/// Runs one exchange that `one` starts with `other`; both merge by taking the
+/// larger number. Returns the payloads that `other` and `one` received.
 fn exchange(one: &mut Exchange, other: &mut Exchange, millis: u64) -> (Payload, Payload) {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let (_, request) = one.begin(time(millis), 1, &mut rng).expect("a partner");
-    let about = (request.origin.clone(), request.sequence);
+    let (_, request) = one.begin(time(millis), 1, &mut rng).expect("a peer");
+    let request_id = (request.origin.clone(), request.sequence);
     let hashes = request.hashes.clone();
-    let brought = other.receive(time(millis), request).expect("accepted");
-    take_larger(other, &brought.states);
-    let answer = other.answer(time(millis), 1, about.clone(), &hashes);
-    let answered = one.receive_answer(time(millis), about.1, answer);
+    let received = other.receive(time(millis), request).expect("accepted");
+    merge_max(other, &received.states);
+    let answer = other.answer(time(millis), 1, request_id.clone(), &hashes);
+    let answered = one.receive_answer(time(millis), request_id.1, answer);
     let answered = answered.expect("accepted");
-    take_larger(one, &answered.states);
-    (brought, answered)
+    merge_max(one, &answered.states);
+    (received, answered)
 }
 
-fn take_larger(exchange: &mut Exchange, states: &BTreeMap<String, Value>) {
-    let theirs = states.get("halts").and_then(Value::as_u64);
-    let own = exchange.replica.get("halts").and_then(Value::as_u64);
-    if let Some(larger) = theirs.max(own) {
+fn merge_max(exchange: &mut Exchange, states: &BTreeMap<String, Value>) {
+    let remote = states.get("halts").and_then(Value::as_u64);
+    let local = exchange.replica.get("halts").and_then(Value::as_u64);
+    if let Some(larger) = remote.max(local) {
         exchange.replica.set("halts", json!(larger), 2);
     }
 }
 
-// A halt is known to one instance only, and the instance that is told of it
-// lost the message that would have told it at once. The next exchange between
-// the two must bring both to the same state, whoever begins it.
+// Only one instance has a halt, and the message that should have carried it to
+// the other at once was lost. The next exchange between the two must bring both
+// to the same state, whichever starts it.
 #[rstest]
-#[case::knowing_begins(true)]
-#[case::unknowing_begins(false)]
-fn replica_differing_converges(#[case] knowing_begins: bool) {
-    let mut knowing = instance("a", 1);
-    let mut unknowing = instance("b", 1);
-    know(&mut knowing, &["b"]);
-    know(&mut unknowing, &["a"]);
-    knowing.replica.set("halts", json!(0), 2);
-    unknowing.replica.set("halts", json!(0), 2);
+#[case::newer_begins(true)]
+#[case::older_begins(false)]
+fn replica_differing_converges(#[case] newer_begins: bool) {
+    let mut newer = instance("a", 1);
+    let mut older = instance("b", 1);
+    observe(&mut newer, &["b"]);
+    observe(&mut older, &["a"]);
+    newer.replica.set("halts", json!(0), 2);
+    older.replica.set("halts", json!(0), 2);
     for _ in 0..8 {
-        knowing.replica.recent_changes();
-        unknowing.replica.recent_changes();
+        newer.replica.recent_changes();
+        older.replica.recent_changes();
     }
-    knowing.replica.set("halts", json!(7), 2);
-    if knowing_begins {
-        exchange(&mut knowing, &mut unknowing, 1);
+    newer.replica.set("halts", json!(7), 2);
+    if newer_begins {
+        exchange(&mut newer, &mut older, 1);
     } else {
-        exchange(&mut unknowing, &mut knowing, 1);
+        exchange(&mut older, &mut newer, 1);
     }
-    assert_eq!(knowing.replica.hashes(), unknowing.replica.hashes());
-    assert_eq!(unknowing.replica.get("halts"), Some(&json!(7)));
+    assert_eq!(newer.replica.hashes(), older.replica.hashes());
+    assert_eq!(older.replica.get("halts"), Some(&json!(7)));
 }
 
 #[test]
 fn replica_same_sends_no_state() {
     let mut one = instance("a", 1);
     let mut other = instance("b", 1);
-    know(&mut one, &["b"]);
+    observe(&mut one, &["b"]);
     one.replica.set("halts", json!(7), 2);
     other.replica.set("halts", json!(7), 2);
     for _ in 0..8 {
         one.replica.recent_changes();
     }
-    let (brought, answered) = exchange(&mut one, &mut other, 1);
-    assert!(brought.states.is_empty() && answered.states.is_empty());
+    let (received, answered) = exchange(&mut one, &mut other, 1);
+    assert!(received.states.is_empty() && answered.states.is_empty());
 }
 
-// An attacker records the message with which an instance said that it leaves
-// and sends it again after the instance has restarted: a peer that believed it
-// would stop counting on a live instance.
+// An attacker records the message that announces that an instance is leaving and
+// replays it after the instance has restarted. A peer that accepted it would
+// treat a live instance as leaving.
 #[test]
-fn receive_repeated_is_refused() {
+fn receive_replayed_is_refused() {
     let mut leaving = instance("a", 1);
     let mut peer = instance("b", 1);
-    know(&mut leaving, &["b"]);
+    observe(&mut leaving, &["b"]);
     leaving.leave();
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let (_, word) = leaving.begin(time(1), 1, &mut rng).expect("a partner");
-    assert!(peer.receive(time(1), word.clone()).is_ok());
-    assert_eq!(peer.receive(time(2), word.clone()), Err(Refusal::Replayed));
+    let (_, announcement) = leaving.begin(time(1), 1, &mut rng).expect("a peer");
+    assert!(peer.receive(time(1), announcement.clone()).is_ok());
+    assert_eq!(
+        peer.receive(time(2), announcement.clone()),
+        Err(Refusal::Replayed)
+    );
     let mut restarted = instance("a", 2);
-    know(&mut restarted, &["b"]);
-    let (_, hello) = restarted.begin(time(3), 1, &mut rng).expect("a partner");
-    assert!(peer.receive(time(3), hello).is_ok());
-    assert_eq!(peer.receive(time(4), word), Err(Refusal::Replayed));
+    observe(&mut restarted, &["b"]);
+    let (_, first) = restarted.begin(time(3), 1, &mut rng).expect("a peer");
+    assert!(peer.receive(time(3), first).is_ok());
+    assert_eq!(peer.receive(time(4), announcement), Err(Refusal::Replayed));
     let key = peer.view.find("a").expect("known");
     assert!(peer.view.is_live(Instant::from_millis(4), key));
 }
@@ -128,68 +131,70 @@
 #[case::other_fleet(|message: &mut Message| message.fleet = "other".to_owned(), Refusal::Fleet)]
 #[case::too_old(|message: &mut Message| message.sent = Instant::ORIGIN, Refusal::Time)]
 #[case::old_protocol(|message: &mut Message| message.protocol = 0, Refusal::Protocol)]
-#[case::own(|message: &mut Message| message.origin = "b".to_owned(), Refusal::Replayed)]
+#[case::own_name(|message: &mut Message| message.origin = "b".to_owned(), Refusal::Replayed)]
 fn receive_foreign_is_refused(#[case] change: fn(&mut Message), #[case] refusal: Refusal) {
     let mut sender = instance("a", 1);
     let mut peer = instance("b", 1);
-    know(&mut sender, &["b"]);
+    observe(&mut sender, &["b"]);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let (_, mut message) = sender.begin(time(1), 1, &mut rng).expect("a partner");
+    let (_, mut message) = sender.begin(time(1), 1, &mut rng).expect("a peer");
     change(&mut message);
     assert_eq!(peer.receive(time(1), message), Err(refusal));
-    assert_eq!(peer.view.size(), 1, "nothing is learnt from it");
+    assert_eq!(peer.view.size(), 1, "a refused message changed the view");
 }
 
-// Two answers cross on the network. The second would be taken for the answer
-// to the first request and mark the wrong peer as heard.
+// Two answers arrive in swapped order. Without the check, the answer to the
+// second request would be taken for that to the first and count as a message of
+// the wrong peer.
 #[test]
-fn receive_answer_crossed_is_refused() {
+fn receive_answer_mismatched_is_refused() {
     let mut asking = instance("a", 1);
     let mut peer = instance("b", 1);
-    know(&mut asking, &["b"]);
+    observe(&mut asking, &["b"]);
     let answer = peer.answer(time(1), 1, ("a".to_owned(), 9), &BTreeMap::new());
     let refused = asking.receive_answer(time(1), 8, answer);
     assert_eq!(refused, Err(Refusal::Mismatched));
 }
 
-// During a rolling upgrade a later version sends a later protocol number,
-// fields and slices that this version does not know. It must still be heard.
+// During a rolling upgrade a later release sends a higher protocol number, and
+// fields and slices that this release does not support. Its messages must be
+// accepted.
 #[test]
-fn receive_later_version_is_heard() {
+fn receive_later_version_is_accepted() {
     let mut later = instance("a", 1);
     let mut peer = instance("b", 1);
-    know(&mut later, &["b"]);
+    observe(&mut later, &["b"]);
     later.set_digests([("unknown-slice".to_owned(), json!({"x": 1}))].into());
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let (_, message) = later.begin(time(1), 1, &mut rng).expect("a partner");
+    let (_, message) = later.begin(time(1), 1, &mut rng).expect("a peer");
     let mut json = serde_json::to_value(message).expect("plain fields");
     json["v"] = json!(2);
     json["new"] = json!("field");
-    let message: Message = serde_json::from_value(json).expect("unknown fields are passed over");
-    let brought = peer.receive(time(1), message).expect("accepted");
-    assert_eq!(brought.digests.len(), 1);
+    let message: Message = serde_json::from_value(json).expect("unknown fields are ignored");
+    let received = peer.receive(time(1), message).expect("accepted");
+    assert_eq!(received.digests.len(), 1);
 }
 
 #[test]
-fn replay_window_accept_accepts_each_position_once() {
+fn replay_window_accept_takes_each_sequence_once() {
     let mut window = ReplayWindow::new();
-    let order = [5, 3, 4, 70, 6, 5, 3, 70, 69];
-    let taken: Vec<bool> = order
+    let sequences = [5, 3, 4, 70, 6, 5, 3, 70, 69];
+    let accepted: Vec<bool> = sequences
         .iter()
-        .map(|position| window.accept("a", 1, *position))
+        .map(|sequence| window.accept("a", 1, *sequence))
         .collect();
-    // 6 is 64 behind 70 and can no longer be told from a repeated one.
+    // 6 is 64 behind 70 and can no longer be distinguished from a repetition.
     assert_eq!(
-        taken,
+        accepted,
         [true, true, true, true, false, false, false, false, true]
     );
 }
 
-// The list lags: it still shows an instance that was killed. After three
-// failed exchanges it is left alone, and it is tried again later, because a
-// parted region comes back.
+// The platform's list lags and still shows an instance that was killed. After
+// three failed exchanges it is not contacted for a while, and then tried again,
+// because a partitioned region comes back.
 #[test]
-fn view_failing_is_suspected_for_a_while() {
+fn view_record_failure_suspects_for_a_while() {
     let mut view = View::new("a", "espoo-a");
     view.observe(
         Instant::ORIGIN,
@@ -205,10 +210,10 @@
     assert!(view.is_live(now.plus_millis(View::SUSPICION_MS), key));
 }
 
-// An instance that says that it leaves gets no more work although the list
-// shows it as live for some seconds more; after a restart it is live again.
+// An instance that announces that it is leaving gets no more work although the
+// list shows it as live for some more seconds. After a restart it is live again.
 #[test]
-fn view_leaving_holds_for_one_start() {
+fn view_leaving_holds_for_one_incarnation() {
     let mut view = View::new("a", "espoo-a");
     let now = Instant::from_millis(10);
     assert!(view.record_message(now, "b", "espoo-a", "b:1", 1, State::Leaving));
@@ -235,13 +240,13 @@
         let best = owners(&key, names.iter().map(String::as_str), 2);
         assert_eq!(best[0], all);
     }
-    // A ninth of 1,000 is 111; fewer than 60 or more than 180 would be a
-    // lopsided hash.
+    // A ninth of 1,000 keys is 111. Fewer than 60 or more than 180 would mean
+    // that the hash is uneven.
     assert!((60..180).contains(&moved), "{moved} keys moved");
 }
 
-// Three slices have more to tell than messages may carry, one of them more
-// than one message. Each must be heard again and again, within the budget.
+// Three slices report more than messages may carry, and the digest of one is as
+// large as a message allows. Each must be sent repeatedly within the budget.
 #[test]
 fn digest_scheduler_select_takes_turns() {
     let digest = |bytes| json!("x".repeat(bytes - 2));
@@ -252,31 +257,34 @@
     ];
     let digests = digests.into_iter().collect();
     let mut scheduler = DigestScheduler::new();
-    let mut heard = BTreeMap::new();
+    let mut times_sent = BTreeMap::new();
     let mut bytes = 0;
     let messages = 100;
     for _ in 0..messages {
         for (slice, digest) in scheduler.select(&digests) {
-            *heard.entry(slice).or_insert(0) += 1;
+            *times_sent.entry(slice).or_insert(0) += 1;
             bytes += digest.to_string().len();
         }
     }
     assert!(bytes <= messages * DigestScheduler::AVERAGE_BYTES);
-    // The wait for the large one may waste a fifth of the rounds that fit.
-    let round = DigestScheduler::MAX_BYTES + 2 * 400;
-    let rounds = messages * DigestScheduler::AVERAGE_BYTES / round * 4 / 5;
-    let all_heard = heard.values().all(|times| *times >= rounds);
-    assert!(heard.len() == 3 && all_heard, "{heard:?}, {rounds} rounds");
+    // Waiting for the large digest may waste a fifth of the rounds that fit.
+    let round_bytes = DigestScheduler::MAX_BYTES + 2 * 400;
+    let rounds = messages * DigestScheduler::AVERAGE_BYTES / round_bytes * 4 / 5;
+    let is_each_sent = times_sent.values().all(|times| *times >= rounds);
+    assert!(
+        times_sent.len() == 3 && is_each_sent,
+        "{times_sent:?}, {rounds} rounds"
+    );
 }
 
 #[test]
-fn digest_scheduler_select_leaves_out_what_never_fits() {
+fn digest_scheduler_select_omits_what_never_fits() {
     let large = json!("x".repeat(DigestScheduler::MAX_BYTES + 1));
     let digests = [("a".to_owned(), large), ("b".to_owned(), json!(1))];
     let digests = digests.into_iter().collect();
     let mut scheduler = DigestScheduler::new();
     for _ in 0..3 {
-        let chosen: Vec<String> = scheduler.select(&digests).into_keys().collect();
-        assert_eq!(chosen, ["b"]);
+        let selected: Vec<String> = scheduler.select(&digests).into_keys().collect();
+        assert_eq!(selected, ["b"]);
     }
 }
