--- a/crates/core/src/activation/apply/mod.rs
+++ b/crates/core/src/activation/apply/mod.rs
@@ -1,16 +1,18 @@
-//! Putting a change in force by compare-and-swap on the manifest.
+//! Protocol that activates a change by compare-and-swap on the manifest.
 //!
-//! Two operators race: on different files both win, because the loser takes
-//! the new manifest and tries again; on the same file the loser gets a clear
-//! conflict and nothing of its change is in force.
+//! Operators may race. If they change different files, both succeed: the one
+//! whose swap fails rebases its change on the new manifest and tries again. If
+//! they change the same file, the second receives a conflict and nothing of its
+//! change becomes active.
 //!
-//! The answer of the manifest's swap may be lost. The manifest then tells by
-//! the request's identifier whether it was accepted; if others went on from
-//! there, the history does. The history is read at a version that a swap with
-//! an impossible expectation has named, so an old read cannot turn an accepted
-//! change into a conflict.
+//! The response to the swap of the manifest may be lost. The request identifier
+//! in the manifest then shows whether the change was accepted or, if further
+//! changes followed, the one in the history. The history is read at a version
+//! not older than the one named by the conflict of a swap that cannot succeed
+//! ([`NO_VERSION`]), so a stale read cannot turn an accepted change into a
+//! conflict.
 
-mod next;
+mod rebase;
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,127 +24,149 @@
 use crate::clock::Instant;
 use crate::store::{Backoff, Call, Machine, NO_VERSION, Reply, Step, Value};
 
-/// Stands for the version of a key that is surely absent.
-const NOTHING: u64 = NO_VERSION;
+/// Value of [`Apply::min_version`] when the key is confirmed to be absent.
+const CONFIRMED_ABSENT: u64 = NO_VERSION;
 
-/// What came of a wish.
+/// Outcome of a change request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// In force as this revision.
+    /// The change was accepted.
     Accepted {
-        /// The revision.
+        /// Revision that it made.
         revision: u64,
     },
-    /// The files stand like this already; nothing was changed.
+    /// The files already have the requested content; nothing was changed.
     Unchanged {
-        /// Revision in force.
+        /// Active revision.
         revision: u64,
     },
-    /// Somebody else changed a file since the operator looked; nothing was
-    /// changed.
+    /// Another operator changed a file after the base of the request; nothing
+    /// was changed.
     Conflict {
         /// Name of the file.
         file: String,
-        /// How it stands; none when it was removed.
+        /// Current state of the file, or `None` if it was removed.
         theirs: Option<File>,
     },
-    /// The merged configuration is wrong; nothing was changed.
+    /// The merged configuration is invalid; nothing was changed.
     Refused(Vec<Problem>),
-    /// The store does not hold what the manifest names, or holds nonsense.
+    /// The store lacks something that the manifest names, or its content is
+    /// corrupt.
     Broken(String),
-    /// The store gave no answer until the deadline; the change may be in
-    /// force. Sending the same request again tells.
+    /// The store did not respond before the deadline, and the change may be
+    /// active. Sending the same request again resolves this.
     Unknown,
-    /// The store gave no answer until the deadline; nothing was changed.
+    /// The store did not respond before the deadline; nothing was changed.
     Unavailable,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
+    /// Reads the manifest.
     Read,
-    /// Learns which version of the manifest stands, since what was read may be
-    /// old and would be reported.
+    /// Determines the current version of the manifest, because the manifest that
+    /// was read may be stale and an outcome must not be reported from it.
     Confirm,
+    /// Fetches the files that the change does not touch.
     Fetch,
+    /// Writes the files of the change.
     Blobs,
+    /// Verifies a file that another writer stored under the same digest.
     CheckBlob(String),
+    /// Reads the chunk of the history for the current revision.
     History,
+    /// Writes the current revision's change to the history.
     HistorySwap(u64, Chunk),
+    /// Swaps the manifest.
     Swap,
+    /// Reads the manifest after the response to its swap was lost.
     ReadBack,
-    /// Looks for the request among the revisions from the first to the second.
+    /// Determines the current version of a chunk that is searched for the
+    /// request.
     Probe(Search),
+    /// Searches a chunk of the history for the request.
     ReadHistory(Search),
     Done(Applied),
 }
 
-/// A search of the history for the wish's own request.
+/// Search of the history for the change request.
 #[derive(Clone, Debug)]
 struct Search {
+    /// First revision to search.
     from: u64,
+    /// Last revision to search.
     to: u64,
-    /// What to report when it is not there; none: start over.
-    otherwise: Option<Applied>,
+    /// Outcome if the request is not found; `None` starts over.
+    fallback: Option<Applied>,
 }
 
-/// The protocol.
+/// State machine that applies a change request.
 #[derive(Clone, Debug)]
 pub struct Apply {
     change_request: ChangeRequest,
     deadline: Instant,
     phase: Phase,
-    wait: Option<Instant>,
+    /// Time before which no call is made, while backing off.
+    retry_at: Option<Instant>,
     backoff: Backoff,
+    /// Version of the manifest that was read.
     version: u64,
-    at_least: u64,
+    /// Version below which a read is stale: the one that the last conflict named.
+    /// 0 if there is none, [`CONFIRMED_ABSENT`] if the key does not exist.
+    min_version: u64,
     current: Manifest,
     next: Manifest,
+    /// Fetched files, by digest.
     contents: BTreeMap<String, Bytes>,
+    /// Digests of files still to be fetched.
     missing: VecDeque<String>,
+    /// Files still to be written.
     blobs: VecDeque<Bytes>,
-    ambiguous: bool,
-    /// Revision up to which the history surely holds no change of this wish.
+    /// Whether the response to a swap was lost, so that the change may be active.
+    is_ambiguous: bool,
+    /// Revision up to which the history certainly does not contain the request.
     searched: u64,
 }
 
 impl Apply {
-    /// Prepares to put `wish` in force until `deadline`.
+    /// Creates the machine that applies `change_request` before `deadline`.
     #[must_use]
     pub fn new(change_request: ChangeRequest, deadline: Instant, seed: u64) -> Self {
         let mut machine = Self {
             contents: BTreeMap::new(),
             deadline,
             phase: Phase::Read,
-            wait: None,
+            retry_at: None,
             backoff: Backoff::new(seed),
             version: 0,
-            at_least: 0,
+            min_version: 0,
             current: Manifest::default(),
             next: Manifest::default(),
             missing: VecDeque::new(),
             blobs: VecDeque::new(),
-            ambiguous: false,
+            is_ambiguous: false,
             searched: change_request.base.revision,
             change_request,
         };
-        if let Some(problem) = machine.oversize() {
+        if let Some(problem) = machine.find_oversized_file() {
             machine.phase = Phase::Done(Applied::Refused(vec![problem]));
         }
         machine
     }
 
-    /// Reports what follows from the manifest that was read, once it is surely
-    /// not an old one.
+    /// Returns the phase that reports an outcome, which follows from the
+    /// manifest that was read, or the one that first makes sure that this read
+    /// was not stale.
     fn confirmed(&self, applied: Applied) -> Phase {
-        if self.at_least == 0 {
+        if self.min_version == 0 {
             Phase::Confirm
         } else {
             Phase::Done(applied)
         }
     }
 
-    /// Looks at a manifest and goes on: it was ours, it conflicts, or the
-    /// change is worked out on top of it.
+    /// Bases the change on a manifest that was read, unless the manifest shows
+    /// that the request was accepted or that it conflicts.
     fn rebase(&mut self, version: u64, manifest: Manifest) {
         self.version = version;
         self.current = manifest;
@@ -167,31 +191,32 @@
             .filter(|digest| !self.contents.contains_key(digest))
             .collect();
         self.phase = Phase::Fetch;
-        self.fetched();
+        self.prepare_if_fetched();
     }
 
-    /// Reports what the comparison found. The operator may send a request
-    /// again whose first answer was lost, and others may have gone on from
-    /// there: before it is called a conflict, the history is asked.
+    /// Returns the phase that reports the outcome of the comparison. The
+    /// operator may have sent the request again after its first response was
+    /// lost, and further changes may have followed. The history is therefore
+    /// searched before a conflict is reported.
     fn report(&self, applied: Applied) -> Phase {
-        let unsearched = self.searched + 1 < self.current.revision;
-        if matches!(applied, Applied::Conflict { .. }) && unsearched {
+        let is_unsearched = self.searched + 1 < self.current.revision;
+        if matches!(applied, Applied::Conflict { .. }) && is_unsearched {
             return Phase::Probe(self.search(Some(applied)));
         }
         self.confirmed(applied)
     }
 
-    /// Returns a search of all revisions between what was searched and the one
-    /// that stands.
+    /// Returns a search of all revisions after those already searched and before
+    /// the current one.
     ///
-    /// It is made before a conflict is reported and before anything is written:
-    /// a request that took effect and was undone by somebody else finds the
-    /// files as its operator saw them, and would be put in force twice.
-    fn search(&self, otherwise: Option<Applied>) -> Search {
+    /// The search precedes the report of a conflict and any write. If a request
+    /// took effect and another operator has reverted it, the files are as in its
+    /// base, and without the search it would be applied a second time.
+    fn search(&self, fallback: Option<Applied>) -> Search {
         Search {
             from: self.searched + 1,
             to: self.current.revision - 1,
-            otherwise,
+            fallback,
         }
     }
 
@@ -225,59 +250,59 @@
         })
     }
 
-    fn broken(&mut self, what: &str) {
-        self.phase = Phase::Done(Applied::Broken(what.to_owned()));
+    fn fail(&mut self, reason: &str) {
+        self.phase = Phase::Done(Applied::Broken(reason.to_owned()));
     }
 
-    fn pause(&mut self, now: Instant) {
-        self.wait = Some(self.backoff.next(now));
+    fn back_off(&mut self, now: Instant) {
+        self.retry_at = Some(self.backoff.next(now));
     }
 
-    /// Returns whether a value is older than what a conflict has named.
-    fn is_old(&self, value: Option<&Value>) -> bool {
+    /// Returns whether a value is older than the version that a conflict named.
+    fn is_stale(&self, value: Option<&Value>) -> bool {
         let version = value.map_or(0, |value| value.version);
-        self.at_least != NOTHING && version < self.at_least
+        self.min_version != CONFIRMED_ABSENT && version < self.min_version
     }
 
-    fn read(&mut self, now: Instant, value: Option<&Value>, back: bool) {
-        if self.is_old(value) {
-            return self.pause(now);
+    fn read(&mut self, now: Instant, value: Option<&Value>, is_read_back: bool) {
+        if self.is_stale(value) {
+            return self.back_off(now);
         }
         let (version, manifest) = match value {
             None => (0, Manifest::default()),
             Some(value) => match decode::<Manifest>(value) {
                 Some(manifest) => (value.version, manifest),
-                None => return self.broken("the manifest is malformed"),
+                None => return self.fail("the manifest is malformed"),
             },
         };
         if manifest.revision < self.change_request.base.revision {
-            // The operator has seen a newer one: an old read.
-            return self.pause(now);
+            // The base of the request is newer, so this read is stale.
+            return self.back_off(now);
         }
-        if !back || manifest.change.request == self.change_request.request {
+        if !is_read_back || manifest.change.request == self.change_request.request {
             return self.rebase(version, manifest);
         }
         self.phase = if manifest.revision < self.next.revision {
-            // Not there, or an old read, or not yet: the same swap again does
-            // no harm, and its conflict tells.
+            // The swap did not take effect, has not yet, or the read is stale.
+            // Repeating the same swap is harmless, and a conflict resolves it.
             Phase::Swap
         } else {
             Phase::Probe(Search {
                 from: self.next.revision,
                 to: self.next.revision,
-                otherwise: None,
+                fallback: None,
             })
         };
     }
 
     fn read_history(&mut self, now: Instant, value: Option<&Value>, mut search: Search) {
-        if self.is_old(value) {
-            return self.pause(now);
+        if self.is_stale(value) {
+            return self.back_off(now);
         }
         let chunk = value.and_then(decode::<Chunk>).unwrap_or_default();
         let mut changes = chunk.changes.iter();
-        let ours = changes.find(|change| change.request == self.change_request.request);
-        if let Some(change) = ours {
+        let accepted = changes.find(|change| change.request == self.change_request.request);
+        if let Some(change) = accepted {
             let revision = change.revision;
             self.phase = Phase::Done(Applied::Accepted { revision });
             return;
@@ -287,12 +312,12 @@
             self.phase = Phase::Probe(search);
             return;
         }
-        // Somebody else made those revisions: ours never took effect and, as
-        // its expected version is gone, never will.
-        self.ambiguous = false;
-        self.at_least = 0;
+        // Other requests made those revisions: the swap of this one did not take
+        // effect, and it never will, because the version that it expects is gone.
+        self.is_ambiguous = false;
+        self.min_version = 0;
         self.searched = self.searched.max(search.to);
-        self.phase = search.otherwise.map_or(Phase::Read, Phase::Done);
+        self.phase = search.fallback.map_or(Phase::Read, Phase::Done);
     }
 
     fn take_value(&mut self, now: Instant, value: Option<&Value>) {
@@ -307,11 +332,11 @@
                     Some(value) if folder::digest(&value.bytes) == digest => {
                         self.contents.insert(digest, value.bytes.clone());
                         self.missing.pop_front();
-                        self.fetched();
+                        self.prepare_if_fetched();
                     }
-                    Some(_) => self.broken("a file does not match its digest"),
-                    // An old read: the manifest names only files that exist.
-                    None => self.pause(now),
+                    Some(_) => self.fail("a file does not match its digest"),
+                    // A stale read: the manifest names only files that exist.
+                    None => self.back_off(now),
                 }
             }
             Phase::CheckBlob(digest) => match value {
@@ -319,8 +344,8 @@
                     self.blobs.pop_front();
                     self.phase = Phase::Blobs;
                 }
-                Some(_) => self.broken("another content stands under a file's digest"),
-                None => self.pause(now),
+                Some(_) => self.fail("the store holds other content under a file's digest"),
+                None => self.back_off(now),
             },
             Phase::History => {
                 let version = value.map_or(0, |value| value.version);
@@ -345,26 +370,27 @@
             }
             Phase::HistorySwap(..) => {
                 self.phase = Phase::History;
-                self.pause(now);
+                self.back_off(now);
             }
             Phase::Confirm => {
-                self.at_least = version;
+                self.min_version = version;
                 self.phase = Phase::Read;
                 if version == 0 {
-                    // Absent for certain; zero would ask to confirm again.
-                    self.at_least = NOTHING;
+                    // The key is certainly absent; 0 would cause another
+                    // confirmation.
+                    self.min_version = CONFIRMED_ABSENT;
                 }
             }
             Phase::Swap => {
-                self.at_least = version;
-                self.phase = if self.ambiguous {
+                self.min_version = version;
+                self.phase = if self.is_ambiguous {
                     Phase::ReadBack
                 } else {
                     Phase::Read
                 };
             }
             Phase::Probe(search) => {
-                self.at_least = version;
+                self.min_version = version;
                 self.phase = Phase::ReadHistory(search);
             }
             _ => {}
@@ -380,17 +406,17 @@
             return Step::Done(applied.clone());
         }
         if now >= self.deadline {
-            return Step::Done(if self.ambiguous {
+            return Step::Done(if self.is_ambiguous {
                 Applied::Unknown
             } else {
                 Applied::Unavailable
             });
         }
-        if let Some(until) = self.wait {
-            if now < until {
-                return Step::Wait(until.min(self.deadline));
+        if let Some(retry_at) = self.retry_at {
+            if now < retry_at {
+                return Step::Wait(retry_at.min(self.deadline));
             }
-            self.wait = None;
+            self.retry_at = None;
         }
         if matches!(self.phase, Phase::Blobs) && self.blobs.is_empty() {
             self.phase = if self.current.revision > 0 {
@@ -406,11 +432,11 @@
         match reply {
             Reply::Refused | Reply::Lost => {
                 if reply == Reply::Lost && matches!(self.phase, Phase::Swap) {
-                    self.ambiguous = true;
-                    self.at_least = 0;
+                    self.is_ambiguous = true;
+                    self.min_version = 0;
                     self.phase = Phase::ReadBack;
                 }
-                return self.pause(now);
+                return self.back_off(now);
             }
             Reply::Value(value) => self.take_value(now, value.as_ref()),
             Reply::Conflict(version) => self.take_conflict(now, version),
@@ -426,7 +452,7 @@
                 _ => {}
             },
         }
-        if self.wait.is_none() {
+        if self.retry_at.is_none() {
             self.backoff.reset();
         }
     }
--- a/crates/core/src/activation/apply/next.rs
+++ b/crates/core/src/activation/apply/rebase.rs
@@ -1,4 +1,4 @@
-//! Working out the manifest that a wish asks for, and checking it.
+//! Computation and validation of the manifest that a change request results in.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
 use crate::store::LARGEST_VALUE;
 
 impl Apply {
-    pub(super) fn oversize(&self) -> Option<Problem> {
+    /// Returns a problem if a file of the request is too large for the store.
+    pub(super) fn find_oversized_file(&self) -> Option<Problem> {
         let mut files = self.change_request.files.iter();
         let (name, content) = files.find(|(_, content)| {
             content
@@ -22,29 +23,32 @@
         Some(Problem::new(name, 0, message))
     }
 
+    /// Compares the request with the current manifest. Returns a conflict, or
+    /// that there is nothing to change, or `None` if the change can be applied.
     pub(super) fn compare(&self) -> Option<Applied> {
-        let mut changes = false;
+        let mut has_changes = false;
         for (name, content) in &self.change_request.files {
-            let stands = self.current.files.get(name);
+            let current = self.current.files.get(name);
             let wanted = content.as_ref().map(|content| folder::digest(content));
-            if stands.map(|file| &file.digest) == wanted.as_ref() {
+            if current.map(|file| &file.digest) == wanted.as_ref() {
                 continue;
             }
-            changes = true;
-            let seen = self.change_request.base.files.get(name);
-            if stands.map(|file| &file.digest) != seen.map(|file| &file.digest) {
+            has_changes = true;
+            let base = self.change_request.base.files.get(name);
+            if current.map(|file| &file.digest) != base.map(|file| &file.digest) {
                 return Some(Applied::Conflict {
                     file: name.clone(),
-                    theirs: stands.cloned(),
+                    theirs: current.cloned(),
                 });
             }
         }
         let revision = self.current.revision;
-        (!changes).then_some(Applied::Unchanged { revision })
+        (!has_changes).then_some(Applied::Unchanged { revision })
     }
 
-    /// Goes on once every file is at hand: merges, checks and prepares.
-    pub(super) fn fetched(&mut self) {
+    /// Once every unchanged file is fetched, builds the next manifest, validates
+    /// the merged configuration and continues with writing the files.
+    pub(super) fn prepare_if_fetched(&mut self) {
         if !self.missing.is_empty() {
             return;
         }
@@ -95,8 +99,8 @@
     fn check(&self) -> Result<(), Vec<Problem>> {
         let mut merged = Folder::new();
         for (name, file) in &self.next.files {
-            let wished = self.change_request.files.get(name).cloned().flatten();
-            let content = wished.or_else(|| self.contents.get(&file.digest).cloned());
+            let requested = self.change_request.files.get(name).cloned().flatten();
+            let content = requested.or_else(|| self.contents.get(&file.digest).cloned());
             merged = merged.with_file(name, content.unwrap_or_default());
         }
         let merged = Merged::new(&merged)?;
--- a/crates/core/src/activation/follower.rs
+++ b/crates/core/src/activation/follower.rs
@@ -1,24 +1,24 @@
-//! What an instance does with a manifest that it has seen.
+//! Decision of an instance about a manifest that it has read.
 //!
-//! The failure it guards against: an old read of the store, a slow peer or a
-//! bad configuration makes an accepted configuration revert. A revision only
-//! rises, and one that does not compile is remembered, so that it is refused
-//! once and not on every look.
+//! A stale read of the store, a slow peer or a bad configuration must not revert
+//! an accepted configuration. The active revision therefore only rises. A
+//! revision that does not compile is recorded, so that it is refused once and
+//! not at every poll.
 
 use super::Manifest;
 
 /// What to do with a manifest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is not newer than the one in force.
+    /// Ignore it: it is not newer than the active one.
     Old,
-    /// It was refused before.
+    /// Ignore it: its revision was refused before.
     Refused,
     /// Fetch its files and compile it.
     Fetch,
 }
 
-/// Follows the manifest.
+/// Active and refused revisions of one instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Follower {
     revision: u64,
@@ -26,25 +26,25 @@
 }
 
 impl Follower {
-    /// Creates a follower that has no configuration.
+    /// Creates a follower without an active configuration.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the revision in force, 0 when there is none.
+    /// Returns the active revision, or 0 when there is none.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the newer revision that was refused, if there is one.
+    /// Returns the refused revision if it is newer than the active one.
     #[must_use]
     pub fn refused(&self) -> Option<u64> {
         self.refused.filter(|refused| *refused > self.revision)
     }
 
-    /// Decides about a manifest.
+    /// Returns what to do with a manifest.
     #[must_use]
     pub fn decide(&self, manifest: &Manifest) -> Decision {
         if manifest.revision <= self.revision {
@@ -56,20 +56,21 @@
         }
     }
 
-    /// Remembers that a revision does not compile; the old one stays.
+    /// Records that a revision does not compile. The active one stays.
     pub fn refuse(&mut self, revision: u64) {
         self.refused = Some(revision);
     }
 
-    /// Puts a revision in force.
+    /// Records that a revision is active.
     ///
     /// # Panics
     ///
-    /// When the revision falls: an accepted configuration would revert.
+    /// When the revision does not rise: an accepted configuration would be
+    /// reverted.
     pub fn activate(&mut self, revision: u64) {
         assert!(
             revision > self.revision,
-            "the configuration would fall from revision {} to {revision}",
+            "the configuration would be reverted from revision {} to {revision}",
             self.revision
         );
         self.revision = revision;
--- a/crates/core/src/activation/history.rs
+++ b/crates/core/src/activation/history.rs
@@ -1,21 +1,21 @@
-//! History of the configuration, in a ring of chunks.
+//! History of the configuration, stored as a ring of chunks.
 //!
-//! Whoever replaces revision `r` first copies `r`'s change from the manifest
-//! to the history. So every revision but the one in force has its line there
-//! before it is replaced, also when its own author was killed right after the
-//! swap, and a lost answer can be resolved however many changes followed.
+//! A writer that replaces revision `r` first copies the change of `r` from the
+//! manifest to the history. Every revision is therefore in the history before
+//! it is replaced, even if the process that made it was killed right after the
+//! swap. A lost response can be resolved however many changes followed.
 
 use serde::{Deserialize, Serialize};
 
 use super::Change;
 
-/// Changes in one chunk. At 200 files a change it stays under the largest
-/// value of the store.
+/// Changes in one chunk. With 200 files in each change, a chunk stays below the
+/// largest value of the store.
 pub const CHANGES_PER_CHUNK: u64 = 16;
 /// Chunks in the ring: 16,384 changes, or five days at 3,000 a day.
 pub const CHUNK_COUNT: u64 = 1024;
 
-/// A run of changes.
+/// A run of consecutive changes, stored under one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The changes, in the order of their revisions.
@@ -40,8 +40,8 @@
             .find(|change| change.revision == revision)
     }
 
-    /// Adds a change and drops those of the ring's earlier round; returns
-    /// whether anything is new.
+    /// Adds a change and drops those of an earlier round of the ring. Returns
+    /// whether the chunk changed.
     pub fn add(&mut self, change: &Change) -> bool {
         if self.get(change.revision).is_some() {
             return false;
--- a/crates/core/src/activation/mod.rs
+++ b/crates/core/src/activation/mod.rs
@@ -1,15 +1,16 @@
-//! The configuration in force: one manifest that names all files, swapped in
-//! one key.
+//! Activation of configuration changes.
 //!
-//! All files of a change come into force together or not at all. Accepted
-//! means: the manifest was swapped. What goes wrong without the single key:
-//! an instance sees half a change, such as an organisation whose model is
-//! still missing.
+//! The active configuration is defined by one manifest, which names all files
+//! and is replaced by compare-and-swap on a single key. A change is accepted
+//! when the swap succeeds, so its files become active together or not at all.
+//! With a key for each file, an instance could read half of a change, such as
+//! an organisation whose model is still missing.
 //!
-//! - [`Apply`] puts a change in force, against racing operators and lost
-//!   answers.
-//! - [`Chunk`] keeps who changed what, when and why, in a bounded ring.
-//! - [`Follower`] decides what an instance does with a manifest that it sees.
+//! - [`Apply`] activates a change despite concurrent operators and lost
+//!   responses.
+//! - [`Chunk`] holds a part of the history, a bounded ring that records who
+//!   changed what, when and why.
+//! - [`Follower`] decides what an instance does with a manifest that it reads.
 
 mod apply;
 mod follower;
@@ -27,10 +28,10 @@
 /// Key of the manifest.
 pub const KEY: &str = "config/manifest";
 
-/// Most bytes of a reason that are kept.
+/// Maximum bytes of a change's reason; the rest is cut off.
 pub const MAX_REASON_BYTES: usize = 500;
 
-/// Returns the key under which a file's content is kept.
+/// Returns the key under which the content of a file is stored.
 #[must_use]
 pub fn blob_key(digest: &str) -> String {
     format!("config/file/{digest}")
@@ -41,55 +42,56 @@
 pub struct File {
     /// Digest of its content.
     pub digest: String,
-    /// Who changed it last.
+    /// Author of its last change.
     pub author: String,
-    /// Revision at which it was changed last.
+    /// Revision of its last change.
     pub revision: u64,
 }
 
 /// What a revision changed, by whom, when and why.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision that it made.
+    /// Revision that the change made.
     pub revision: u64,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
-    /// Wall-clock time, in seconds since 1970.
+    /// Wall-clock time, in seconds since the Unix epoch.
     pub at: u64,
-    /// Identifier of the operator's request: the nonce by which a lost answer
-    /// is resolved.
+    /// Identifier of the operator's request. After a lost response it shows
+    /// whether the request was accepted.
     pub request: String,
-    /// Digest of each file that was put; none for each that was removed.
+    /// Digest of each file that was written, or `None` for each that was
+    /// removed.
     pub files: BTreeMap<String, Option<String>>,
 }
 
-/// Which files are in force.
+/// Manifest: the files of the active configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Rises by one with every accepted change.
+    /// Number that rises by one with every accepted change.
     pub revision: u64,
-    /// The files.
+    /// Files by name.
     pub files: BTreeMap<String, File>,
     /// The change that made this revision.
     pub change: Change,
 }
 
-/// What an operator wants changed.
+/// A change that an operator requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// The manifest that the operator has seen; a file that somebody else
-    /// changed since then is a conflict.
+    /// Manifest on which the change is based. If another operator has since
+    /// changed one of the same files, the request conflicts.
     pub base: Manifest,
-    /// Content of each file to put; none for each to remove.
+    /// Content of each file to write, or `None` for each to remove.
     pub files: BTreeMap<String, Option<Bytes>>,
-    /// Who asks.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
-    /// Wall-clock time, in seconds since 1970.
+    /// Wall-clock time, in seconds since the Unix epoch.
     pub at: u64,
-    /// Identifier of this request; the same one may be sent again.
+    /// Idempotency key: a request may be sent again with the same one.
     pub request: String,
 }
