--- a/crates/standin/tests/all/activation.rs
+++ b/crates/standin/tests/all/activation.rs
@@ -1,5 +1,5 @@
-//! The configuration in force: racing operators, lost answers, kills and old
-//! reads never lose, double or revert an accepted change.
+//! Activation of configuration changes: concurrent operators, lost responses,
+//! kills and stale reads never lose, repeat or revert an accepted change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,12 +21,12 @@
 
 struct Operator {
     change_request: ChangeRequest,
-    /// Manifests that had been in force when it began.
-    began: usize,
+    /// Number of manifests that had been active when the request started.
+    log_length_at_start: usize,
     machine: Apply,
 }
 
-/// An instance that follows the manifest.
+/// An instance that activates the manifests that it reads.
 struct Instance {
     follower: Follower,
     manifest: Manifest,
@@ -37,19 +37,20 @@
     store: Chaos,
     now: Instant,
     operators: Vec<Operator>,
-    /// Wishes whose operator was killed or got no answer.
-    unsure: Vec<ChangeRequest>,
+    /// Requests whose operator was killed or received no result.
+    unresolved: Vec<ChangeRequest>,
     instances: Vec<Instance>,
-    /// Every manifest that was ever in force, as the store had it.
+    /// Every manifest that was ever active, as the store held it.
     log: Vec<Manifest>,
-    wishes: BTreeMap<String, ChangeRequest>,
+    change_requests: BTreeMap<String, ChangeRequest>,
     accepted: BTreeMap<String, u64>,
     rejected: Vec<String>,
-    /// Requests that were told that nothing was changed, and how many manifests
-    /// there were then.
-    rejected_so_far: Vec<(String, usize)>,
-    /// Requests that were sent more than once: an earlier one may be under way.
-    asked_before: BTreeSet<String>,
+    /// Requests that reported that nothing was changed because the store was
+    /// unavailable, and the length of the log at that time.
+    reported_unchanged: Vec<(String, usize)>,
+    /// Requests that were sent more than once: an earlier sending may still be
+    /// in flight.
+    sent_again: BTreeSet<String>,
     next: u64,
     counts: BTreeMap<&'static str, u64>,
 }
@@ -65,14 +66,14 @@
             store: Chaos::new(seed ^ 0xf0_7ce, Odds::HARD),
             now: Instant::from_millis(1),
             operators: Vec::new(),
-            unsure: Vec::new(),
+            unresolved: Vec::new(),
             instances: (0..INSTANCES).map(|_| instance()).collect(),
             log: vec![Manifest::default()],
-            wishes: BTreeMap::new(),
+            change_requests: BTreeMap::new(),
             accepted: BTreeMap::new(),
             rejected: Vec::new(),
-            rejected_so_far: Vec::new(),
-            asked_before: BTreeSet::new(),
+            reported_unchanged: Vec::new(),
+            sent_again: BTreeSet::new(),
             next: 0,
             counts: BTreeMap::new(),
         }
@@ -82,14 +83,15 @@
         *self.counts.entry(what).or_default() += 1;
     }
 
-    /// Makes a call and takes note of what the manifest is now.
+    /// Makes a call and records the manifest that follows from it.
     fn call(&mut self, call: Call) -> Reply {
         let reply = self.store.call(call);
-        self.note();
+        self.record_manifest();
         reply
     }
 
-    fn note(&mut self) {
+    /// Appends the manifest to the log if it changed, and checks the change.
+    fn record_manifest(&mut self) {
         let Some(value) = self.store.store.get(KEY) else {
             return;
         };
@@ -104,18 +106,21 @@
             "a revision was skipped"
         );
         let request = &manifest.change.request;
-        let again = self.log.iter().any(|old| old.change.request == *request);
-        assert!(!again, "request {request} came into force twice");
-        let change_request = &self.wishes[request];
+        let is_repeated = self.log.iter().any(|old| old.change.request == *request);
+        assert!(!is_repeated, "request {request} was activated twice");
+        let change_request = &self.change_requests[request];
         for (name, digest) in &manifest.change.files {
             let before = last.files.get(name).map(|file| &file.digest);
-            let seen = change_request.base.files.get(name).map(|file| &file.digest);
-            let same = before == digest.as_ref();
-            assert!(same || before == seen, "{name} was overwritten unseen");
+            let base = change_request.base.files.get(name).map(|file| &file.digest);
+            let is_same = before == digest.as_ref();
+            assert!(
+                is_same || before == base,
+                "{name} was overwritten although it differs from the base"
+            );
         }
         for file in manifest.files.values() {
             let blob = self.store.store.get(&blob_key(&file.digest));
-            assert!(blob.is_some(), "a file in force is missing");
+            assert!(blob.is_some(), "an active file is missing");
         }
         self.log.push(manifest);
     }
@@ -128,13 +133,13 @@
         }
         if self.dice.chance(0.05) {
             self.store.arrive();
-            self.note();
+            self.record_manifest();
         }
         if self.operators.len() < OPERATORS && self.dice.chance(0.2) {
-            self.change_request();
+            self.start_or_resend();
         }
         if self.dice.chance(0.3) {
-            self.follow();
+            self.poll_manifest();
         }
         if self.operators.is_empty() {
             return;
@@ -142,21 +147,21 @@
         let index = self.dice.below(self.operators.len());
         if self.dice.chance(0.01) {
             let killed = self.operators.swap_remove(index);
-            self.unsure.push(killed.change_request);
+            self.unresolved.push(killed.change_request);
             return self.count("kills");
         }
         self.advance(index);
     }
 
-    fn change_request(&mut self) {
-        if !self.unsure.is_empty() && self.dice.chance(0.5) {
-            let change_request = self.unsure.swap_remove(0);
+    fn start_or_resend(&mut self) {
+        if !self.unresolved.is_empty() && self.dice.chance(0.5) {
+            let change_request = self.unresolved.swap_remove(0);
             self.count("sent again");
-            self.asked_before.insert(change_request.request.clone());
+            self.sent_again.insert(change_request.request.clone());
             return self.start(change_request);
         }
         self.next += 1;
-        let seen = if self.dice.chance(0.2) {
+        let base = if self.dice.chance(0.2) {
             let back = self.dice.below(self.log.len().min(4));
             self.log[self.log.len() - 1 - back].clone()
         } else {
@@ -178,14 +183,14 @@
             files.insert(name, content);
         }
         let change_request = ChangeRequest {
-            base: seen,
+            base,
             files,
             author: format!("team-{}", self.dice.below(3)),
             reason: "because".to_owned(),
             at: self.now.0,
             request: format!("request-{}", self.next),
         };
-        self.wishes
+        self.change_requests
             .insert(change_request.request.clone(), change_request.clone());
         self.start(change_request);
     }
@@ -193,13 +198,13 @@
     fn start(&mut self, change_request: ChangeRequest) {
         let deadline = self.now.plus_millis(500 + self.dice.below(4_000) as u64);
         let machine = Apply::new(change_request.clone(), deadline, self.dice.number());
-        let began = self.log.len();
+        let log_length_at_start = self.log.len();
         self.operators.push(Operator {
             change_request,
-            began,
+            log_length_at_start,
             machine,
         });
-        self.count("wishes");
+        self.count("change requests");
     }
 
     fn advance(&mut self, index: usize) {
@@ -211,23 +216,32 @@
             }
             Step::Done(applied) => {
                 let operator = self.operators.swap_remove(index);
-                self.told(operator.change_request, operator.began, applied);
+                self.check_outcome(
+                    operator.change_request,
+                    operator.log_length_at_start,
+                    applied,
+                );
             }
         }
     }
 
-    fn told(&mut self, change_request: ChangeRequest, began: usize, applied: Applied) {
+    fn check_outcome(
+        &mut self,
+        change_request: ChangeRequest,
+        log_length_at_start: usize,
+        applied: Applied,
+    ) {
         let request = change_request.request.clone();
         match applied {
             Applied::Accepted { revision } => {
                 let index = usize::try_from(revision).expect("small");
                 assert_eq!(
                     self.log[index].change.request, request,
-                    "accepted is not in force"
+                    "{request} was accepted and is not active"
                 );
                 let mut contents = change_request.files.values().flatten();
-                let is_bad = contents.any(|content| content.starts_with(b"nonsense"));
-                assert!(!is_bad, "nonsense was accepted");
+                let is_invalid = contents.any(|content| content.starts_with(b"nonsense"));
+                assert!(!is_invalid, "an invalid change was accepted");
                 self.accepted.insert(request, revision);
                 self.count("accepted");
             }
@@ -239,47 +253,53 @@
                         && digest(manifest).map(|file| file.digest)
                             != digest(&change_request.base).map(|file| file.digest)
                 });
-                assert!(changed, "{request} conflicts with nothing");
+                assert!(changed, "{request} conflicts with no other change");
                 self.rejected.push(request);
                 self.count("conflicts");
             }
             Applied::Refused(problems) => {
                 assert!(!problems.is_empty());
-                let bad = change_request.files.values().flatten();
-                let bad = bad.filter(|content| content.starts_with(b"nonsense"));
-                assert!(bad.count() > 0, "a good change was refused: {problems:?}");
+                let invalid = change_request.files.values().flatten();
+                let invalid = invalid.filter(|content| content.starts_with(b"nonsense"));
+                assert!(
+                    invalid.count() > 0,
+                    "a valid change was refused: {problems:?}"
+                );
                 self.rejected.push(request);
                 self.count("refused");
             }
             Applied::Unavailable => {
-                self.count("out");
-                if !self.asked_before.contains(&request) {
-                    self.rejected_so_far.push((request, self.log.len()));
+                self.count("store unavailable");
+                if !self.sent_again.contains(&request) {
+                    self.reported_unchanged.push((request, self.log.len()));
                 }
-                self.unsure.push(change_request);
+                self.unresolved.push(change_request);
             }
             Applied::Unchanged { .. } => {
-                let mut stood = self.log[began - 1..].iter();
-                let like_this = |manifest: &Manifest| {
+                let mut active = self.log[log_length_at_start - 1..].iter();
+                let is_as_requested = |manifest: &Manifest| {
                     change_request.files.iter().all(|(name, content)| {
                         let wanted = content.as_ref().map(|content| folder::digest(content));
                         manifest.files.get(name).map(|file| &file.digest) == wanted.as_ref()
                     })
                 };
-                assert!(stood.any(like_this), "{request} would change something");
+                assert!(
+                    active.any(is_as_requested),
+                    "{request} would change something"
+                );
                 self.count("unchanged");
             }
             Applied::Unknown => {
-                self.unsure.push(change_request);
+                self.unresolved.push(change_request);
                 self.count("unknown");
             }
-            Applied::Broken(what) => panic!("{what}"),
+            Applied::Broken(reason) => panic!("{reason}"),
         }
     }
 
-    /// An instance looks at the manifest, perhaps an old one, and puts it in
-    /// force; the follower asserts that no revision falls.
-    fn follow(&mut self) {
+    /// Lets an instance read the manifest, perhaps a stale one, and activate it.
+    /// The follower asserts that the revision never falls.
+    fn poll_manifest(&mut self) {
         let index = self.dice.below(self.instances.len());
         if self.dice.chance(0.01) {
             self.instances[index] = Instance {
@@ -304,7 +324,7 @@
             );
             instance.follower.activate(manifest.revision);
             instance.manifest = manifest;
-            self.count("put in force");
+            self.count("activated");
         }
     }
 
@@ -314,25 +334,28 @@
         while !self.operators.is_empty() {
             self.now = self.now.plus_millis(7);
             self.store.arrive();
-            self.note();
+            self.record_manifest();
             let index = self.dice.below(self.operators.len());
             self.advance(index);
         }
         for _ in 0..64 {
             self.store.arrive();
-            self.note();
+            self.record_manifest();
         }
         self.check_history();
         for request in &self.rejected {
             let mut log = self.log.iter();
-            let stands = log.any(|manifest| manifest.change.request == *request);
-            assert!(!stands, "{request} was rejected and came into force");
+            let is_active = log.any(|manifest| manifest.change.request == *request);
+            assert!(!is_active, "{request} was rejected and then activated");
         }
-        for (request, length) in &self.rejected_so_far {
-            if !self.asked_before.contains(request) {
+        for (request, length) in &self.reported_unchanged {
+            if !self.sent_again.contains(request) {
                 let mut log = self.log.iter();
-                let stands = log.any(|manifest| manifest.change.request == *request);
-                assert!(!stands, "{request} was out at {length} and came into force");
+                let is_active = log.any(|manifest| manifest.change.request == *request);
+                assert!(
+                    !is_active,
+                    "{request} was reported as unchanged at {length} and then activated"
+                );
             }
         }
         for (request, revision) in &self.accepted {
@@ -341,30 +364,31 @@
         }
     }
 
-    /// Every revision that was replaced has its line, whoever was killed.
+    /// Checks that the history contains every replaced revision, whichever
+    /// operators were killed.
     fn check_history(&self) {
         let newest = self.log.last().expect("never empty").revision;
         let oldest = newest.saturating_sub(newest % CHANGES_PER_CHUNK).max(1);
         for revision in oldest..newest {
             let value = self.store.store.get(&chunk_key(revision));
-            let value = value.expect("a chunk of the history");
+            let value = value.expect("the chunk of a replaced revision");
             let chunk: Chunk = serde_json::from_slice(&value.bytes).expect("a chunk");
             let index = usize::try_from(revision).expect("small");
             assert_eq!(chunk.get(revision), Some(&self.log[index].change));
         }
         for file in self.log.last().expect("never empty").files.values() {
             let blob = self.store.store.get(&blob_key(&file.digest));
-            let blob = blob.expect("a file in force");
+            let blob = blob.expect("an active file");
             assert_eq!(folder::digest(&blob.bytes), file.digest);
         }
     }
 }
 
-// Two teams apply at the same moment while the store loses answers. One of
-// them would see its accepted change vanish, come into force twice, or be told
-// of a conflict although it is in force.
+// Several operators apply changes at the same time while the store loses
+// responses. An accepted change could vanish, be activated twice, or be reported
+// as a conflict although it is active.
 #[test]
-fn activation_operators_race() {
+fn apply_operators_race() {
     schedules("activation", |seed, steps| {
         let mut world = World::new(seed);
         for _ in 0..steps {
