--- a/crates/core/tests/all/replay.rs
+++ b/crates/core/tests/all/replay.rs
@@ -1,4 +1,4 @@
-//! Replay of recorded traces against their stated outcomes.
+//! Replay of recorded traces against the outcomes that they state.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,11 +12,12 @@
 
 use crate::fleet::{Fleet, MODEL, file};
 
-/// One trace: what happened, and after it what must be so.
+/// One trace: events, and the expectations that must hold after them.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Trace {
-    story: String,
+    #[serde(rename = "story")]
+    description: String,
     instances: usize,
     exposure: u32,
     stage: usize,
@@ -30,11 +31,14 @@
     Store(bool),
     Peers(bool),
     Restart(usize),
-    /// An operator's word: number, stage, state of the candidate, paused.
-    Word(u64, usize, String, bool),
+    /// An operator changes the roll-out: its generation (`word`), its stage, the
+    /// state of the candidate, and whether it is paused.
+    #[serde(rename = "word")]
+    Configure(u64, usize, String, bool),
     Burst(Burst),
-    /// Counts the candidate's bad answers from here on.
-    Mark,
+    /// Restarts the count of the candidate's bad answers.
+    #[serde(rename = "mark")]
+    ResetServedBad,
     Expect(Expect),
 }
 
@@ -44,10 +48,11 @@
     seconds: u64,
     /// Requests in ten minutes.
     rate: u64,
-    /// Sessions that send them; 0: each request is its own.
+    /// Number of sessions that send the requests. With 0, each request is a
+    /// session of its own.
     #[serde(default)]
     sessions: u64,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     rated: bool,
     #[serde(default)]
     current: Quality,
@@ -55,18 +60,20 @@
     candidate: Quality,
 }
 
-/// Every so many answers one is bad, fails or is late; 0: none.
+/// Intervals in answers: one in so many is bad, fails or is late; 0 means none.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Quality {
     bad: u64,
     failed: u64,
     late: u64,
-    /// By how many answers `bad` shrinks after each bad one.
-    worse: u64,
+    /// Decrease of `bad` after each bad answer.
+    #[serde(rename = "worse")]
+    bad_decrease: u64,
 }
 
-/// Failures of the candidate at one server at one instant.
+/// Failed and bad answers of the candidate that one instance observes at one
+/// moment, all at one server.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Burst {
@@ -88,7 +95,7 @@
     share_of_candidate: Option<f64>,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -97,9 +104,11 @@
     now: Instant,
     requests: u64,
     served_bad: u64,
-    peers: bool,
+    is_gossip_up: bool,
     counts: BTreeMap<(key::Version, &'static str), u64>,
+    /// Version to which each session is pinned.
     pins: BTreeMap<u64, key::Version>,
+    /// Number of times that each session moved to another version.
     moves: BTreeMap<u64, u64>,
     exposure: u32,
 }
@@ -112,7 +121,7 @@
             now: Instant::ORIGIN,
             requests: 0,
             served_bad: 0,
-            peers: true,
+            is_gossip_up: true,
             counts: BTreeMap::new(),
             pins: BTreeMap::new(),
             moves: BTreeMap::new(),
@@ -124,14 +133,14 @@
         match step {
             Step::Traffic(traffic) => self.traffic(&traffic),
             Step::Store(up) => self.fleet.store.down = !up,
-            Step::Peers(up) => self.peers = up,
+            Step::Peers(up) => self.is_gossip_up = up,
             Step::Restart(index) => self.fleet.restart(self.now, index),
-            Step::Word(word, start, state, paused) => {
+            Step::Configure(generation, start, state, paused) => {
                 let more = if paused { ", paused: true" } else { "" };
-                let file = file(word, start, self.exposure, more, &state);
+                let file = file(generation, start, self.exposure, more, &state);
                 self.fleet.accept(self.now, &file);
             }
-            Step::Mark => self.served_bad = 0,
+            Step::ResetServedBad => self.served_bad = 0,
             Step::Burst(burst) => self.burst(&burst),
             Step::Expect(expect) => self.expect(&expect),
         }
@@ -162,7 +171,7 @@
                 due -= 600;
                 self.request(traffic);
             }
-            if self.peers {
+            if self.is_gossip_up {
                 self.fleet.gossip(self.now);
             }
             if second % 5 == 0 {
@@ -175,9 +184,9 @@
 
     fn place(&mut self, traffic: &Traffic, index: usize) -> key::Version {
         let session = self.requests % traffic.sessions.max(1);
-        let own = format!("request-{}", self.requests);
+        let request_name = format!("request-{}", self.requests);
         let name = if traffic.sessions == 0 {
-            own
+            request_name
         } else {
             format!("session-{session}")
         };
@@ -200,15 +209,16 @@
         place.version()
     }
 
-    /// Returns whether this is one of every `every` answers.
-    fn is_due(&mut self, version: key::Version, what: &'static str, every: u64) -> bool {
-        let count = self.counts.entry((version, what)).or_default();
+    /// Counts an answer of a kind and returns whether it completes an interval of
+    /// `interval` answers. With an interval of 0 none does.
+    fn is_due(&mut self, version: key::Version, kind: &'static str, interval: u64) -> bool {
+        let count = self.counts.entry((version, kind)).or_default();
         *count += 1;
-        let due = every > 0 && *count >= every;
-        if due {
+        let is_due = interval > 0 && *count >= interval;
+        if is_due {
             *count = 0;
         }
-        due
+        is_due
     }
 
     fn request(&mut self, traffic: &Traffic) {
@@ -218,10 +228,10 @@
         let mut quality = traffic.current;
         if version == self.fleet.candidate {
             quality = traffic.candidate;
-            let worse = self.counts.get(&(version, "worse")).copied();
+            let bad_answers = self.counts.get(&(version, "bad total")).copied();
             quality.bad = quality
                 .bad
-                .saturating_sub(quality.worse * worse.unwrap_or(0))
+                .saturating_sub(quality.bad_decrease * bad_answers.unwrap_or(0))
                 .max(u64::from(quality.bad > 0));
         }
         if self.is_due(version, "failed", quality.failed) {
@@ -233,14 +243,17 @@
         let late = self.is_due(version, "late", quality.late);
         let event = Event::Answered { late };
         self.fleet.observe(self.now, index, version, event);
-        let bad = self.is_due(version, "bad", quality.bad);
-        if bad {
-            *self.counts.entry((version, "worse")).or_default() += 1;
+        let is_bad = self.is_due(version, "bad", quality.bad);
+        if is_bad {
+            *self.counts.entry((version, "bad total")).or_default() += 1;
             self.served_bad += u64::from(version == self.fleet.candidate);
         }
         if traffic.rated {
-            let quality_milli = if bad { 300 } else { 900 };
-            let event = Event::Rated { quality_milli, bad };
+            let quality_milli = if is_bad { 300 } else { 900 };
+            let event = Event::Rated {
+                quality_milli,
+                bad: is_bad,
+            };
             self.fleet.observe(self.now, index, version, event);
         }
     }
@@ -262,15 +275,15 @@
                 assert_eq!(self.fleet.stage(index), stage, "instance {index}");
             }
         }
-        if let Some(most) = expect.served_bad_at_most {
-            assert!(self.served_bad <= most, "{} bad answers", self.served_bad);
+        if let Some(max) = expect.served_bad_at_most {
+            assert!(self.served_bad <= max, "{} bad answers", self.served_bad);
         }
         if let Some(hold) = &expect.hold {
             let verdict = self.fleet.verdict(self.now, 0);
             let Verdict::Hold(reason) = verdict else {
-                panic!("{verdict:?} in place of a hold");
+                panic!("{verdict:?} instead of a hold");
             };
-            assert_eq!(&name(reason), hold);
+            assert_eq!(&hold_name(reason), hold);
         }
         if let Some(moved) = expect.moved {
             assert_eq!(u64::try_from(self.moves.len()), Ok(moved));
@@ -290,7 +303,7 @@
     }
 }
 
-fn name(hold: Hold) -> String {
+fn hold_name(hold: Hold) -> String {
     let name = serde_json::to_value(hold).expect("a plain name");
     name.as_str().expect("a name").to_owned()
 }
@@ -304,11 +317,11 @@
 #[case("step-races-withdraw")]
 #[case("interrupted")]
 #[case("store-down")]
-fn trace_ends_as_stated(#[case] trace: &str) {
+fn replay_ends_as_stated(#[case] trace: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/traces/{trace}.json"));
     let text = std::fs::read_to_string(&path).expect("the trace is readable");
     let trace: Trace = serde_json::from_str(&text).expect("the trace is well formed");
-    println!("{}", trace.story);
+    println!("{}", trace.description);
     let mut replay = Replay::new(&trace);
     for step in trace.steps {
         replay.step(step);
