--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -1,5 +1,5 @@
-//! The time that one decision takes: choice of a server in fleets of 12, 100
-//! and 910, and one passage through admission.
+//! Time of one decision: the choice of a server in fleets of 12, 100 and 910
+//! servers, and one request through admission.
 //!
 //! `cargo bench -p fescuerack-core --bench decision`
 
