--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -280,7 +280,7 @@
         registry.merge_stored_record(Instant::ORIGIN, model, &record);
         let shared = registry.records();
         let bytes = serde_json::to_string(&shared).expect("plain fields").len();
-        assert!(bytes <= Replica::LARGEST, "{bytes} bytes");
+        assert!(bytes <= Replica::MAX_STATE_BYTES, "{bytes} bytes");
         assert_eq!(shared[model].halts.len(), 2);
     }
 }
