--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -4,7 +4,7 @@
 
 use fescuerack_config::Names;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::member::{Parcel, Replica};
+use fescuerack_core::member::{DigestScheduler, Replica};
 use fescuerack_core::rollout::{Cause, Event, Halt, Record, Registry, Step};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -239,7 +239,7 @@
     for _ in 0..20 {
         let digest = first.digest();
         let bytes = serde_json::to_string(&digest).expect("plain fields").len();
-        assert!(bytes <= Parcel::LARGEST / 2, "{bytes} bytes");
+        assert!(bytes <= DigestScheduler::MAX_BYTES / 2, "{bytes} bytes");
         received.extend(
             digest
                 .reports
