--- a/crates/gateway/src/apply.rs
+++ b/crates/gateway/src/apply.rs
@@ -1,9 +1,9 @@
 //! Bringing what was heard in force, and telling that it is.
 
 use crate::clock::now;
-use crate::edge::Item;
 use crate::node::Node;
 use crate::offload;
+use crate::platform::Item;
 
 /// Takes in items, the small ones at once. Whoever follows them sets the revision afterwards: a
 /// node that follows this one would else go on without the large ones.
--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -16,7 +16,7 @@
 
 /// What kind of change it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sort {
+pub enum ChangeKind {
     /// The operators' configuration.
     Configuration,
     /// A backend server's entry.
@@ -31,7 +31,7 @@
     Unreadable,
 }
 
-impl Sort {
+impl ChangeKind {
     /// Returns the name under which metrics count it.
     #[must_use]
     pub const fn name(self) -> &'static str {
@@ -61,7 +61,7 @@
 
 impl Arrivals {
     /// Notes that all changes up to `revision` had come at `at`.
-    pub fn note(&mut self, revision: u64, at: Instant) {
+    pub fn record(&mut self, revision: u64, at: Instant) {
         let last = self.0.back().map_or(0, |(last, _)| *last);
         if revision <= last {
             return;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,11 +12,11 @@
 
 use crate::catalog::Route;
 use crate::clock::{deadline, now};
-use crate::edge::{Ask, Head, Order};
 use crate::headers;
 use crate::judge;
 use crate::node::Node;
 use crate::pick::{self, Pick, Running};
+use crate::platform::{RequestHead, ResponseHead, UpstreamHead};
 use crate::trials::{self, Watched};
 use crate::upstream::{Answered, Sent};
 
@@ -32,7 +32,7 @@
     /// Rank of the organisation, if it has one.
     pub priority: Option<u32>,
     /// What the caller's headers say.
-    pub ask: Ask,
+    pub ask: RequestHead,
     /// Method.
     pub method: Method,
     /// Path and query as sent.
@@ -77,7 +77,7 @@
     /// Head, body and connection.
     pub answered: Answered,
     /// What the head says.
-    pub head: Head,
+    pub head: ResponseHead,
     /// Who answers.
     pub pick: Pick,
     /// Milliseconds until the head came.
@@ -191,7 +191,7 @@
     let status = answered.response.status();
     let head = node
         .platform
-        .head(status, answered.response.headers(), &job.ask.id);
+        .parse_response_head(status, answered.response.headers(), &job.ask.id);
     if head.is_not_run {
         if status == StatusCode::MISDIRECTED_REQUEST {
             // Another server has this address now; the entry is of the one before.
@@ -255,7 +255,7 @@
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let left = job.deadline.since(now()).as_millis();
-    let order = Order {
+    let order = UpstreamHead {
         server: &pick.id,
         left_ms: Some(u64::try_from(left).unwrap_or(u64::MAX)),
         organisation: job.organisation.as_deref(),
@@ -268,7 +268,8 @@
     *request.uri_mut() = job.target.clone();
     *request.headers_mut() = job.headers.clone();
     headers::strip(request.headers_mut());
-    node.platform.order(request.headers_mut(), &order);
+    node.platform
+        .write_upstream_head(request.headers_mut(), &order);
     request
 }
 
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -13,8 +13,8 @@
 
 use crate::attempt::Job;
 use crate::clock::now;
-use crate::edge::Progress;
 use crate::node::Node;
+use crate::platform::Progress;
 use crate::server::Server;
 use crate::trials;
 use crate::view::{Order, View};
@@ -43,10 +43,10 @@
 ) -> Vec<&'a Server> {
     let now = now();
     let usable = |server: &&Server| {
-        server.listed.service == *service
+        server.entry.service == *service
             && server.is_ready()
-            && !tried.contains(&server.listed.id)
-            && model.is_none_or(|model| server.holds(model))
+            && !tried.contains(&server.entry.id)
+            && model.is_none_or(|model| server.has_model(model))
             && !is_evacuated(view, server)
             && is_allowed(node, job, server)
             && warming::is_open(node, view, server, now)
@@ -64,7 +64,7 @@
     let view = node.view.borrow();
     let mut barred = Barred::default();
     let ready = view.servers.values().filter(|server| server.is_ready());
-    for server in ready.filter(|server| server.listed.service == *service) {
+    for server in ready.filter(|server| server.entry.service == *service) {
         if is_evacuated(&view, server) {
             barred.evacuated += 1;
         } else if !is_allowed(node, job, server) {
@@ -77,7 +77,7 @@
 }
 
 fn is_evacuated(view: &View, server: &Server) -> bool {
-    view.evacuated.contains_key(&server.listed.zone)
+    view.evacuated.contains_key(&server.entry.zone)
 }
 
 /// Whether route and organisation both allow the server's region.
@@ -88,7 +88,7 @@
     }
     let settings = node.settings.borrow();
     // A zone that is in no known region may be anywhere.
-    let Some(region) = settings.regions.get(&*server.listed.zone) else {
+    let Some(region) = settings.regions.get(&*server.entry.zone) else {
         return false;
     };
     let allows = |regions: &[Arc<str>]| {
@@ -104,7 +104,7 @@
     session: u64,
     all: Vec<&'a Server>,
 ) -> Vec<&'a Server> {
-    let is_new = |server: &&Server| server.listed.version == order.rollout.version;
+    let is_new = |server: &&Server| server.entry.version == order.rollout.version;
     let (new, old): (Vec<&Server>, Vec<&Server>) = all.into_iter().partition(is_new);
     if !prefers_new(node, order, session) || new.is_empty() {
         return old;
--- a/crates/gateway/src/fetch.rs
+++ b/crates/gateway/src/fetch.rs
@@ -14,11 +14,11 @@
 
 use crate::apply;
 use crate::clock::now;
-use crate::edge::{Answer as Stored, Call, Item};
 use crate::large::{Awaited, Notice};
 use crate::message;
 use crate::node::Node;
 use crate::piece::Piece;
+use crate::platform::{Item, StoreRequest, StoreResponse as Stored};
 use crate::publisher::{Answer, PATH, Question};
 use crate::source::{self, Source};
 
@@ -177,7 +177,7 @@
 /// Reads the item from the store.
 async fn read(node: &Node, awaited: &Awaited) -> bool {
     let key = &awaited.notice.key;
-    let call = Call::Range {
+    let call = StoreRequest::Range {
         prefix: key,
         after: None,
     };
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -18,12 +18,12 @@
 
 use crate::apply;
 use crate::clock::now;
-use crate::edge::{Answer, Call, Item, Page};
 use crate::fetch;
 use crate::news::{self, News};
 use crate::node::Node;
 use crate::offload::{self, Decoded};
 use crate::peer;
+use crate::platform::{Item, Page, StoreRequest, StoreResponse};
 use crate::source::{self, Failed, Source};
 use crate::store::Fault;
 
@@ -167,7 +167,7 @@
         .set(answered.max(node.store_answered.get()));
     for arrival in &news.arrivals {
         let at = now().minus_millis(arrival.age_ms);
-        node.arrivals.borrow_mut().note(arrival.revision, at);
+        node.arrivals.borrow_mut().record(arrival.revision, at);
     }
     apply::take_items(node, &news.items).await;
     let mut view = node.view.borrow_mut();
@@ -192,13 +192,13 @@
         Source::StoreForOthers | Source::Others(_) => (watcher::WAIT_MS, watcher::GATHER_MS),
     };
     let wait_ms = if is_away { PROBE_MS } else { wait_ms };
-    let call = Call::Watch {
+    let call = StoreRequest::Watch {
         prefix: ALL,
         after,
         wait_ms,
     };
     match answer(node, &call, is_away).await {
-        Ok(Answer::Page(page)) => {
+        Ok(StoreResponse::Page(page)) => {
             note_answer(node, "watch");
             let has_news = !page.items.is_empty();
             take(node, &page).await;
@@ -206,7 +206,7 @@
                 tokio::time::sleep(Duration::from_millis(gather_ms)).await;
             }
         }
-        Ok(Answer::Gone) => {
+        Ok(StoreResponse::Gone) => {
             note_answer(node, "watch");
             tracing::info!(event = "history-gone", after);
             return Step::Gone;
@@ -225,7 +225,11 @@
 
 /// Makes a call; while the store is away a peer is asked at the same time, so that
 /// a call which hangs does not keep this node from what peers know.
-async fn answer(node: &Rc<Node>, call: &Call<'_>, is_away: bool) -> Result<Answer, Fault> {
+async fn answer(
+    node: &Rc<Node>,
+    call: &StoreRequest<'_>,
+    is_away: bool,
+) -> Result<StoreResponse, Fault> {
     if !is_away {
         return node.store.call(call).await;
     }
@@ -249,12 +253,12 @@
     let mut revision = None;
     loop {
         let after = items.last().map(|item| item.key.clone());
-        let call = Call::Range {
+        let call = StoreRequest::Range {
             prefix: ALL,
             after: after.as_deref(),
         };
         match node.store.call(&call).await? {
-            Answer::Page(page) => {
+            StoreResponse::Page(page) => {
                 revision = revision.or(Some(page.revision));
                 items.extend(page.items);
                 if !page.has_more {
@@ -267,7 +271,7 @@
     note_answer(node, "range");
     let revision = revision.unwrap_or_default();
     tracing::info!(event = "store-read", items = items.len(), revision);
-    node.arrivals.borrow_mut().note(revision, now());
+    node.arrivals.borrow_mut().record(revision, now());
     let mut decoded = Vec::new();
     for item in items.iter().filter(|item| offload::suits(item)) {
         decoded.extend(offload::decode(node, item.clone()).await);
@@ -283,7 +287,7 @@
 }
 
 async fn take(node: &Node, page: &Page) {
-    node.arrivals.borrow_mut().note(page.revision, now());
+    node.arrivals.borrow_mut().record(page.revision, now());
     apply::take_items(node, &page.items).await;
     let mut view = node.view.borrow_mut();
     view.revision = view.revision.max(page.revision);
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -13,9 +13,9 @@
 use crate::attempt::Job;
 use crate::catalog::{Catalog, Limits, Organisation, Route};
 use crate::clock::deadline;
-use crate::edge::Ask;
 use crate::node::Node;
 use crate::pick;
+use crate::platform::RequestHead;
 use crate::refusal::Refusal;
 
 /// A request whose head may be served.
@@ -31,7 +31,11 @@
 /// # Errors
 ///
 /// When no configuration is known yet, no route matches or the key is not known.
-pub fn admit(node: &Node, request: &Request<Incoming>, ask: &Ask) -> Result<Admitted, Refusal> {
+pub fn admit(
+    node: &Node,
+    request: &Request<Incoming>,
+    ask: &RequestHead,
+) -> Result<Admitted, Refusal> {
     let catalog = node
         .view
         .borrow()
@@ -59,7 +63,7 @@
 fn authorise(
     catalog: &Catalog,
     route: &Route,
-    ask: &Ask,
+    ask: &RequestHead,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
     let organisation = ask
         .key
@@ -80,7 +84,7 @@
 pub async fn read(
     request: Request<Incoming>,
     admitted: Admitted,
-    ask: Ask,
+    ask: RequestHead,
     arrived: Instant,
     until: Instant,
 ) -> Result<Job, Refusal> {
--- a/crates/gateway/src/large.rs
+++ b/crates/gateway/src/large.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::difference;
-use crate::edge::Item;
+use crate::platform::Item;
 
 /// Bytes of a value from which on it is large: what a link of 10 Mbit/s carries in 6 ms. Entries
 /// of servers and nodes are some hundred bytes.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! Callers' port for routed requests: from the socket to a backend server and back.
 //!
-//! A process has one thread and runs on a [`Platform`](edge::Platform), whose names
+//! A process has one thread and runs on a [`Platform`](platform::Platform), whose names
 //! and formats an adapter supplies. [`process`] starts the tasks of a
-//! [`node`]: [`front`] listens, [`follow`] hears of changes from a [`source`] and brings them
+//! [`node`]: [`listeners`] listens, [`follow`] hears of changes from a [`source`] and brings them
 //! in [`apply`], so that the [`view`] has them, each backend [`server`] among them. [`member`] and [`peer`] find and tell other nodes,
 //! [`share`] tells them what runs where, and [`news`] what has changed; [`fetch`] brings
 //! what is too [`large`] for that, as a [`piece`] that the [`publisher`] of another node
@@ -23,17 +23,16 @@
 pub mod clock;
 pub mod course;
 pub mod difference;
-pub mod edge;
 pub mod eligible;
 pub mod entry;
 pub mod events;
 pub mod fetch;
 pub mod follow;
-pub mod front;
 pub mod headers;
 pub mod intake;
 pub mod judge;
 pub mod large;
+pub mod listeners;
 pub mod logs;
 pub mod member;
 pub mod message;
@@ -46,6 +45,7 @@
 pub mod pick;
 pub mod piece;
 pub mod places;
+pub mod platform;
 pub mod process;
 pub mod publisher;
 pub mod refusal;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/listeners.rs
@@ -48,20 +48,20 @@
 }
 
 /// The listeners of a node.
-pub struct Front {
+pub struct Listeners {
     callers: TcpListener,
     readiness: TcpListener,
     peers: TcpListener,
     metrics: Option<TcpListener>,
 }
 
-impl Front {
+impl Listeners {
     /// Binds all addresses.
     ///
     /// # Errors
     ///
     /// When an address cannot be bound.
-    pub async fn new(node: &Node) -> anyhow::Result<Self> {
+    pub async fn bind(node: &Node) -> anyhow::Result<Self> {
         let (callers, readiness, peers, metrics) = {
             let settings = node.settings.borrow();
             (
--- a/crates/gateway/src/member.rs
+++ b/crates/gateway/src/member.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::edge::{Answer, Call};
 use crate::entry::{NODES, Peer};
 use crate::node::Node;
+use crate::platform::{StoreRequest, StoreResponse};
 use crate::store::Fault;
 
 /// Milliseconds that the lease lasts: three renewals may fail.
@@ -41,16 +41,16 @@
         };
         (key, peer.value(), settings.lease_ms.max(LEASE_MS))
     };
-    let Answer::Done(lease) = node.store.call(&Call::Grant { ttl_ms }).await? else {
+    let StoreResponse::Done(lease) = node.store.call(&StoreRequest::Grant { ttl_ms }).await? else {
         return Ok(None);
     };
-    let put = Call::Put {
+    let put = StoreRequest::Put {
         key: &key,
         value: &value,
         revision: None,
         lease: Some(lease),
     };
-    let is_entered = matches!(node.store.call(&put).await?, Answer::Done(_));
+    let is_entered = matches!(node.store.call(&put).await?, StoreResponse::Done(_));
     tracing::info!(event = "entry", key, lease, entered = is_entered);
     Ok(is_entered.then_some(lease))
 }
@@ -62,8 +62,8 @@
         if node.is_stopping.get() {
             std::future::pending::<()>().await;
         }
-        match node.store.call(&Call::Renew { lease }).await {
-            Ok(Answer::Gone) => {
+        match node.store.call(&StoreRequest::Renew { lease }).await {
+            Ok(StoreResponse::Gone) => {
                 tracing::info!(event = "entry-lapsed", lease);
                 return;
             }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -9,10 +9,10 @@
 
 use crate::arrival::Arrival;
 use crate::clock::now;
-use crate::edge::Item;
 use crate::large::Notice;
 use crate::message;
 use crate::node::Node;
+use crate::platform::Item;
 
 /// Path on which a watcher is asked.
 pub const PATH: &str = "/follow";
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -21,8 +21,8 @@
 
 use crate::arrival::Arrivals;
 use crate::clock::now;
-use crate::edge::Platform;
 use crate::metrics::Metrics;
+use crate::platform::Platform;
 use crate::publisher::Publisher;
 use crate::settings::Settings;
 use crate::share::Hubs;
--- a/crates/gateway/src/offload.rs
+++ b/crates/gateway/src/offload.rs
@@ -9,9 +9,9 @@
 use fescuerack_core::clock::Instant;
 
 use crate::clock::now;
-use crate::edge::{Change, Item};
 use crate::large::LARGE;
 use crate::node::Node;
+use crate::platform::{Change, Item};
 
 /// Bytes from which on an answer or a value is worked on by another thread. A configuration of 11 KB is decoded in
 /// 0.07 ms of a whole core, 0.6 ms of an eighth of one, which no caller notices; handing work over
@@ -55,7 +55,7 @@
     }
     let (platform, read) = (node.platform.clone(), item.clone());
     let began = now();
-    let change = run(move || platform.change(&read)).await;
+    let change = run(move || platform.decode_item(&read)).await;
     let change = change.unwrap_or_else(|error| Change::Unreadable(format!("{error:#}")));
     note_decoded(&item, began);
     Some(Decoded { item, change })
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -32,12 +32,12 @@
 use crate::apply;
 use crate::body::Paced;
 use crate::clock::now;
-use crate::edge::Item;
 use crate::fetch;
 use crate::large::Notice;
 use crate::message::{self, Direction};
 use crate::news;
 use crate::node::Node;
+use crate::platform::Item;
 use crate::publisher;
 use crate::share;
 use crate::trials;
@@ -135,7 +135,7 @@
     let running = view.orders.values().filter(|order| {
         order
             .progress
-            .is_none_or(|progress| progress == crate::edge::Progress::Running)
+            .is_none_or(|progress| progress == crate::platform::Progress::Running)
     });
     running.map(|order| order.rollout.service.clone()).collect()
 }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -10,9 +10,9 @@
 use crate::attempt::Job;
 use crate::catalog::{Kind, Route};
 use crate::clock::now;
-use crate::edge::{Ask, Progress};
 use crate::eligible;
 use crate::node::Node;
+use crate::platform::{Progress, RequestHead};
 use crate::server::Server;
 use crate::view::View;
 use crate::warming;
@@ -107,12 +107,12 @@
 
 /// Work that a request brings, in requests of usual size.
 #[must_use]
-pub fn work(ask: &Ask, model: Option<(usize, usize)>) -> f64 {
+pub fn work(ask: &RequestHead, model: Option<(usize, usize)>) -> f64 {
     (1.0 + f64::from(ask.tokens.0) / TOKENS) * heaviness(model)
 }
 
 /// Prompt tokens, weighed by how long the model takes to read one.
-fn reading(ask: &Ask, model: Option<(usize, usize)>) -> f64 {
+fn reading(ask: &RequestHead, model: Option<(usize, usize)>) -> f64 {
     f64::from(ask.tokens.0) * heaviness(model)
 }
 
@@ -129,7 +129,7 @@
 
 /// Hash of the session that a request belongs to, alike on all nodes.
 #[must_use]
-pub fn session(ask: &Ask, organisation: Option<&str>) -> u64 {
+pub fn session(ask: &RequestHead, organisation: Option<&str>) -> u64 {
     let base = home::hash(organisation.unwrap_or_default().as_bytes());
     if let Some(session) = &ask.session {
         return home::mix(base ^ home::hash(session.as_bytes()));
@@ -142,16 +142,16 @@
 
 /// The longest part of the prompt that other requests share: the last belongs to
 /// the request itself.
-fn shared_part(ask: &Ask) -> Option<u64> {
-    let parts = &ask.parts;
+fn shared_part(ask: &RequestHead) -> Option<u64> {
+    let parts = &ask.blocks;
     let shared = parts.len().checked_sub(2).or(parts.len().checked_sub(1))?;
     Some(parts[shared].id)
 }
 
 /// Tokens of the parts that other requests share.
-fn shared_tokens(ask: &Ask) -> u32 {
-    let own = ask.parts.len().saturating_sub(1);
-    let shared = ask.parts[..own].iter().map(|part| part.tokens);
+fn shared_tokens(ask: &RequestHead) -> u32 {
+    let own = ask.blocks.len().saturating_sub(1);
+    let shared = ask.blocks[..own].iter().map(|part| part.tokens);
     shared.fold(0, u32::saturating_add)
 }
 
@@ -202,8 +202,8 @@
         .map(|(rank, server)| Candidate {
             identity: server.identity,
             load: server.work + others.work(now, server.identity),
-            places: server.listed.places,
-            is_near: *server.listed.zone == *settings.zone,
+            places: server.entry.concurrency,
+            is_near: *server.entry.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
             is_suited: route.models.len() < 2 || home::suits(rank, count, is_small),
         })
@@ -222,7 +222,7 @@
     }?;
     let server = listed[index];
     let order = view.orders.get(service);
-    let order = order.filter(|order| order.rollout.version == server.listed.version);
+    let order = order.filter(|order| order.rollout.version == server.entry.version);
     let is_on_trial = order.is_some_and(|order| order.progress != Some(Progress::Completed));
     if order.is_none() && route.kind == Kind::Streaming {
         let mut recent = node.recent.borrow_mut();
@@ -230,10 +230,10 @@
     }
     warming::take(node, &view, server, now);
     Some(Pick {
-        id: server.listed.id.clone(),
+        id: server.entry.id.clone(),
         identity: server.identity,
-        address: server.listed.address,
-        version: server.listed.version.clone(),
+        address: server.entry.address,
+        version: server.entry.version.clone(),
         service: service.clone(),
         is_near: candidates[index].is_near,
         is_on_trial,
--- a/crates/gateway/src/piece.rs
+++ b/crates/gateway/src/piece.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::difference;
-use crate::edge::Item;
 use crate::large::Notice;
 use crate::message;
+use crate::platform::Item;
 
 /// A value as its difference from another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/platform.rs
@@ -12,12 +12,12 @@
 use hyper::{HeaderMap, Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::arrival::Sort;
+use crate::arrival::ChangeKind;
 use crate::catalog::Catalog;
 
 /// One part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PrefixBlock {
     /// Identity of the part and of all parts before it.
     pub id: u64,
     /// Tokens.
@@ -26,7 +26,7 @@
 
 /// What a caller's headers say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// Identifier of this try of the caller.
     pub id: String,
     /// Milliseconds that the caller waits.
@@ -40,7 +40,7 @@
     /// Prompt tokens, and output tokens at most.
     pub tokens: (u32, u32),
     /// Parts of the prompt in order.
-    pub parts: Vec<Part>,
+    pub blocks: Vec<PrefixBlock>,
     /// Session that the request belongs to.
     pub session: Option<String>,
     /// Identifier of the last event that the caller has.
@@ -49,7 +49,7 @@
 
 /// What the gateway tells a backend server besides the caller's own headers.
 #[derive(Clone, Debug)]
-pub struct Order<'a> {
+pub struct UpstreamHead<'a> {
     /// Identifier of the server that is meant.
     pub server: &'a str,
     /// Milliseconds that are left.
@@ -66,7 +66,7 @@
 
 /// What a server's head says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHead {
     /// Whether the server says that it did not run the request.
     pub is_not_run: bool,
     /// Whether the answer is for the request with the asked identifier.
@@ -99,7 +99,7 @@
 
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call<'a> {
+pub enum StoreRequest<'a> {
     /// Reads all keys with a prefix, after a key.
     Range {
         /// Prefix of the keys.
@@ -139,37 +139,37 @@
     },
 }
 
-impl Call<'_> {
+impl StoreRequest<'_> {
     /// Returns the call without its texts: its answer can be read by that on another thread.
     #[must_use]
-    pub const fn bare(&self) -> Call<'static> {
+    pub const fn to_static(&self) -> StoreRequest<'static> {
         match *self {
-            Call::Range { .. } => Call::Range {
+            StoreRequest::Range { .. } => StoreRequest::Range {
                 prefix: "",
                 after: None,
             },
-            Call::Watch { after, wait_ms, .. } => Call::Watch {
+            StoreRequest::Watch { after, wait_ms, .. } => StoreRequest::Watch {
                 prefix: "",
                 after,
                 wait_ms,
             },
-            Call::Put {
+            StoreRequest::Put {
                 revision, lease, ..
-            } => Call::Put {
+            } => StoreRequest::Put {
                 key: "",
                 value: "",
                 revision,
                 lease,
             },
-            Call::Grant { ttl_ms } => Call::Grant { ttl_ms },
-            Call::Renew { lease } => Call::Renew { lease },
+            StoreRequest::Grant { ttl_ms } => StoreRequest::Grant { ttl_ms },
+            StoreRequest::Renew { lease } => StoreRequest::Renew { lease },
         }
     }
 }
 
 /// A call in the platform's form.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wire {
+pub struct HttpRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -180,10 +180,10 @@
 
 /// What a call came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum StoreResponse {
     /// Items.
     Page(Page),
-    /// Done; the lease's number for [`Call::Grant`], the revision for [`Call::Put`].
+    /// Done; the lease's number for [`StoreRequest::Grant`], the revision for [`StoreRequest::Put`].
     Done(u64),
     /// The condition does not hold.
     Conflict,
@@ -197,7 +197,7 @@
 
 /// State of a backend server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// Takes requests.
     Ready,
     /// Leaves.
@@ -206,7 +206,7 @@
 
 /// One backend server in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ServerEntry {
     /// Its identifier. A server that starts again may keep it.
     pub id: Arc<str>,
     /// Service.
@@ -218,9 +218,9 @@
     /// Version of its software.
     pub version: Arc<str>,
     /// Requests that it runs at once.
-    pub places: u32,
+    pub concurrency: u32,
     /// State.
-    pub state: State,
+    pub state: ServerState,
     /// Models that it holds; empty if the list does not say.
     pub models: Vec<Arc<str>>,
     /// When it started, in Unix milliseconds by its own clock; `None` if the list does not say.
@@ -254,7 +254,7 @@
 
 /// The record of a roll-out that the operators read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Status {
+pub struct RolloutStatus {
     /// Service.
     pub service: Arc<str>,
     /// Version that was to be brought in.
@@ -269,7 +269,7 @@
     /// The newest configuration.
     Catalog(Arc<Catalog>),
     /// A backend server.
-    Server(Listed),
+    Server(ServerEntry),
     /// A backend server is no longer listed.
     ServerGone(Arc<str>),
     /// The entry of a backend server cannot be read, for the reason given; there is none to use.
@@ -279,9 +279,9 @@
     /// The order for a roll-out of the service was withdrawn.
     RolloutGone(Arc<str>),
     /// The record of a roll-out was written.
-    Status(Status),
+    RolloutStatus(RolloutStatus),
     /// The record of a roll-out was removed.
-    StatusGone(Arc<str>),
+    RolloutStatusGone(Arc<str>),
     /// The operators want no requests at the servers of an availability zone, or do again.
     Evacuation {
         /// Availability zone.
@@ -290,7 +290,7 @@
         is_ordered: bool,
     },
     /// A key of the gateway's own.
-    Own,
+    Internal,
     /// The value cannot be read; what was known before stays in force.
     Unreadable(String),
 }
@@ -298,16 +298,17 @@
 impl Change {
     /// Returns what kind of change it is.
     #[must_use]
-    pub const fn sort(&self) -> Sort {
+    pub const fn kind(&self) -> ChangeKind {
         match self {
-            Self::Catalog(_) => Sort::Configuration,
-            Self::Server(_) | Self::ServerGone(_) => Sort::Server,
-            Self::Rollout(_) | Self::RolloutGone(_) | Self::Status(_) | Self::StatusGone(_) => {
-                Sort::Rollout
-            }
-            Self::Evacuation { .. } => Sort::Evacuation,
-            Self::Own => Sort::Node,
-            Self::ServerUnreadable(..) | Self::Unreadable(_) => Sort::Unreadable,
+            Self::Catalog(_) => ChangeKind::Configuration,
+            Self::Server(_) | Self::ServerGone(_) => ChangeKind::Server,
+            Self::Rollout(_)
+            | Self::RolloutGone(_)
+            | Self::RolloutStatus(_)
+            | Self::RolloutStatusGone(_) => ChangeKind::Rollout,
+            Self::Evacuation { .. } => ChangeKind::Evacuation,
+            Self::Internal => ChangeKind::Node,
+            Self::ServerUnreadable(..) | Self::Unreadable(_) => ChangeKind::Unreadable,
         }
     }
 }
@@ -315,17 +316,27 @@
 /// Names, formats and calls of a platform.
 pub trait Platform: Send + Sync + 'static {
     /// Reads a caller's headers.
-    fn ask(&self, headers: &HeaderMap) -> Ask;
+    fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
     /// Replaces in `headers` what only the gateway may set.
-    fn order(&self, headers: &mut HeaderMap, order: &Order<'_>);
+    fn write_upstream_head(&self, headers: &mut HeaderMap, order: &UpstreamHead<'_>);
     /// Reads a server's head that should answer the request `id`.
-    fn head(&self, status: StatusCode, headers: &HeaderMap, id: &str) -> Head;
+    fn parse_response_head(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        id: &str,
+    ) -> ResponseHead;
     /// Puts a call into the platform's form.
-    fn call(&self, call: &Call<'_>) -> Wire;
+    fn encode_store_request(&self, call: &StoreRequest<'_>) -> HttpRequest;
     /// Reads the answer to `call`.
-    fn answer(&self, call: &Call<'_>, status: StatusCode, body: &[u8]) -> Answer;
+    fn decode_store_response(
+        &self,
+        call: &StoreRequest<'_>,
+        status: StatusCode,
+        body: &[u8],
+    ) -> StoreResponse;
     /// Reads a key of the store.
-    fn change(&self, item: &Item) -> Change;
+    fn decode_item(&self, item: &Item) -> Change;
     /// Returns key and value under which a record is kept.
-    fn status(&self, status: &Status) -> (String, String);
+    fn encode_rollout_status(&self, status: &RolloutStatus) -> (String, String);
 }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -10,10 +10,10 @@
 use tokio::sync::watch;
 
 use crate::clock::now;
-use crate::edge::Platform;
-use crate::front::Front;
+use crate::listeners::Listeners;
 use crate::logs::Logs;
 use crate::node::Node;
+use crate::platform::Platform;
 use crate::settings::Settings;
 use crate::{fetch, follow, member, peer, share, trials};
 
@@ -59,7 +59,7 @@
         version = env!("CARGO_PKG_VERSION")
     );
     let node = Rc::new(Node::new(settings, platform)?);
-    let front = Front::new(&node).await?;
+    let front = Listeners::bind(&node).await?;
     let (stop, stopped) = watch::channel(None);
     let serving = start(front, node.clone(), stopped);
     let signals = signals(&node, &stop, reload, logs);
@@ -70,7 +70,7 @@
 }
 
 /// Starts all tasks of a node and serves until a stop is asked for on `stopped`.
-pub async fn start(front: Front, node: Rc<Node>, stopped: watch::Receiver<Option<Instant>>) {
+pub async fn start(front: Listeners, node: Rc<Node>, stopped: watch::Receiver<Option<Instant>>) {
     tokio::task::spawn_local(follow::run(node.clone()));
     tokio::task::spawn_local(fetch::run(node.clone()));
     tokio::task::spawn_local(member::run(node.clone()));
--- a/crates/gateway/src/publisher.rs
+++ b/crates/gateway/src/publisher.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Mutex;
 
-use crate::edge::Item;
 use crate::node::Node;
 use crate::offload;
 use crate::piece::Piece;
 use crate::places::{Place, Places};
+use crate::platform::Item;
 
 /// Path on which a node is asked for a large item.
 pub const PATH: &str = "/large";
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -50,7 +50,7 @@
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Answer> {
     let arrived = now();
     node.metrics.in_progress.inc();
-    let ask = node.platform.ask(request.headers());
+    let ask = node.platform.parse_request_head(request.headers());
     let id = ask.id.clone();
     let mut deadline = arrived.plus_millis(ask.wait_ms.unwrap_or(WAIT_MS));
     wait_for_configuration(&node, arrived).await;
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -145,9 +145,9 @@
     // In order, so that all nodes leave out the same ones of several.
     let mut alike: BTreeMap<(&str, &str), BTreeMap<u32, &str>> = BTreeMap::new();
     for server in view.servers.values() {
-        let listed = &server.listed;
+        let listed = &server.entry;
         let servers = alike.entry((&listed.service, &listed.version)).or_default();
-        servers.insert(load::short(server.identity), &server.listed.id);
+        servers.insert(load::short(server.identity), &server.entry.id);
     }
     for ((service, version), names) in alike {
         let servers: Vec<u32> = names.keys().copied().collect();
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -9,8 +9,8 @@
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Request, StatusCode};
 
-use crate::edge::{Answer, Call, Platform};
 use crate::offload;
+use crate::platform::{Platform, StoreRequest, StoreResponse};
 use crate::upstream::{self, Pool, Sent};
 
 /// Bytes that an answer has at most: a page of items is a megabyte, or one large item.
@@ -66,16 +66,20 @@
     /// # Errors
     ///
     /// When no answer came that says what was done.
-    pub async fn call(&self, call: &Call<'_>) -> Result<Answer, Fault> {
+    pub async fn call(&self, call: &StoreRequest<'_>) -> Result<StoreResponse, Fault> {
         let patience = match call {
-            Call::Watch { wait_ms, .. } => Duration::from_millis(*wait_ms) + MARGIN,
+            StoreRequest::Watch { wait_ms, .. } => Duration::from_millis(*wait_ms) + MARGIN,
             _ => PATIENCE,
         };
         self.exchange(call, patience).await
     }
 
-    async fn exchange(&self, call: &Call<'_>, patience: Duration) -> Result<Answer, Fault> {
-        let wire = self.platform.call(call);
+    async fn exchange(
+        &self,
+        call: &StoreRequest<'_>,
+        patience: Duration,
+    ) -> Result<StoreResponse, Fault> {
+        let wire = self.platform.encode_store_request(call);
         let request = Request::builder()
             .method(wire.method)
             .uri(wire.target)
@@ -83,7 +87,10 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(wire.body))
             .map_err(|error| Fault::NotDone(error.to_string()))?;
-        let may_repeat = matches!(call, Call::Range { .. } | Call::Watch { .. });
+        let may_repeat = matches!(
+            call,
+            StoreRequest::Range { .. } | StoreRequest::Watch { .. }
+        );
         let sent = self.pool.send(self.address, request, may_repeat);
         let answered = match tokio::time::timeout(patience, sent).await {
             Ok(Sent::Answered(answered)) => answered,
@@ -96,23 +103,24 @@
         let body = body.map_err(|error| Fault::Unknown(error.to_string()))?;
         self.pool.keep(answered.connection);
         match self.read(call, head.status, body).await? {
-            Answer::Refused => Err(Fault::NotDone(format!("status {}", head.status))),
-            Answer::Unreadable(reason) => Err(Fault::Unknown(reason)),
+            StoreResponse::Refused => Err(Fault::NotDone(format!("status {}", head.status))),
+            StoreResponse::Unreadable(reason) => Err(Fault::Unknown(reason)),
             answer => Ok(answer),
         }
     }
 
     async fn read(
         &self,
-        call: &Call<'_>,
+        call: &StoreRequest<'_>,
         status: StatusCode,
         body: Bytes,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<StoreResponse, Fault> {
         if body.len() < offload::OFFLOADED {
-            return Ok(self.platform.answer(call, status, &body));
+            return Ok(self.platform.decode_store_response(call, status, &body));
         }
-        let (platform, call) = (self.platform.clone(), call.bare());
-        let answer = offload::run(move || platform.answer(&call, status, &body)).await;
+        let (platform, call) = (self.platform.clone(), call.to_static());
+        let answer =
+            offload::run(move || platform.decode_store_response(&call, status, &body)).await;
         answer.map_err(|error| Fault::Unknown(error.to_string()))
     }
 }
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/trials.rs
@@ -15,10 +15,10 @@
 use fescuerack_core::routed::trial::{self, Stage, Trial, Verdict};
 
 use crate::clock::now;
-use crate::edge::{Answer, Call, Progress, Status};
 use crate::node::{Evidence, Node};
 use crate::peer;
 use crate::pick::Pick;
+use crate::platform::{Progress, RolloutStatus, StoreRequest, StoreResponse};
 use crate::view::Order;
 
 /// Milliseconds between judgements.
@@ -306,13 +306,13 @@
     if node.view.borrow().outage.is_away() {
         return;
     }
-    let status = Status {
+    let status = RolloutStatus {
         service: order.rollout.service.clone(),
         version: order.rollout.version.clone(),
         progress,
     };
-    let (key, value) = node.platform.status(&status);
-    let put = Call::Put {
+    let (key, value) = node.platform.encode_rollout_status(&status);
+    let put = StoreRequest::Put {
         key: &key,
         value: &value,
         revision: Some(order.revision),
@@ -326,9 +326,9 @@
         return;
     }
     match node.store.call(&put).await {
-        Ok(Answer::Done(revision)) => {
+        Ok(StoreResponse::Done(revision)) => {
             tracing::info!(event = "rollout-recorded", key, ?progress, revision);
-            let item = crate::edge::Item {
+            let item = crate::platform::Item {
                 key,
                 value: Some(value),
                 revision,
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -11,11 +11,11 @@
 use fescuerack_core::routed::rank::Instance;
 use fescuerack_core::routed::vanish::Outage;
 
-use crate::arrival::Sort;
+use crate::arrival::ChangeKind;
 use crate::catalog::Catalog;
-use crate::edge::{Change, Item, Listed, Platform, Progress, Rollout, State};
 use crate::entry::{NODES, Peer};
 use crate::large::{Large, Notice};
+use crate::platform::{Change, Item, Platform, Progress, Rollout, ServerEntry, ServerState};
 use crate::server::Server;
 
 /// Items of removed keys that are remembered so that peers hear of the removal.
@@ -63,7 +63,7 @@
     /// Entries that could not be read so far.
     pub unreadable: u64,
     /// What came in force since the last [`take_fresh`](Self::take_fresh).
-    fresh: Vec<(Sort, u64)>,
+    fresh: Vec<(ChangeKind, u64)>,
     /// Addresses at which a server started again, for [`take_restarted`](Self::take_restarted).
     restarted: Vec<SocketAddr>,
     items: HashMap<String, Item>,
@@ -83,7 +83,7 @@
         if item.revision <= self.revision_of(&item.key) {
             return false;
         }
-        self.apply_change(now, item, platform.change(item))
+        self.apply_change(now, item, platform.decode_item(item))
     }
 
     /// Takes in one item and what it means; returns whether it was news.
@@ -91,7 +91,7 @@
         if item.revision <= self.revision_of(&item.key) {
             return false;
         }
-        self.fresh.push((change.sort(), item.revision));
+        self.fresh.push((change.kind(), item.revision));
         let before = self.items.insert(item.key.clone(), item.clone());
         self.large.note(before, item);
         self.take(now, change, item);
@@ -193,11 +193,11 @@
     /// Drops servers whose entries have not come back; returns their number.
     pub fn sweep(&mut self, now: Instant) -> usize {
         for server in self.servers.values_mut() {
-            server.warm(now);
+            server.expire_cold(now);
         }
         let before = self.servers.len();
         self.servers
-            .retain(|_, server| server.gone_at.is_none_or(|gone_at| now < gone_at));
+            .retain(|_, server| server.expires_at.is_none_or(|expires_at| now < expires_at));
         self.forget_removed();
         before - self.servers.len()
     }
@@ -250,7 +250,7 @@
                     revision = item.revision
                 );
             }
-            Change::Status(status) => {
+            Change::RolloutStatus(status) => {
                 if let Some(order) = self.orders.get_mut(&status.service) {
                     order.revision = item.revision;
                     if order.rollout.version == status.version {
@@ -265,7 +265,7 @@
                     );
                 }
             }
-            Change::StatusGone(service) => {
+            Change::RolloutStatusGone(service) => {
                 if let Some(order) = self.orders.get_mut(&service) {
                     order.progress = None;
                     order.revision = 0;
@@ -274,7 +274,7 @@
             Change::Evacuation { zone, is_ordered } => {
                 self.take_evacuation(now, zone, is_ordered, item.revision);
             }
-            Change::Own => self.take_own(item),
+            Change::Internal => self.take_own(item),
             Change::Unreadable(reason) => self.note_unreadable(item, &reason),
         }
     }
@@ -290,7 +290,7 @@
     }
 
     /// Returns what has come in force since the last call, with its revision.
-    pub fn take_fresh(&mut self) -> Vec<(Sort, u64)> {
+    pub fn take_fresh(&mut self) -> Vec<(ChangeKind, u64)> {
         std::mem::take(&mut self.fresh)
     }
 
@@ -312,7 +312,7 @@
         self.catalog = Some(catalog);
     }
 
-    fn take_server(&mut self, now: Instant, listed: Listed, revision: u64) {
+    fn take_server(&mut self, now: Instant, listed: ServerEntry, revision: u64) {
         tracing::info!(
             event = "server",
             server = &*listed.id,
@@ -321,25 +321,25 @@
             state = ?listed.state
         );
         if let Some(known) = self.servers.get_mut(&listed.id) {
-            if known.listed.started_ms == listed.started_ms {
-                known.take(now, listed, revision);
+            if known.entry.started_ms == listed.started_ms {
+                known.update(now, listed, revision);
                 return;
             }
             tracing::info!(
                 event = "server-restarted",
                 server = &*listed.id,
-                before_ms = known.listed.started_ms,
+                before_ms = known.entry.started_ms,
                 started_ms = listed.started_ms,
                 running = known.running
             );
-            self.restarted.push(known.listed.address);
+            self.restarted.push(known.entry.address);
         }
         let warmup_ms = self
             .catalog
             .as_ref()
             .map_or(0, |catalog| catalog.warmup_ms(&listed.service));
         let server = Server::new(now, listed, warmup_ms);
-        self.servers.insert(server.listed.id.clone(), server);
+        self.servers.insert(server.entry.id.clone(), server);
     }
 
     /// Takes in an order to evacuate `zone`, or its withdrawal. The servers of a zone that is given
@@ -358,9 +358,9 @@
             return;
         };
         let servers = self.servers.values_mut();
-        for server in servers.filter(|server| server.listed.zone == zone) {
-            let warmup_ms = catalog.warmup_ms(&server.listed.service);
-            server.cool(now, warmup_ms, revision);
+        for server in servers.filter(|server| server.entry.zone == zone) {
+            let warmup_ms = catalog.warmup_ms(&server.entry.service);
+            server.mark_cold(now, warmup_ms, revision);
         }
     }
 
@@ -369,14 +369,14 @@
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
-        let is_draining = server.listed.state == State::Draining;
+        let is_draining = server.entry.state == ServerState::Draining;
         tracing::info!(
             event = "server-gone",
             server = id,
             held_s = held.map(|until| until.since(now).as_secs_f64())
         );
         match held {
-            Some(until) if !is_draining => server.gone_at = Some(until),
+            Some(until) if !is_draining => server.expires_at = Some(until),
             _ => {
                 self.servers.remove(id);
             }
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -88,7 +88,7 @@
     if let Some(found) = node.warming.borrow_mut().turns.get_mut(&server.identity) {
         found.turn.take(now, spacing_ms);
     }
-    let service = &*server.listed.service;
+    let service = &*server.entry.service;
     node.metrics
         .cold_requests
         .with_label_values(&[service])
@@ -105,7 +105,7 @@
 /// What the server bears while it is cold; `None` if its service states no limit.
 fn limit(node: &Node, view: &View, server: &Server) -> Option<Limit> {
     let catalog = view.catalog.as_ref()?;
-    let warmup = catalog.services.get(&server.listed.service)?.warmup?;
+    let warmup = catalog.services.get(&server.entry.service)?.warmup?;
     let excess = node.settings.borrow().warmup;
     Some(Limit::new(warmup.per_second, excess.overage, excess.slack))
 }
--- a/crates/gateway/tests/all/large.rs
+++ b/crates/gateway/tests/all/large.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_gateway::edge::Item;
 use fescuerack_gateway::large::{LARGE, Large, Notice};
+use fescuerack_gateway::platform::Item;
 
 const KEY: &str = "configuration";
 
