--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -12,7 +12,7 @@
 
 /// Revisions that are remembered. A watcher hears a few times a second, and news is seconds old at
 /// most while things go well.
-const KEPT: usize = 128;
+const MAX_REVISIONS: usize = 128;
 
 /// What kind of change it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
         if revision <= last {
             return;
         }
-        if self.0.len() >= KEPT {
+        if self.0.len() >= MAX_REVISIONS {
             self.0.pop_front();
         }
         self.0.push_back((revision, at));
@@ -87,10 +87,10 @@
     pub fn since(&self, now: Instant, revision: u64) -> Vec<Arrival> {
         let next = self.0.partition_point(|(known, _)| *known <= revision);
         let from = next.saturating_sub(1);
-        let told = self.0.range(from..).map(|&(revision, at)| Arrival {
+        let arrivals = self.0.range(from..).map(|&(revision, at)| Arrival {
             revision,
             age_ms: u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX),
         });
-        told.collect()
+        arrivals.collect()
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -13,12 +13,12 @@
 use crate::catalog::Route;
 use crate::clock::{deadline, now};
 use crate::headers;
-use crate::judge;
 use crate::node::Node;
-use crate::pick::{self, Pick, Running};
+use crate::pick::{self, InFlight, Pick};
 use crate::platform::{RequestHead, ResponseHead, UpstreamHead};
 use crate::trials::{self, Watched};
 use crate::upstream::{Answered, Sent};
+use crate::verdict;
 
 /// A caller's request, read whole.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     /// Rank of the organisation, if it has one.
     pub priority: Option<u32>,
     /// What the caller's headers say.
-    pub ask: RequestHead,
+    pub head: RequestHead,
     /// Method.
     pub method: Method,
     /// Path and query as sent.
@@ -52,28 +52,28 @@
 }
 
 /// What became of an attempt.
-pub enum Tried {
+pub enum AttemptResult {
     /// The server did not run it, or no byte left for it.
-    NotRun(NotRun),
+    NotExecuted(NotExecuted),
     /// It may have run.
     Unknown,
     /// No head came in the time that the attempt had.
-    Silent,
+    TimedOut,
     /// A head came.
-    Headed(Box<Headed>),
+    Responded(Box<OpenResponse>),
 }
 
 /// How it is known that an attempt did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotRun {
+pub enum NotExecuted {
     /// No byte left: the server could not be reached.
-    Unreached,
+    Unreachable,
     /// The server said so.
-    Said,
+    Reported,
 }
 
 /// An answer whose head is there.
-pub struct Headed {
+pub struct OpenResponse {
     /// Head, body and connection.
     pub answered: Answered,
     /// What the head says.
@@ -83,20 +83,20 @@
     /// Milliseconds until the head came.
     pub head_ms: f64,
     /// Milliseconds until a head that the work on the server made likely.
-    pub expected_ms: f64,
+    pub expected_head_ms: f64,
     /// Counts the request as running there.
-    pub running: Running,
+    pub in_flight: InFlight,
     /// Lets a roll-out know while the answer is slow, until its end is counted.
     pub watched: Option<Watched>,
 }
 
 /// An answer whose head is not judged yet.
-struct Coming {
+struct ReceivedResponse {
     answered: Answered,
-    running: Running,
+    in_flight: InFlight,
     watched: Option<Watched>,
     head_ms: f64,
-    expected_ms: f64,
+    expected_head_ms: f64,
 }
 
 /// Sends `job` to `pick` and waits for a head until `until`.
@@ -107,14 +107,14 @@
     model: Option<(usize, &str)>,
     last_event: Option<u64>,
     until: Instant,
-) -> Tried {
+) -> AttemptResult {
     let models = job.route.models.len();
-    let work = pick::work(&job.ask, model.map(|(rank, _)| (rank, models)));
-    let mut running = Running::new(node, &pick, work);
-    let began = now();
-    let kind = judge::kind(job, model.map(|(rank, _)| rank));
-    let expected_ms = expected_ms(node, &pick, work);
-    let mut watched = trials::watch(node, &pick, &job.route.name, kind, expected_ms);
+    let work = pick::work(&job.head, model.map(|(rank, _)| (rank, models)));
+    let mut in_flight = InFlight::new(node, &pick, work);
+    let started = now();
+    let kind = verdict::latency_class(job, model.map(|(rank, _)| rank));
+    let expected_head_ms = expected_head_ms(node, &pick, work);
+    let mut watched = trials::watch(node, &pick, &job.route.name, kind, expected_head_ms);
     let request = request(node, job, &pick, model.map(|(_, name)| name), last_event);
     let sent = node
         .pool
@@ -122,55 +122,63 @@
     let Ok(sent) = tokio::time::timeout_at(deadline(until), sent).await else {
         // A busy server is silent as well; leaving it out at once would put its work
         // on the others, which then fall silent in turn.
-        note(node, job, &pick, began, Some(Outcome::Failed), "silent", "");
-        return Tried::Silent;
+        record_outcome(
+            node,
+            job,
+            &pick,
+            started,
+            Some(Outcome::Failed),
+            "silent",
+            "",
+        );
+        return AttemptResult::TimedOut;
     };
     match sent {
         Sent::NotSent(reason) => {
-            note(
+            record_outcome(
                 node,
                 job,
                 &pick,
-                began,
+                started,
                 Some(Outcome::Unreached),
                 "unreached",
                 &reason,
             );
-            Tried::NotRun(NotRun::Unreached)
+            AttemptResult::NotExecuted(NotExecuted::Unreachable)
         }
         Sent::Broken(reason) => {
-            note(
+            record_outcome(
                 node,
                 job,
                 &pick,
-                began,
+                started,
                 Some(Outcome::Failed),
                 "broken",
                 &reason,
             );
-            Tried::Unknown
+            AttemptResult::Unknown
         }
         Sent::Answered(answered) => {
-            running.settle();
-            let head_ms = now().since(began).as_secs_f64() * 1_000.0;
-            learn_wait(node, &pick, work, head_ms);
+            in_flight.mark_prefill_done();
+            let head_ms = now().since(started).as_secs_f64() * 1_000.0;
+            record_wait(node, &pick, work, head_ms);
             if let Some(watched) = &mut watched {
                 watched.head();
             }
-            let coming = Coming {
+            let received = ReceivedResponse {
                 answered,
-                running,
+                in_flight,
                 watched,
                 head_ms,
-                expected_ms,
+                expected_head_ms,
             };
-            judge(node, job, pick, began, coming)
+            check_head(node, job, pick, started, received)
         }
     }
 }
 
 /// Milliseconds until a head that the work on the server and the request's own make likely.
-fn expected_ms(node: &Node, pick: &Pick, work: f64) -> f64 {
+fn expected_head_ms(node: &Node, pick: &Pick, work: f64) -> f64 {
     let waits = node.waits.borrow();
     let wait = waits.get(&pick.service).copied().unwrap_or_default();
     wait.millis(pick.load + work)
@@ -178,40 +186,46 @@
 
 /// Learns how long work takes. A version on trial teaches nothing, or a slow one would make its own
 /// answers expected, and neither does a cold server.
-fn learn_wait(node: &Node, pick: &Pick, work: f64, head_ms: f64) {
-    if !pick.is_on_trial && !pick.is_cold {
+fn record_wait(node: &Node, pick: &Pick, work: f64, head_ms: f64) {
+    if !pick.is_canary && !pick.is_cold {
         let mut waits = node.waits.borrow_mut();
         let wait = waits.entry(pick.service.clone()).or_default();
         wait.observe(pick.load + work, head_ms);
     }
 }
 
-fn judge(node: &Rc<Node>, job: &Job, pick: Pick, began: Instant, coming: Coming) -> Tried {
-    let answered = &coming.answered;
+fn check_head(
+    node: &Rc<Node>,
+    job: &Job,
+    pick: Pick,
+    started: Instant,
+    received: ReceivedResponse,
+) -> AttemptResult {
+    let answered = &received.answered;
     let status = answered.response.status();
     let head = node
         .platform
-        .parse_response_head(status, answered.response.headers(), &job.ask.id);
+        .parse_response_head(status, answered.response.headers(), &job.head.id);
     if head.is_not_run {
         if status == StatusCode::MISDIRECTED_REQUEST {
             // Another server has this address now; the entry is of the one before.
-            pick::replace(&node.view, &pick);
+            pick::mark_replaced(&node.view, &pick);
         }
-        note(node, job, &pick, began, None, "not-run", status.as_str());
-        node.pool.discard(coming.answered);
-        return Tried::NotRun(NotRun::Said);
+        record_outcome(node, job, &pick, started, None, "not-run", status.as_str());
+        node.pool.discard(received.answered);
+        return AttemptResult::NotExecuted(NotExecuted::Reported);
     }
     if !head.is_own {
-        note(
+        record_outcome(
             node,
             job,
             &pick,
-            began,
+            started,
             Some(Outcome::Failed),
             "other-answer",
             status.as_str(),
         );
-        return Tried::Unknown;
+        return AttemptResult::Unknown;
     }
     let is_failure = status.is_server_error();
     let outcome = if is_failure {
@@ -219,11 +233,11 @@
     } else {
         Outcome::Good
     };
-    note(
+    record_outcome(
         node,
         job,
         &pick,
-        began,
+        started,
         Some(outcome),
         "head",
         status.as_str(),
@@ -231,19 +245,19 @@
     if let Some(confidence) = head.confidence {
         tracing::info!(
             event = "confidence",
-            id = job.ask.id,
+            id = job.head.id,
             server = &*pick.id,
             confidence
         );
     }
-    Tried::Headed(Box::new(Headed {
-        answered: coming.answered,
+    AttemptResult::Responded(Box::new(OpenResponse {
+        answered: received.answered,
         head,
         pick,
-        head_ms: coming.head_ms,
-        expected_ms: coming.expected_ms,
-        running: coming.running,
-        watched: coming.watched,
+        head_ms: received.head_ms,
+        expected_head_ms: received.expected_head_ms,
+        in_flight: received.in_flight,
+        watched: received.watched,
     }))
 }
 
@@ -267,18 +281,18 @@
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.target.clone();
     *request.headers_mut() = job.headers.clone();
-    headers::strip(request.headers_mut());
+    headers::strip_hop_by_hop(request.headers_mut());
     node.platform
         .write_upstream_head(request.headers_mut(), &order);
     request
 }
 
 /// Takes an outcome into the server's health and writes the line about it.
-fn note(
+fn record_outcome(
     node: &Node,
     job: &Job,
     pick: &Pick,
-    began: Instant,
+    started: Instant,
     outcome: Option<Outcome>,
     word: &str,
     detail: &str,
@@ -316,7 +330,7 @@
     }
     tracing::info!(
         event = "attempt",
-        id = job.ask.id,
+        id = job.head.id,
         session = format!("{:016x}", job.session),
         route = &*job.route.name,
         server = &*pick.id,
@@ -325,7 +339,7 @@
         cold = pick.is_cold,
         running,
         revision,
-        ms = ended.since(began).as_secs_f64() * 1_000.0,
+        ms = ended.since(started).as_secs_f64() * 1_000.0,
         outcome = word,
         detail
     );
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -15,17 +15,17 @@
 /// Why a body ended before its end. The connection is then cut, so that what the
 /// caller has does not look whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Cut {
+pub enum AbortReason {
     /// The server broke off and nobody could go on.
     #[error("the backend server broke off")]
-    Broken,
+    UpstreamFailed,
     /// The request's time is over.
     #[error("the request's time is over")]
-    Late,
+    DeadlineExceeded,
 }
 
 /// Bytes of a [`Paced`] body that are handed over at a time: 13 ms of a link of 10 Mbit/s.
-const PACE: usize = 16_384;
+const CHUNK_BYTES: usize = 16_384;
 
 /// A whole body that is handed over in parts, as fast as its connection takes them, and holds
 /// a place until the last one.
@@ -56,7 +56,7 @@
             body.place = None;
             return Poll::Ready(None);
         }
-        let part = body.rest.split_to(PACE.min(body.rest.len()));
+        let part = body.rest.split_to(CHUNK_BYTES.min(body.rest.len()));
         Poll::Ready(Some(Ok(Frame::data(part))))
     }
 
@@ -71,9 +71,9 @@
 
 /// A body that is whole, or one that a task relays.
 #[derive(Debug)]
-pub enum Answer {
+pub enum ResponseBody {
     /// All bytes.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Bytes as they come.
     Relayed(Relayed),
 }
@@ -83,14 +83,14 @@
 /// backend server, so that nobody works for a caller who left.
 #[derive(Debug)]
 pub struct Relayed {
-    channel: Channel<Bytes, Cut>,
+    channel: Channel<Bytes, AbortReason>,
     task: AbortHandle,
 }
 
 impl Relayed {
     /// Creates a body from the receiving side of a channel and the task that fills it.
     #[must_use]
-    pub const fn new(channel: Channel<Bytes, Cut>, task: AbortHandle) -> Self {
+    pub const fn new(channel: Channel<Bytes, AbortReason>, task: AbortHandle) -> Self {
         Self { channel, task }
     }
 }
@@ -101,24 +101,24 @@
     }
 }
 
-impl Answer {
+impl ResponseBody {
     /// Creates a body from all its bytes.
     #[must_use]
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Full::new(bytes))
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = AbortReason;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AbortReason>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body)
+            Self::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
             Self::Relayed(body) => Pin::new(&mut body.channel).poll_frame(context),
@@ -127,14 +127,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Relayed(body) => body.channel.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Relayed(body) => body.channel.size_hint(),
         }
     }
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -22,11 +22,11 @@
 
 /// Why servers of the service that are ready may not be used; for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Barred {
+pub struct Excluded {
     /// In a zone that is evacuated.
     pub evacuated: usize,
     /// Outside of the allowed regions.
-    pub elsewhere: usize,
+    pub outside_regions: usize,
     /// Cold, and not for this node now.
     pub cold: usize,
 }
@@ -49,31 +49,31 @@
             && model.is_none_or(|model| server.has_model(model))
             && !is_evacuated(view, server)
             && is_allowed(node, job, server)
-            && warming::is_open(node, view, server, now)
+            && warming::admits(node, view, server, now)
     };
     let all: Vec<&Server> = view.servers.values().filter(usable).collect();
     let Some(order) = view.orders.get(service) else {
         return all;
     };
-    of_version(node, order, job.session, all)
+    for_version(node, order, job.session, all)
 }
 
 /// Counts the ready servers of `service` that may not be used, by reason.
 #[must_use]
-pub fn barred(node: &Node, job: &Job, service: &Arc<str>, now: Instant) -> Barred {
+pub fn count_excluded(node: &Node, job: &Job, service: &Arc<str>, now: Instant) -> Excluded {
     let view = node.view.borrow();
-    let mut barred = Barred::default();
+    let mut excluded = Excluded::default();
     let ready = view.servers.values().filter(|server| server.is_ready());
     for server in ready.filter(|server| server.entry.service == *service) {
         if is_evacuated(&view, server) {
-            barred.evacuated += 1;
+            excluded.evacuated += 1;
         } else if !is_allowed(node, job, server) {
-            barred.elsewhere += 1;
-        } else if !warming::is_open(node, &view, server, now) {
-            barred.cold += 1;
+            excluded.outside_regions += 1;
+        } else if !warming::admits(node, &view, server, now) {
+            excluded.cold += 1;
         }
     }
-    barred
+    excluded
 }
 
 fn is_evacuated(view: &View, server: &Server) -> bool {
@@ -98,7 +98,7 @@
 }
 
 /// The servers among `all` of the version that the session goes to.
-fn of_version<'a>(
+fn for_version<'a>(
     node: &Node,
     order: &Order,
     session: u64,
@@ -106,18 +106,18 @@
 ) -> Vec<&'a Server> {
     let is_new = |server: &&Server| server.entry.version == order.rollout.version;
     let (new, old): (Vec<&Server>, Vec<&Server>) = all.into_iter().partition(is_new);
-    if !prefers_new(node, order, session) || new.is_empty() {
+    if !uses_new_version(node, order, session) || new.is_empty() {
         return old;
     }
     if order.progress == Some(Progress::Completed) {
         return new;
     }
-    on_trial(node, order, new)
+    canary_servers(node, order, new)
 }
 
 /// The servers of a version on trial that get its share of the traffic, healthy ones
 /// first; all nodes agree on them.
-fn on_trial<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
+fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
     let trial = trials::trial(node, order);
     let busy = trial.servers(trial.stage(now), new.len());
@@ -134,7 +134,7 @@
     server.health.is_in(now) && !grey.is_out(now, load::short(server.identity))
 }
 
-fn prefers_new(node: &Node, order: &Order, session: u64) -> bool {
+fn uses_new_version(node: &Node, order: &Order, session: u64) -> bool {
     match order.progress {
         Some(Progress::Completed) => true,
         Some(Progress::RolledBack) => false,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -7,11 +7,11 @@
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of one event that are held at most; a longer one is an error.
-const MOST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// An event that is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {MOST} bytes")]
+#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
 /// Holds back what does not yet end with a whole event.
@@ -72,7 +72,7 @@
                 whole.extend_from_slice(&event);
             }
         }
-        if self.held.len() > MOST {
+        if self.held.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
         Ok(whole.freeze())
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -7,7 +7,7 @@
 
 /// Removes from `headers` what must not be passed on: what concerns the connection
 /// itself, what `Connection` names, and the body's framing, which is set anew.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -18,7 +18,7 @@
     for name in named {
         headers.remove(name);
     }
-    let own = [
+    let fixed = [
         CONNECTION,
         CONTENT_LENGTH,
         EXPECT,
@@ -27,7 +27,7 @@
         TRANSFER_ENCODING,
         UPGRADE,
     ];
-    for name in own {
+    for name in fixed {
         headers.remove(name);
     }
     headers.remove("keep-alive");
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -34,7 +34,7 @@
 pub fn admit(
     node: &Node,
     request: &Request<Incoming>,
-    ask: &RequestHead,
+    head: &RequestHead,
 ) -> Result<Admitted, Refusal> {
     let catalog = node
         .view
@@ -52,7 +52,7 @@
         .route(host, request.uri().path())
         .ok_or(Refusal::NoRoute)?
         .clone();
-    let organisation = authorise(&catalog, &route, ask)?;
+    let organisation = authorise(&catalog, &route, head)?;
     Ok(Admitted {
         route,
         organisation,
@@ -63,15 +63,15 @@
 fn authorise(
     catalog: &Catalog,
     route: &Route,
-    ask: &RequestHead,
+    head: &RequestHead,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
-    let organisation = ask
+    let organisation = head
         .key
         .as_deref()
         .and_then(|key| catalog.organisation(key))
         .cloned();
     if organisation.is_none() && !route.public && !catalog.organisations.is_empty() {
-        return Err(Refusal::NoKey);
+        return Err(Refusal::UnknownKey);
     }
     Ok(organisation)
 }
@@ -81,45 +81,49 @@
 /// # Errors
 ///
 /// When the body is too large, breaks off or does not come in time.
-pub async fn read(
+pub async fn read_body(
     request: Request<Incoming>,
     admitted: Admitted,
-    ask: RequestHead,
+    head: RequestHead,
     arrived: Instant,
     until: Instant,
 ) -> Result<Job, Refusal> {
-    let (head, body) = request.into_parts();
+    let (parts, body) = request.into_parts();
     let body = Limited::new(body, admitted.limits.body_bytes).collect();
     let body = match tokio::time::timeout_at(deadline(until), body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             return Err(Refusal::TooLarge);
         }
-        Ok(Err(_)) => return Err(Refusal::NoBody),
+        Ok(Err(_)) => return Err(Refusal::IncompleteBody),
         // Nothing was sent to any server.
-        Err(_) => return Err(Refusal::NotRun),
+        Err(_) => return Err(Refusal::NotExecuted),
     };
-    let target = head
+    let target = parts
         .uri
         .path_and_query()
         .map_or("/", |target| target.as_str())
         .parse()
-        .map_err(|_| Refusal::NoBody)?;
+        .map_err(|_| Refusal::IncompleteBody)?;
     let (organisation, priority, regions) = match admitted.organisation {
-        Some(one) => (Some(one.name.clone()), one.priority, one.regions.clone()),
+        Some(organisation) => (
+            Some(organisation.name.clone()),
+            organisation.priority,
+            organisation.regions.clone(),
+        ),
         None => (None, None, Vec::new()),
     };
     Ok(Job {
-        session: pick::session(&ask, organisation.as_deref()),
-        digest: digest(organisation.as_deref(), head.uri.path(), &body),
+        session: pick::session(&head, organisation.as_deref()),
+        digest: digest(organisation.as_deref(), parts.uri.path(), &body),
         route: admitted.route,
         organisation,
         regions,
         priority,
-        ask,
-        method: head.method,
+        head,
+        method: parts.method,
         target,
-        headers: head.headers,
+        headers: parts.headers,
         body,
         arrived,
         deadline: until,
--- a/crates/gateway/src/listeners.rs
+++ b/crates/gateway/src/listeners.rs
@@ -24,17 +24,17 @@
 use crate::{peer, request};
 
 /// Milliseconds that a path for metrics or readiness has for its head.
-const HEAD: Duration = Duration::from_secs(20);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
 /// Milliseconds after the signal for which new connections are taken: the platform
 /// needs two refused questions, a second apart, to send none any more.
-const ACCEPT_MS: u64 = 2_600;
+const ACCEPT_AFTER_SIGNAL_MS: u64 = 2_600;
 /// Milliseconds before the end of the grace at which the process ends whatever still
 /// runs: its last bytes must leave before it is killed.
-const LAST_MS: u64 = 400;
+const EXIT_MARGIN_MS: u64 = 400;
 /// Milliseconds between looks at whether everything has ended.
-const LOOK: Duration = Duration::from_millis(50);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause after a failed accept, which mostly means that descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// How far a graceful shutdown is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     /// Not asked for.
     Serving,
     /// Not ready any more; idle connections stay open.
-    Leaving,
+    Draining,
     /// Connections close as they become idle.
     Closing,
 }
@@ -109,12 +109,12 @@
             }
         }
         let asked = stop.borrow().unwrap_or_else(now);
-        leave(&node, &phase, asked).await;
+        shut_down(&node, &phase, asked).await;
         callers.abort();
     }
 }
 
-async fn leave(node: &Node, phase: &watch::Sender<Phase>, asked: Instant) {
+async fn shut_down(node: &Node, phase: &watch::Sender<Phase>, asked: Instant) {
     node.is_stopping.set(true);
     let grace_ms = node.settings.borrow().grace_ms;
     tracing::info!(
@@ -122,13 +122,13 @@
         in_progress = node.metrics.in_progress.get(),
         grace_ms
     );
-    phase.send_replace(Phase::Leaving);
-    tokio::time::sleep_until(deadline(asked.plus_millis(ACCEPT_MS))).await;
+    phase.send_replace(Phase::Draining);
+    tokio::time::sleep_until(deadline(asked.plus_millis(ACCEPT_AFTER_SIGNAL_MS))).await;
     phase.send_replace(Phase::Closing);
-    let end = asked.plus_millis(grace_ms.saturating_sub(LAST_MS));
+    let end = asked.plus_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
     // Each open connection holds a receiver; the listener has dropped its own.
     while phase.receiver_count() > 0 && now() < end {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
     tracing::info!(event = "stopped", connections = phase.receiver_count());
 }
@@ -142,14 +142,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if let Err(error) = net::watch(&stream) {
+                if let Err(error) = net::detect_dead_peer(&stream) {
                     tracing::debug!(event = "socket-option-refused", %error);
                 }
                 return stream;
             }
             Err(error) => {
                 tracing::warn!(event = "accept-failed", %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -160,7 +160,7 @@
     let accepting = async {
         loop {
             let stream = accept(&listener).await;
-            tokio::task::spawn_local(caller(stream, node.clone(), phases.clone()));
+            tokio::task::spawn_local(serve_caller(stream, node.clone(), phases.clone()));
         }
     };
     let closed = async {
@@ -176,7 +176,7 @@
     drop(closing);
 }
 
-async fn caller(stream: TcpStream, node: Rc<Node>, mut phases: watch::Receiver<Phase>) {
+async fn serve_caller(stream: TcpStream, node: Rc<Node>, mut phases: watch::Receiver<Phase>) {
     let limits = node
         .view
         .borrow()
@@ -221,7 +221,7 @@
         let stream = accept(&listener).await;
         let node = node.clone();
         let path = path.clone();
-        tokio::task::spawn_local(plain(stream, move |request| {
+        tokio::task::spawn_local(serve_plain(stream, move |request| {
             let is_ready = node.view.borrow().is_ready() && !node.is_stopping.get();
             let status = match (request.uri().path() == path, is_ready) {
                 (false, _) => StatusCode::NOT_FOUND,
@@ -239,7 +239,7 @@
     loop {
         let stream = accept(&listener).await;
         let node = node.clone();
-        tokio::task::spawn_local(plain(stream, move |_| match node.metrics.text() {
+        tokio::task::spawn_local(serve_plain(stream, move |_| match node.metrics.text() {
             Ok(text) => Response::new(Full::new(Bytes::from(text))),
             Err(error) => {
                 tracing::error!(event = "metrics-failed", %error);
@@ -251,14 +251,17 @@
     }
 }
 
-async fn plain(stream: TcpStream, answer: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>) {
+async fn serve_plain(
+    stream: TcpStream,
+    answer: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>,
+) {
     let service = service_fn(|request| {
         let response = answer(&request);
         async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
         tracing::debug!(event = "plain-connection-ended", %error);
@@ -267,7 +270,7 @@
 
 /// Bytes of answers to peers that a connection takes ahead of its link, 26 ms of one of 10 Mbit/s. With
 /// more, an answer would count as given while most of it is still to be sent.
-const PEER_BUFFER: usize = 32_768;
+const PEER_BUFFER_BYTES: usize = 32_768;
 
 async fn serve_peers(listener: TcpListener, node: Rc<Node>) {
     loop {
@@ -277,8 +280,8 @@
             let service = service_fn(|request| peer::serve(node.clone(), request));
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD)
-                .max_buf_size(PEER_BUFFER)
+                .header_read_timeout(HEADER_TIMEOUT)
+                .max_buf_size(PEER_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
                 tracing::debug!(event = "peer-connection-ended", %error);
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -13,16 +13,16 @@
 
 /// Silence after which the other side is probed: a good hundred round trips
 /// within a region, and short against the seconds that a caller waits.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 /// Time between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes without an answer after which the connection has failed.
-const PROBES: u32 = 2;
+const KEEPALIVE_RETRIES: u32 = 2;
 /// Longest time for which sent data may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest time that a connection may take to open. One lost opening packet is
 /// sent again after a second, so a longer wait would hide a server that is gone.
-pub const CONNECT: Duration = Duration::from_millis(600);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Opens a connection.
 ///
@@ -30,10 +30,10 @@
 ///
 /// What the system says, or [`io::ErrorKind::TimedOut`] after [`CONNECT`].
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream = tokio::time::timeout(CONNECT, TcpStream::connect(address))
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch(&stream)?;
+    detect_dead_peer(&stream)?;
     Ok(stream)
 }
 
@@ -42,13 +42,13 @@
 /// # Errors
 ///
 /// When the system refuses an option.
-pub fn watch(stream: &TcpStream) -> io::Result<()> {
+pub fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -19,16 +19,16 @@
 
 /// Prompt tokens that weigh as much as a request without any: a chunk that an
 /// engine reads between two steps.
-const TOKENS: f64 = 4_096.0;
+const PROMPT_WEIGHT_TOKENS: f64 = 4_096.0;
 /// How much heavier a request to the largest model weighs than one to the smallest.
-const LARGEST: f64 = 10.0;
+const LARGEST_MODEL_WEIGHT: f64 = 10.0;
 
 /// Part of a request's work that is left once its prompt has been read: producing
 /// tokens shares each step with all other requests on the engine.
-const ANSWERING: f64 = 0.1;
+const DECODE_WORK_SHARE: f64 = 0.1;
 /// Prompts whose reading weighs less than this many tokens of the smallest model are
 /// light.
-const LIGHT: f64 = 15_000.0;
+const LIGHT_PREFILL_TOKENS: f64 = 15_000.0;
 
 /// The server that was picked.
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
     /// Whether it is in this node's availability zone.
     pub is_near: bool,
     /// Whether its version is one that a roll-out brings in.
-    pub is_on_trial: bool,
+    pub is_canary: bool,
     /// Whether it is warming up.
     pub is_cold: bool,
     /// Work on it, as far as this node knows.
@@ -54,14 +54,14 @@
 }
 
 /// Counts a request as running on a server until dropped.
-pub struct Running {
+pub struct InFlight {
     node: Rc<Node>,
     id: Arc<str>,
     identity: u64,
     work: f64,
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let work = self.work;
         self.change(|server| {
@@ -71,10 +71,10 @@
     }
 }
 
-impl Running {
+impl InFlight {
     /// Notes that the first of the answer is there: the prompt has been read.
-    pub fn settle(&mut self) {
-        let (before, rest) = (self.work, self.work * ANSWERING);
+    pub fn mark_prefill_done(&mut self) {
+        let (before, rest) = (self.work, self.work * DECODE_WORK_SHARE);
         self.change(|server| server.work = (server.work - before + rest).max(0.0));
         self.work = rest;
     }
@@ -107,21 +107,21 @@
 
 /// Work that a request brings, in requests of usual size.
 #[must_use]
-pub fn work(ask: &RequestHead, model: Option<(usize, usize)>) -> f64 {
-    (1.0 + f64::from(ask.tokens.0) / TOKENS) * heaviness(model)
+pub fn work(head: &RequestHead, model: Option<(usize, usize)>) -> f64 {
+    (1.0 + f64::from(head.tokens.0) / PROMPT_WEIGHT_TOKENS) * model_weight(model)
 }
 
 /// Prompt tokens, weighed by how long the model takes to read one.
-fn reading(ask: &RequestHead, model: Option<(usize, usize)>) -> f64 {
-    f64::from(ask.tokens.0) * heaviness(model)
+fn prefill_tokens(head: &RequestHead, model: Option<(usize, usize)>) -> f64 {
+    f64::from(head.tokens.0) * model_weight(model)
 }
 
-fn heaviness(model: Option<(usize, usize)>) -> f64 {
+fn model_weight(model: Option<(usize, usize)>) -> f64 {
     match model {
         Some((rank, models)) if models > 1 => {
             let rank = f64::from(u32::try_from(rank).unwrap_or(u32::MAX));
             let last = f64::from(u32::try_from(models - 1).unwrap_or(u32::MAX));
-            1.0 + (LARGEST - 1.0) * rank / last
+            1.0 + (LARGEST_MODEL_WEIGHT - 1.0) * rank / last
         }
         _ => 1.0,
     }
@@ -129,35 +129,35 @@
 
 /// Hash of the session that a request belongs to, alike on all nodes.
 #[must_use]
-pub fn session(ask: &RequestHead, organisation: Option<&str>) -> u64 {
+pub fn session(head: &RequestHead, organisation: Option<&str>) -> u64 {
     let base = home::hash(organisation.unwrap_or_default().as_bytes());
-    if let Some(session) = &ask.session {
+    if let Some(session) = &head.session {
         return home::mix(base ^ home::hash(session.as_bytes()));
     }
-    match shared_part(ask) {
+    match shared_prefix(head) {
         Some(part) => home::mix(home::mix(part)),
-        None => home::mix(base ^ home::hash(ask.id.as_bytes())),
+        None => home::mix(base ^ home::hash(head.id.as_bytes())),
     }
 }
 
 /// The longest part of the prompt that other requests share: the last belongs to
 /// the request itself.
-fn shared_part(ask: &RequestHead) -> Option<u64> {
-    let parts = &ask.blocks;
+fn shared_prefix(head: &RequestHead) -> Option<u64> {
+    let parts = &head.blocks;
     let shared = parts.len().checked_sub(2).or(parts.len().checked_sub(1))?;
     Some(parts[shared].id)
 }
 
 /// Tokens of the parts that other requests share.
-fn shared_tokens(ask: &RequestHead) -> u32 {
-    let own = ask.blocks.len().saturating_sub(1);
-    let shared = ask.blocks[..own].iter().map(|part| part.tokens);
+fn shared_tokens(head: &RequestHead) -> u32 {
+    let own = head.blocks.len().saturating_sub(1);
+    let shared = head.blocks[..own].iter().map(|part| part.tokens);
     shared.fold(0, u32::saturating_add)
 }
 
 /// Service of a route for a request, by the route's weights.
 #[must_use]
-pub fn service(route: &Route, id: &str) -> Option<Arc<str>> {
+pub fn choose_service(route: &Route, id: &str) -> Option<Arc<str>> {
     let total: u64 = route
         .destinations
         .iter()
@@ -185,7 +185,7 @@
     model: Option<&str>,
     tried: &[Arc<str>],
 ) -> Option<Pick> {
-    let (route, ask) = (&job.route, &job.ask);
+    let (route, head) = (&job.route, &job.head);
     let now = now();
     let view = node.view.borrow();
     let settings = node.settings.borrow();
@@ -194,7 +194,7 @@
     listed.sort_by_key(|server| home::mix(server.identity));
     let rank = route.models.iter().position(|one| Some(&**one) == model);
     let sized = rank.map(|rank| (rank, route.models.len()));
-    let is_small = reading(ask, sized) < LIGHT;
+    let is_small = prefill_tokens(head, sized) < LIGHT_PREFILL_TOKENS;
     let count = listed.len();
     let candidates: Vec<Candidate> = listed
         .iter()
@@ -209,13 +209,13 @@
         })
         .collect();
     let part = match route.kind {
-        Kind::Streaming => shared_part(ask)
+        Kind::Streaming => shared_prefix(head)
             .map(|part| home::mix(part ^ home::hash(model.unwrap_or_default().as_bytes()))),
         Kind::Idempotent | Kind::NonIdempotent => None,
     };
-    let draw = home::hash(ask.id.as_bytes());
+    let draw = home::hash(head.id.as_bytes());
     let index = match part {
-        Some(part) if home::stays_near(shared_tokens(ask)) => {
+        Some(part) if home::stays_near(shared_tokens(head)) => {
             home::choose_near(&candidates, part, draw)
         }
         part => home::choose(&candidates, part, draw),
@@ -223,12 +223,12 @@
     let server = listed[index];
     let order = view.orders.get(service);
     let order = order.filter(|order| order.rollout.version == server.entry.version);
-    let is_on_trial = order.is_some_and(|order| order.progress != Some(Progress::Completed));
+    let is_canary = order.is_some_and(|order| order.progress != Some(Progress::Completed));
     if order.is_none() && route.kind == Kind::Streaming {
         let mut recent = node.recent.borrow_mut();
         recent.note(now, job.session, settings.session_ms);
     }
-    warming::take(node, &view, server, now);
+    warming::record_request(node, &view, server, now);
     Some(Pick {
         id: server.entry.id.clone(),
         identity: server.identity,
@@ -236,7 +236,7 @@
         version: server.entry.version.clone(),
         service: service.clone(),
         is_near: candidates[index].is_near,
-        is_on_trial,
+        is_canary,
         is_cold: server.is_cold(now),
         load: candidates[index].load,
     })
@@ -252,7 +252,7 @@
     let models = &job.route.models;
     let mut listed = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
     listed.sort_by_key(|server| home::mix(server.identity));
-    let is_light = reading(&job.ask, Some((rank, models.len()))) < LIGHT;
+    let is_light = prefill_tokens(&job.head, Some((rank, models.len()))) < LIGHT_PREFILL_TOKENS;
     let count = listed.len();
     let loads: Vec<f64> = listed
         .iter()
@@ -267,7 +267,7 @@
 }
 
 /// Marks a server as one that another has taken the place of.
-pub fn replace(view: &RefCell<View>, pick: &Pick) {
+pub fn mark_replaced(view: &RefCell<View>, pick: &Pick) {
     if let Some(server) = view.borrow_mut().servers.get_mut(&pick.id)
         && server.identity == pick.identity
     {
--- a/crates/gateway/src/course.rs
+++ b/crates/gateway/src/progress.rs
@@ -4,17 +4,17 @@
 
 use fescuerack_core::clock::Instant;
 
-use crate::attempt::{Headed, Job};
+use crate::attempt::{Job, OpenResponse};
 use crate::clock::now;
 use crate::node::Node;
 
 /// Part of a request's time that is left for passing on a kept answer. It has been made by
 /// then, so only its bytes have to reach the caller.
-const KEPT_PART: u32 = 20;
+const FALLBACK_RESERVE_DIVISOR: u32 = 20;
 
 /// How far a request has come.
 #[derive(Default)]
-pub struct Course {
+pub struct RequestProgress {
     /// Servers that must not be asked again.
     pub tried: Vec<Arc<str>>,
     /// Attempts that reached a server.
@@ -26,48 +26,50 @@
     /// Index of the model to ask.
     pub model: Option<usize>,
     /// A doubted answer that is kept until that of a larger model is there.
-    pub kept: Option<Kept>,
+    pub fallback: Option<Fallback>,
 }
 
 /// An answer at hand, which the caller gets if no better one comes in time.
 ///
 /// Nothing of its body is read meanwhile: its server writes on, and what it has written waits
 /// in the connection.
-pub struct Kept {
+pub struct Fallback {
     /// The answer.
-    pub headed: Headed,
+    pub response: OpenResponse,
     /// Index of the model that made it.
     pub model: usize,
     /// When it goes to the caller at the latest.
     pub until: Instant,
 }
 
-impl Kept {
+impl Fallback {
     /// Keeps the answer of `model` to `job`.
     #[must_use]
-    pub fn new(mut headed: Headed, model: usize, job: &Job) -> Self {
+    pub fn new(mut response: OpenResponse, model: usize, job: &Job) -> Self {
         // It has been counted with its doubt.
-        headed.watched = None;
-        let rest = job.deadline.since(job.arrived) / KEPT_PART;
+        response.watched = None;
+        let rest = job.deadline.since(job.arrived) / FALLBACK_RESERVE_DIVISOR;
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
         Self {
-            headed,
+            response,
             model,
             until: job.deadline.minus_millis(rest_ms),
         }
     }
 }
 
-impl Course {
+impl RequestProgress {
     /// Whether the kept answer is due.
     #[must_use]
-    pub fn is_kept_due(&self) -> bool {
-        self.kept.as_ref().is_some_and(|kept| now() >= kept.until)
+    pub fn is_fallback_due(&self) -> bool {
+        self.fallback
+            .as_ref()
+            .is_some_and(|fallback| now() >= fallback.until)
     }
 }
 
 /// Takes a further attempt from the route's attempts and the service's budget.
-pub fn further(node: &Node, job: &Job, service: &Arc<str>, sent: u32, reason: &str) -> bool {
+pub fn take_retry(node: &Node, job: &Job, service: &Arc<str>, sent: u32, reason: &str) -> bool {
     if sent >= job.route.attempts {
         return false;
     }
@@ -86,7 +88,7 @@
         .inc();
     tracing::info!(
         event = "further-attempt",
-        id = job.ask.id,
+        id = job.head.id,
         reason,
         taken = is_taken,
         sent,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -23,25 +23,25 @@
 use hyper::Response;
 use hyper::body::{Frame, Incoming};
 
-use crate::attempt::{self, Headed, Job, NotRun, Tried};
-use crate::body::{Answer, Cut, Relayed};
+use crate::attempt::{self, AttemptResult, Job, NotExecuted, OpenResponse};
+use crate::body::{AbortReason, Relayed, ResponseBody};
 use crate::clock::{deadline, now};
-use crate::course;
 use crate::events::Splitter;
-use crate::judge;
 use crate::node::Node;
 use crate::pick::{self, Pick};
+use crate::progress;
 use crate::trials::Ended;
+use crate::verdict;
 
 /// Frames that wait for a slow caller before the server is made to wait.
-const FRAMES: usize = 16;
+const BUFFERED_FRAMES: usize = 16;
 /// How many times the longest pause on time a server may be silent between events before another
 /// is asked beside it.
-const SILENCE: f64 = 1.6;
+const STALL_FACTOR: f64 = 1.6;
 /// Events from which the time between them says something.
-const FEWEST_EVENTS: u32 = 4;
+const MIN_EVENTS: u32 = 4;
 /// Milliseconds of silence that are borne where the route states no longest pause.
-const SILENCE_MS: u64 = 5_000;
+const DEFAULT_STALL_MS: u64 = 5_000;
 
 struct Stream {
     node: Rc<Node>,
@@ -54,36 +54,36 @@
     /// Milliseconds of the longest pause between two events.
     pause_ms: f64,
     /// When the last event was passed on.
-    passed: Option<Instant>,
+    last_event_at: Option<Instant>,
 }
 
 /// What a server sends next: a frame, an error, or nothing more.
-type Next = Option<Result<Frame<Bytes>, hyper::Error>>;
+type NextFrame = Option<Result<Frame<Bytes>, hyper::Error>>;
 
 /// How one server's part of a stream ended.
-enum Part {
+enum Segment {
     /// Whole.
     Done,
     /// The server broke off.
     Broken(String),
     /// The server fell silent, and another goes on.
-    Overtaken(Box<Headed>),
+    Hedged(Box<OpenResponse>),
     /// The caller has gone.
-    Left,
+    CallerLeft,
 }
 
 /// Begins to relay.
-pub fn begin(
+pub fn start(
     node: &Rc<Node>,
     job: &Rc<Job>,
     service: &Arc<str>,
-    headed: Headed,
+    response: OpenResponse,
     model: Option<usize>,
     sent: u32,
-) -> Response<Answer> {
-    let status = headed.answered.response.status();
-    let headers = headed.answered.response.headers().clone();
-    let (sender, channel) = Channel::new(FRAMES);
+) -> Response<ResponseBody> {
+    let status = response.answered.response.status();
+    let headers = response.answered.response.headers().clone();
+    let (sender, channel) = Channel::new(BUFFERED_FRAMES);
     let stream = Stream {
         node: node.clone(),
         job: job.clone(),
@@ -91,29 +91,30 @@
         model,
         sent,
         tried: Vec::new(),
-        splitter: Splitter::new(job.ask.last_event),
+        splitter: Splitter::new(job.head.last_event),
         pause_ms: 0.0,
-        passed: None,
+        last_event_at: None,
     };
-    let task = tokio::task::spawn_local(stream.run(headed, sender));
-    let body = Answer::Relayed(Relayed::new(channel, task.abort_handle()));
-    judge::relayed(status, headers, body)
+    let task = tokio::task::spawn_local(stream.run(response, sender));
+    let body = ResponseBody::Relayed(Relayed::new(channel, task.abort_handle()));
+    verdict::with_status(status, headers, body)
 }
 
 impl Stream {
-    async fn run(mut self, headed: Headed, mut sender: Sender<Bytes, Cut>) {
+    async fn run(mut self, response: OpenResponse, mut sender: Sender<Bytes, AbortReason>) {
         let until = deadline(self.job.deadline);
-        let outcome = match tokio::time::timeout_at(until, self.all(headed, &mut sender)).await {
-            Ok(Ok(outcome)) => outcome,
-            Ok(Err(cut)) => {
-                sender.abort(cut);
-                "cut"
-            }
-            Err(_) => {
-                sender.abort(Cut::Late);
-                "late"
-            }
-        };
+        let outcome =
+            match tokio::time::timeout_at(until, self.relay_all(response, &mut sender)).await {
+                Ok(Ok(outcome)) => outcome,
+                Ok(Err(cut)) => {
+                    sender.abort(cut);
+                    "cut"
+                }
+                Err(_) => {
+                    sender.abort(AbortReason::DeadlineExceeded);
+                    "late"
+                }
+            };
         let route = &*self.job.route.name;
         self.node
             .metrics
@@ -122,7 +123,7 @@
             .inc();
         tracing::info!(
             event = "stream",
-            id = self.job.ask.id,
+            id = self.job.head.id,
             route,
             outcome,
             events = self.splitter.count(),
@@ -132,89 +133,99 @@
         );
     }
 
-    async fn all(
+    async fn relay_all(
         &mut self,
-        headed: Headed,
-        sender: &mut Sender<Bytes, Cut>,
-    ) -> Result<&'static str, Cut> {
-        let mut headed = headed;
+        response: OpenResponse,
+        sender: &mut Sender<Bytes, AbortReason>,
+    ) -> Result<&'static str, AbortReason> {
+        let mut response = response;
         loop {
-            let pick = headed.pick.clone();
-            let (head_ms, expected_ms) = (headed.head_ms, headed.expected_ms);
-            let (headed_at, events) = (now(), self.splitter.count());
-            match self.part(headed, sender).await {
-                Part::Done => {
+            let pick = response.pick.clone();
+            let (head_ms, expected_ms) = (response.head_ms, response.expected_head_ms);
+            let (started, events) = (now(), self.splitter.count());
+            match self.relay_segment(response, sender).await {
+                Segment::Done => {
                     let pace = Pace {
                         head_ms,
                         expected_ms,
-                        event_ms: self.event_ms(headed_at, events),
+                        event_ms: self.mean_event_ms(started, events),
                     };
                     let ended = Ended::Well(pace);
-                    judge::count(&self.node, &self.job, &pick, self.model, ended);
+                    verdict::count_outcome(&self.node, &self.job, &pick, self.model, ended);
                     self.node
                         .suspects
                         .borrow_mut()
                         .ended_well(now(), self.job.digest);
                     return Ok("whole");
                 }
-                Part::Left => return Ok("caller-left"),
-                Part::Broken(reason) => {
-                    judge::count(&self.node, &self.job, &pick, self.model, Ended::Broken);
+                Segment::CallerLeft => return Ok("caller-left"),
+                Segment::Broken(reason) => {
+                    verdict::count_outcome(&self.node, &self.job, &pick, self.model, Ended::Broken);
                     self.node
                         .suspects
                         .borrow_mut()
                         .crashed(now(), self.job.digest);
                     tracing::info!(
                         event = "stream-broken",
-                        id = self.job.ask.id,
+                        id = self.job.head.id,
                         server = &*pick.id,
                         last = self.splitter.last(),
                         reason
                     );
                     self.tried.push(pick.id);
                     self.splitter.drop_partial();
-                    headed = self.resume().await.ok_or(Cut::Broken)?;
+                    response = self.resume().await.ok_or(AbortReason::UpstreamFailed)?;
                 }
-                Part::Overtaken(next) => {
-                    judge::count(&self.node, &self.job, &pick, self.model, Ended::Silently);
+                Segment::Hedged(next) => {
+                    verdict::count_outcome(
+                        &self.node,
+                        &self.job,
+                        &pick,
+                        self.model,
+                        Ended::Silently,
+                    );
                     tracing::info!(
                         event = "stream-overtaken",
-                        id = self.job.ask.id,
+                        id = self.job.head.id,
                         server = &*pick.id,
                         by = &*next.pick.id,
                         last = self.splitter.last()
                     );
                     self.splitter.drop_partial();
-                    headed = *next;
+                    response = *next;
                 }
             }
         }
     }
 
     /// Passes on one server's events.
-    async fn part(&mut self, headed: Headed, sender: &mut Sender<Bytes, Cut>) -> Part {
-        let Headed {
+    async fn relay_segment(
+        &mut self,
+        response: OpenResponse,
+        sender: &mut Sender<Bytes, AbortReason>,
+    ) -> Segment {
+        let OpenResponse {
             answered,
-            running,
+            in_flight,
             watched: _watched,
             pick,
             ..
-        } = headed;
+        } = response;
         let mut body = answered.response.into_body();
-        let silence = self.silence();
+        let stall_timeout = self.stall_timeout();
         loop {
-            let next = match tokio::time::timeout(silence, body.frame()).await {
+            let next = match tokio::time::timeout(stall_timeout, body.frame()).await {
                 Ok(next) => next,
-                Err(_) => match self.overtake(&pick, &mut body).await {
+                Err(_) => match self.hedge(&pick, &mut body).await {
                     Ok(next) => next,
-                    Err(headed) => return Part::Overtaken(headed),
+                    Err(response) => return Segment::Hedged(response),
                 },
             };
             let frame = match next {
                 Some(Ok(frame)) => frame,
-                Some(Err(error)) => return Part::Broken(error.to_string()),
+                Some(Err(error)) => return Segment::Broken(error.to_string()),
                 None if self.splitter.is_partial() => {
-                    return Part::Broken("ended within an event".to_owned());
+                    return Segment::Broken("ended within an event".to_owned());
                 }
                 None => break,
             };
@@ -223,28 +234,32 @@
             };
             let whole = match self.splitter.push(&data) {
                 Ok(whole) => whole,
-                Err(error) => return Part::Broken(error.to_string()),
+                Err(error) => return Segment::Broken(error.to_string()),
             };
             if whole.is_empty() {
                 continue;
             }
-            self.note_pause();
+            self.record_pause();
             if sender.send_data(whole).await.is_err() {
-                return Part::Left;
+                return Segment::CallerLeft;
             }
         }
         self.node.pool.keep(answered.connection);
-        drop(running);
-        Part::Done
+        drop(in_flight);
+        Segment::Done
     }
 
     /// Waits for what the silent server at `pick` sends next and asks another beside it; returns the
     /// other's head if that is there first.
-    async fn overtake(&mut self, pick: &Pick, body: &mut Incoming) -> Result<Next, Box<Headed>> {
+    async fn hedge(
+        &mut self,
+        pick: &Pick,
+        body: &mut Incoming,
+    ) -> Result<NextFrame, Box<OpenResponse>> {
         self.tried.push(pick.id.clone());
         tracing::info!(
             event = "stream-silent",
-            id = self.job.ask.id,
+            id = self.job.head.id,
             server = &*pick.id,
             last = self.splitter.last()
         );
@@ -254,44 +269,44 @@
             other = self.resume() => other,
         };
         match other {
-            Some(headed) => Err(Box::new(headed)),
+            Some(response) => Err(Box::new(response)),
             None => Ok(body.frame().await),
         }
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = now();
-        if let Some(passed) = self.passed.replace(now) {
-            let pause_ms = now.since(passed).as_secs_f64() * 1_000.0;
+        if let Some(last_event_at) = self.last_event_at.replace(now) {
+            let pause_ms = now.since(last_event_at).as_secs_f64() * 1_000.0;
             self.pause_ms = self.pause_ms.max(pause_ms);
         }
     }
 
     /// Milliseconds between the events since `from`, when `before` had been passed on.
-    fn event_ms(&self, from: Instant, before: u64) -> Option<f64> {
+    fn mean_event_ms(&self, from: Instant, before: u64) -> Option<f64> {
         let events = u32::try_from(self.splitter.count() - before).ok()?;
-        let passed = now().since(from).as_secs_f64() * 1_000.0;
-        (events >= FEWEST_EVENTS).then(|| passed / f64::from(events))
+        let elapsed_ms = now().since(from).as_secs_f64() * 1_000.0;
+        (events >= MIN_EVENTS).then(|| elapsed_ms / f64::from(events))
     }
 
-    fn silence(&self) -> Duration {
+    fn stall_timeout(&self) -> Duration {
         let route = &self.job.route;
         if !route.resumable {
             return Duration::from_mins(10);
         }
         match route.pause_ms {
-            Some(pause_ms) => Duration::from_millis(pause_ms).mul_f64(SILENCE),
-            None => Duration::from_millis(SILENCE_MS),
+            Some(pause_ms) => Duration::from_millis(pause_ms).mul_f64(STALL_FACTOR),
+            None => Duration::from_millis(DEFAULT_STALL_MS),
         }
     }
 
     /// Asks other servers to go on.
-    async fn resume(&mut self) -> Option<Headed> {
+    async fn resume(&mut self) -> Option<OpenResponse> {
         if !self.job.route.resumable {
             return None;
         }
         loop {
-            if !course::further(&self.node, &self.job, &self.service, self.sent, "resume") {
+            if !progress::take_retry(&self.node, &self.job, &self.service, self.sent, "resume") {
                 return None;
             }
             self.sent += 1;
@@ -305,7 +320,7 @@
                 &self.tried,
             )?;
             let named = self.model.zip(name.as_deref());
-            let tried = attempt::run(
+            let result = attempt::run(
                 &self.node,
                 &self.job,
                 pick.clone(),
@@ -314,11 +329,13 @@
                 self.job.deadline,
             )
             .await;
-            match tried {
-                Tried::Headed(headed) if headed.answered.response.status().is_success() => {
-                    return Some(*headed);
+            match result {
+                AttemptResult::Responded(response)
+                    if response.answered.response.status().is_success() =>
+                {
+                    return Some(*response);
                 }
-                Tried::NotRun(NotRun::Unreached) => {
+                AttemptResult::NotExecuted(NotExecuted::Unreachable) => {
                     // No byte left, so nobody was asked.
                     self.sent -= 1;
                     self.tried.push(pick.id);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -14,54 +14,54 @@
 use hyper::{Request, Response};
 use rand::RngExt as _;
 
-use crate::attempt::{self, Job, NotRun, Tried};
-use crate::body::Answer;
+use crate::attempt::{self, AttemptResult, Job, NotExecuted};
+use crate::body::ResponseBody;
 use crate::catalog::Kind;
 use crate::clock::{deadline, now};
-use crate::course::{Course, Kept, further};
 use crate::eligible;
 use crate::intake;
-use crate::judge::{self, Judged};
 use crate::node::Node;
 use crate::pick;
+use crate::progress::{Fallback, RequestProgress, take_retry};
 use crate::refusal::Refusal;
 use crate::relay;
 use crate::trials::Ended;
+use crate::verdict::{self, Verdict};
 
 /// Milliseconds that a caller is thought to wait if neither it nor the route says.
-const WAIT_MS: u64 = 60_000;
+const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 /// Milliseconds that a request waits for a process that is starting: reading the store
 /// takes about ten.
-const STARTING_MS: u64 = 200;
+const STARTUP_WAIT_MS: u64 = 200;
 /// Time between looks at whether the process has started.
-const STARTING_LOOK: Duration = Duration::from_millis(5);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Tries at servers that could not be reached; no byte left for them.
-const UNREACHED: u32 = 3;
+const MAX_CONNECT_FAILURES: u32 = 3;
 /// Part of a repeatable plain call's target after which another server is asked: a
 /// server that does not answer is not told from a slow one any earlier.
-const PLAIN_PATIENCE: f64 = 2.5;
+const PLAIN_TIMEOUT_FACTOR: f64 = 2.5;
 /// Part of a stream's target for which its server is left to read the prompt, at least.
-const STREAM_PATIENCE: f64 = 0.9;
+const STREAM_MIN_TIMEOUT_FACTOR: f64 = 0.9;
 /// The same at most. An engine that reads long prompts is as silent as one that hangs, and
 /// whoever leaves it throws away what it has read.
-const STREAM_MOST_PATIENCE: f64 = 2.0;
+const STREAM_MAX_TIMEOUT_FACTOR: f64 = 2.0;
 
 /// Answers a caller.
-pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<Answer> {
+pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = now();
     node.metrics.in_progress.inc();
-    let ask = node.platform.parse_request_head(request.headers());
-    let id = ask.id.clone();
-    let mut deadline = arrived.plus_millis(ask.wait_ms.unwrap_or(WAIT_MS));
+    let head = node.platform.parse_request_head(request.headers());
+    let id = head.id.clone();
+    let mut deadline = arrived.plus_millis(head.wait_ms.unwrap_or(DEFAULT_TIMEOUT_MS));
     wait_for_configuration(&node, arrived).await;
     let mut name: Arc<str> = Arc::from("");
-    let result = match intake::admit(&node, &request, &ask) {
+    let result = match intake::admit(&node, &request, &head) {
         Ok(admitted) => {
             name = admitted.route.name.clone();
             if let Some(timeout_ms) = admitted.route.timeout_ms {
                 deadline = deadline.min(arrived.plus_millis(timeout_ms));
             }
-            match intake::read(request, admitted, ask, arrived, deadline).await {
+            match intake::read_body(request, admitted, head, arrived, deadline).await {
                 Ok(job) => route(&node, Rc::new(job)).await,
                 Err(refusal) => Err(refusal),
             }
@@ -76,26 +76,26 @@
 /// started some milliseconds before it has read the store; refused, they come back much
 /// later and with one try less.
 async fn wait_for_configuration(node: &Node, arrived: Instant) {
-    let until = arrived.plus_millis(STARTING_MS);
+    let until = arrived.plus_millis(STARTUP_WAIT_MS);
     while !node.view.borrow().is_ready() && now() < until {
-        tokio::time::sleep(STARTING_LOOK).await;
+        tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
 fn finish(
     node: &Node,
-    result: Result<Response<Answer>, Refusal>,
+    result: Result<Response<ResponseBody>, Refusal>,
     id: &str,
     route: &str,
     arrived: Instant,
     deadline: Instant,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let outcome = match &result {
         Ok(_) => "answered",
-        Err(refusal) => refusal.word(),
+        Err(refusal) => refusal.code(),
     };
     let spread = node.random.borrow_mut().random::<f64>();
-    let response = result.unwrap_or_else(|refusal| refusal.answer(now(), deadline, spread));
+    let response = result.unwrap_or_else(|refusal| refusal.response(now(), deadline, spread));
     let passed = now().since(arrived);
     node.metrics
         .requests
@@ -123,170 +123,186 @@
     response
 }
 
-async fn route(node: &Rc<Node>, job: Rc<Job>) -> Result<Response<Answer>, Refusal> {
+async fn route(node: &Rc<Node>, job: Rc<Job>) -> Result<Response<ResponseBody>, Refusal> {
     if node.suspects.borrow().is_refused(now(), job.digest) {
         tracing::warn!(
             event = "crashing-request",
-            id = job.ask.id,
+            id = job.head.id,
             digest = job.digest
         );
-        return Err(Refusal::NotRun);
+        return Err(Refusal::NotExecuted);
     }
-    let service = pick::service(&job.route, &job.ask.id).ok_or(Refusal::NotRun)?;
+    let service = pick::choose_service(&job.route, &job.head.id).ok_or(Refusal::NotExecuted)?;
     node.budgets
         .borrow_mut()
         .entry(service.clone())
         .or_default()
         .count_request(now());
-    let mut course = Course::default();
-    if job.ask.any_model {
-        course.model = tier::first(job.route.models.len());
+    let mut progress = RequestProgress::default();
+    if job.head.any_model {
+        progress.model = tier::first(job.route.models.len());
     }
     let until = deadline(job.deadline);
-    let steps = steps(node, &job, &service, &mut course);
-    let result = match tokio::time::timeout_at(until, steps).await {
+    let run_attempts = run_attempts(node, &job, &service, &mut progress);
+    let result = match tokio::time::timeout_at(until, run_attempts).await {
         Ok(result) => result,
-        Err(_) if course.may_have_run => Err(Refusal::Late),
-        Err(_) => Err(Refusal::NotRun),
+        Err(_) if progress.may_have_run => Err(Refusal::DeadlineExceeded),
+        Err(_) => Err(Refusal::NotExecuted),
     };
-    match (result, course.kept) {
-        (Err(refusal), Some(kept)) => {
-            Ok(fall_back(node, &job, &service, kept, course.sent, refusal))
-        }
+    match (result, progress.fallback) {
+        (Err(refusal), Some(fallback)) => Ok(serve_fallback(
+            node,
+            &job,
+            &service,
+            fallback,
+            progress.sent,
+            refusal,
+        )),
         (result, _) => result,
     }
 }
 
 /// Answers with what a smaller model made, since no larger one's answer comes in time. A doubted
 /// answer is better for the caller than none.
-fn fall_back(
+fn serve_fallback(
     node: &Rc<Node>,
     job: &Rc<Job>,
     service: &Arc<str>,
-    kept: Kept,
+    fallback: Fallback,
     sent: u32,
     refusal: Refusal,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     tracing::info!(
         event = "fell-back",
-        id = job.ask.id,
-        server = &*kept.headed.pick.id,
-        model = kept.model,
-        instead = refusal.word()
+        id = job.head.id,
+        server = &*fallback.response.pick.id,
+        model = fallback.model,
+        instead = refusal.code()
     );
     let route = &*job.route.name;
     node.metrics.fallbacks.with_label_values(&[route]).inc();
-    relay::begin(node, job, service, kept.headed, Some(kept.model), sent)
+    relay::start(
+        node,
+        job,
+        service,
+        fallback.response,
+        Some(fallback.model),
+        sent,
+    )
 }
 
-async fn steps(
+async fn run_attempts(
     node: &Rc<Node>,
     job: &Rc<Job>,
     service: &Arc<str>,
-    course: &mut Course,
-) -> Result<Response<Answer>, Refusal> {
+    progress: &mut RequestProgress,
+) -> Result<Response<ResponseBody>, Refusal> {
     loop {
-        let model = course
+        let model = progress
             .model
             .map(|rank| (rank, job.route.models[rank].clone()));
         let name = model.as_ref().map(|(_, name)| &**name);
-        let Some(pick) = pick::pick(node, job, service, name, &course.tried) else {
-            let barred = eligible::barred(node, job, service, now());
+        let Some(pick) = pick::pick(node, job, service, name, &progress.tried) else {
+            let excluded = eligible::count_excluded(node, job, service, now());
             tracing::info!(
                 event = "no-server",
-                id = job.ask.id,
+                id = job.head.id,
                 service = &**service,
-                tried = course.tried.len(),
-                evacuated = barred.evacuated,
-                elsewhere = barred.elsewhere,
-                cold = barred.cold
+                tried = progress.tried.len(),
+                evacuated = excluded.evacuated,
+                elsewhere = excluded.outside_regions,
+                cold = excluded.cold
             );
-            return Err(give_up(course));
+            return Err(exhausted(progress));
         };
-        let may_have_run = course.may_have_run;
-        course.may_have_run = true;
+        let may_have_run = progress.may_have_run;
+        progress.may_have_run = true;
         let named = model.as_ref().map(|(rank, name)| (*rank, &**name));
-        let until = patience(job, course);
-        let tried = attempt::run(node, job, pick.clone(), named, job.ask.last_event, until).await;
-        match tried {
-            Tried::NotRun(how) => {
-                course.may_have_run = may_have_run;
-                course.tried.push(pick.id.clone());
-                let goes_on = match how {
-                    NotRun::Unreached => {
-                        course.unreached += 1;
-                        course.unreached < UNREACHED
+        let until = attempt_deadline(job, progress);
+        let outcome =
+            attempt::run(node, job, pick.clone(), named, job.head.last_event, until).await;
+        match outcome {
+            AttemptResult::NotExecuted(how) => {
+                progress.may_have_run = may_have_run;
+                progress.tried.push(pick.id.clone());
+                let may_continue = match how {
+                    NotExecuted::Unreachable => {
+                        progress.unreached += 1;
+                        progress.unreached < MAX_CONNECT_FAILURES
                     }
-                    NotRun::Said => {
-                        course.sent += 1;
-                        further(node, job, service, course.sent, "not-run")
+                    NotExecuted::Reported => {
+                        progress.sent += 1;
+                        take_retry(node, job, service, progress.sent, "not-run")
                     }
                 };
-                if !goes_on {
-                    return Err(give_up(course));
+                if !may_continue {
+                    return Err(exhausted(progress));
                 }
             }
-            Tried::Unknown | Tried::Silent => {
-                let ended = match tried {
-                    Tried::Silent => Ended::Silently,
+            AttemptResult::Unknown | AttemptResult::TimedOut => {
+                let ended = match outcome {
+                    AttemptResult::TimedOut => Ended::Silently,
                     _ => Ended::Broken,
                 };
-                judge::count(node, job, &pick, course.model, ended);
-                if matches!(tried, Tried::Unknown) {
+                verdict::count_outcome(node, job, &pick, progress.model, ended);
+                if matches!(outcome, AttemptResult::Unknown) {
                     node.suspects.borrow_mut().crashed(now(), job.digest);
                 }
-                course.tried.push(pick.id.clone());
-                course.sent += 1;
-                let may_repeat = job.route.is_repeatable() && !course.is_kept_due();
-                if !may_repeat || !further(node, job, service, course.sent, "failed") {
+                progress.tried.push(pick.id.clone());
+                progress.sent += 1;
+                let may_repeat = job.route.is_repeatable() && !progress.is_fallback_due();
+                if !may_repeat || !take_retry(node, job, service, progress.sent, "failed") {
                     let is_over = now() >= job.deadline;
                     return Err(if is_over {
-                        Refusal::Late
+                        Refusal::DeadlineExceeded
                     } else {
-                        Refusal::Unknown
+                        Refusal::OutcomeUnknown
                     });
                 }
             }
-            Tried::Headed(headed) => {
-                course.sent += 1;
-                match judge::judge(node, job, service, course, *headed).await {
-                    Judged::Answer(response) => return Ok(response),
-                    Judged::Refuse(refusal) => return Err(refusal),
-                    Judged::Again => {}
+            AttemptResult::Responded(response) => {
+                progress.sent += 1;
+                match verdict::decide(node, job, service, progress, *response).await {
+                    Verdict::Answer(response) => return Ok(response),
+                    Verdict::Refuse(refusal) => return Err(refusal),
+                    Verdict::Retry => {}
                 }
             }
         }
     }
 }
 
-fn give_up(course: &Course) -> Refusal {
-    if course.may_have_run {
-        Refusal::Unknown
+fn exhausted(progress: &RequestProgress) -> Refusal {
+    if progress.may_have_run {
+        Refusal::OutcomeUnknown
     } else {
-        Refusal::NotRun
+        Refusal::NotExecuted
     }
 }
 
 /// Until when an attempt may go without a head before another server is asked, or a kept answer
 /// is given.
-fn patience(job: &Job, course: &Course) -> Instant {
-    let latest = course.kept.as_ref().map_or(job.deadline, |kept| kept.until);
-    let is_last = course.sent + 1 >= job.route.attempts;
+fn attempt_deadline(job: &Job, progress: &RequestProgress) -> Instant {
+    let latest = progress
+        .fallback
+        .as_ref()
+        .map_or(job.deadline, |fallback| fallback.until);
+    let is_last = progress.sent + 1 >= job.route.attempts;
     let (Some(target_ms), false, true) = (job.route.target_ms, is_last, job.route.is_repeatable())
     else {
         return latest;
     };
     let target = Duration::from_millis(target_ms);
-    let patience = match job.route.kind {
-        Kind::Streaming => stream_patience(target, job.deadline.since(now())),
-        Kind::Idempotent | Kind::NonIdempotent => target.mul_f64(PLAIN_PATIENCE),
+    let timeout = match job.route.kind {
+        Kind::Streaming => stream_attempt_timeout(target, job.deadline.since(now())),
+        Kind::Idempotent | Kind::NonIdempotent => target.mul_f64(PLAIN_TIMEOUT_FACTOR),
     };
-    (now() + patience).min(latest)
+    (now() + timeout).min(latest)
 }
 
 /// How long the server of a stream may be silent, with `left` until the deadline: the next one
 /// needs as long.
-fn stream_patience(target: Duration, left: Duration) -> Duration {
-    let most = target.mul_f64(STREAM_MOST_PATIENCE).min(left / 2);
-    most.max(target.mul_f64(STREAM_PATIENCE))
+fn stream_attempt_timeout(target: Duration, left: Duration) -> Duration {
+    let most = target.mul_f64(STREAM_MAX_TIMEOUT_FACTOR).min(left / 2);
+    most.max(target.mul_f64(STREAM_MIN_TIMEOUT_FACTOR))
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -31,7 +31,7 @@
     cold_until: Option<Instant>,
     /// Entries up to this revision do not tell that it is warm: something that came later says
     /// that it is cold.
-    cold_since: u64,
+    cold_revision: u64,
 }
 
 impl Server {
@@ -47,7 +47,7 @@
             expires_at: None,
             is_replaced: false,
             cold_until: None,
-            cold_since: 0,
+            cold_revision: 0,
             entry,
         };
         server.set_cold(now, server.entry.cold_ms.unwrap_or(warmup_ms));
@@ -59,7 +59,7 @@
         self.expires_at = None;
         self.entry = entry;
         if let Some(cold_ms) = self.entry.cold_ms
-            && revision >= self.cold_since
+            && revision >= self.cold_revision
         {
             self.set_cold(now, cold_ms);
         }
@@ -67,7 +67,7 @@
 
     /// Takes it for cold because of what happened at `revision`, whatever earlier entries say.
     pub fn mark_cold(&mut self, now: Instant, warmup_ms: u64, revision: u64) {
-        self.cold_since = revision;
+        self.cold_revision = revision;
         self.set_cold(now, warmup_ms);
     }
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -25,35 +25,35 @@
 /// Milliseconds for which an idle connection is trusted with a request that may
 /// be repeated. Servers that state no time-out close idle connections after
 /// seconds.
-const KEPT_MS: u64 = 4_000;
+const MAX_IDLE_MS: u64 = 4_000;
 /// The same for a request that must not be repeated: if a connection closes under
 /// it the outcome is unknown, so only one that was used moments ago is trusted.
-const FRESH_MS: u64 = 700;
+const MAX_IDLE_UNREPEATABLE_MS: u64 = 700;
 /// Idle connections that are kept for one address.
-const MOST_IDLE: usize = 64;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
 /// Bytes of an unneeded answer that are read to keep its connection.
-const MOST_DISCARDED: usize = 4_096;
+const MAX_DISCARD_BYTES: usize = 4_096;
 /// Longest time that reading an unneeded answer may take.
-const DISCARD: Duration = Duration::from_millis(200);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Longest silence within a body from the store or a peer. A configuration of 1,900 routes is
 /// 0.6 MB, which takes a link of 10 Mbit/s half a second alone and seconds beside others; with
 /// a bound on the whole it was begun anew again and again and never came.
-const SILENCE: Duration = Duration::from_millis(700);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Longest time for a body from the store or a peer that goes on coming.
-const LONGEST: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Reads a body from the store or a peer, of at most `most` bytes.
 ///
 /// # Errors
 ///
 /// When it breaks off, falls silent, is too long or does not end.
-pub async fn collect(body: Incoming, most: usize) -> anyhow::Result<Bytes> {
+pub async fn collect(body: Incoming, max_bytes: usize) -> anyhow::Result<Bytes> {
     let read = async {
-        let mut body = Limited::new(body, most);
+        let mut body = Limited::new(body, max_bytes);
         let mut bytes = BytesMut::new();
-        while let Some(frame) = tokio::time::timeout(SILENCE, body.frame()).await? {
+        while let Some(frame) = tokio::time::timeout(BODY_IDLE_TIMEOUT, body.frame()).await? {
             let frame = frame.map_err(anyhow::Error::from_boxed)?;
             if let Ok(data) = frame.into_data() {
                 bytes.extend_from_slice(&data);
@@ -61,7 +61,7 @@
         }
         Ok(bytes.freeze())
     };
-    tokio::time::timeout(LONGEST, read).await?
+    tokio::time::timeout(BODY_TIMEOUT, read).await?
 }
 
 /// What became of a request.
@@ -119,9 +119,13 @@
         request: Request<Full<Bytes>>,
         may_repeat: bool,
     ) -> Sent {
-        let trusted_ms = if may_repeat { KEPT_MS } else { FRESH_MS };
+        let max_idle_ms = if may_repeat {
+            MAX_IDLE_MS
+        } else {
+            MAX_IDLE_UNREPEATABLE_MS
+        };
         let mut request = request;
-        while let Some(connection) = self.take(address, trusted_ms) {
+        while let Some(connection) = self.take(address, max_idle_ms) {
             match transmit(connection, request).await {
                 Transmitted::Done(sent) => return sent,
                 Transmitted::Unsent(unsent) => request = unsent,
@@ -148,7 +152,7 @@
             connection.idle_since = now();
             let mut idle = pool.idle.borrow_mut();
             let list = idle.entry(connection.address).or_default();
-            if list.len() < MOST_IDLE {
+            if list.len() < MAX_IDLE_PER_ADDRESS {
                 list.push(connection);
             }
         });
@@ -159,8 +163,8 @@
     pub fn discard(&self, answered: Answered) {
         let pool = self.clone();
         tokio::task::spawn_local(async move {
-            let body = Limited::new(answered.response.into_body(), MOST_DISCARDED);
-            let rest = tokio::time::timeout(DISCARD, body.collect()).await;
+            let body = Limited::new(answered.response.into_body(), MAX_DISCARD_BYTES);
+            let rest = tokio::time::timeout(DISCARD_TIMEOUT, body.collect()).await;
             if matches!(rest, Ok(Ok(_))) {
                 pool.keep(answered.connection);
             }
@@ -178,17 +182,18 @@
         let mut idle = self.idle.borrow_mut();
         idle.retain(|_, list| {
             list.retain(|connection| {
-                !connection.sender.is_closed() && now < connection.idle_since.plus_millis(KEPT_MS)
+                !connection.sender.is_closed()
+                    && now < connection.idle_since.plus_millis(MAX_IDLE_MS)
             });
             !list.is_empty()
         });
     }
 
-    fn take(&self, address: SocketAddr, trusted_ms: u64) -> Option<Connection> {
+    fn take(&self, address: SocketAddr, max_idle_ms: u64) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&address)?;
         while let Some(connection) = list.pop() {
-            let is_trusted = now() < connection.idle_since.plus_millis(trusted_ms);
+            let is_trusted = now() < connection.idle_since.plus_millis(max_idle_ms);
             if !is_trusted {
                 // The rest of the list is older still; they stay for requests
                 // that may be repeated.
--- /dev/null
+++ b/crates/gateway/src/verdict.rs
@@ -0,0 +1,183 @@
+//! Judging the head of an answer: pass it on, ask a larger model, or ask again.
+
+use std::rc::Rc;
+use std::sync::Arc;
+
+use fescuerack_core::routed::pace::Pace;
+use fescuerack_core::routed::{home, tier};
+use http_body_util::{BodyExt as _, Limited};
+use hyper::{HeaderMap, Response, StatusCode};
+
+use crate::attempt::{Job, OpenResponse};
+use crate::body::ResponseBody;
+use crate::catalog::Kind;
+use crate::clock::now;
+use crate::headers;
+use crate::node::Node;
+use crate::pick::{self, Pick};
+use crate::progress::{Fallback, RequestProgress, take_retry};
+use crate::refusal::Refusal;
+use crate::relay;
+use crate::trials::{self, Ended};
+
+/// Bytes of an answer that is read whole before it is passed on.
+const MAX_BUFFERED_BYTES: usize = 32 << 20;
+
+/// What becomes of a request after the head of an answer.
+pub enum Verdict {
+    /// The answer goes to the caller.
+    Answer(Response<ResponseBody>),
+    /// The request ends without it.
+    Refuse(Refusal),
+    /// Another attempt is made.
+    Retry,
+}
+
+/// Judges an answer by its head; plain answers are read whole.
+pub async fn decide(
+    node: &Rc<Node>,
+    job: &Rc<Job>,
+    service: &Arc<str>,
+    progress: &mut RequestProgress,
+    response: OpenResponse,
+) -> Verdict {
+    let status = response.answered.response.status();
+    if let Some(rank) = progress.model
+        && status.is_success()
+        && let Some(next) = escalation_rank(node, job, service, rank, response.head.confidence)
+        && take_retry(node, job, service, progress.sent, "weak")
+    {
+        node.metrics
+            .dropped_answers
+            .with_label_values(&[&*job.route.name])
+            .inc();
+        let ended = Ended::Well(Pace {
+            head_ms: response.head_ms,
+            expected_ms: response.expected_head_ms,
+            event_ms: None,
+        });
+        count_outcome(node, job, &response.pick, progress.model, ended);
+        progress.fallback = Some(Fallback::new(response, rank, job));
+        progress.model = Some(next);
+        return Verdict::Retry;
+    }
+    let is_stream = job.route.kind == Kind::Streaming && status.is_success();
+    if is_stream {
+        let model = progress.model;
+        return Verdict::Answer(relay::start(
+            node,
+            job,
+            service,
+            response,
+            model,
+            progress.sent,
+        ));
+    }
+    buffer_answer(node, job, service, progress, response).await
+}
+
+/// The model to ask because the answer of the model at `rank` is doubted.
+fn escalation_rank(
+    node: &Node,
+    job: &Job,
+    service: &Arc<str>,
+    rank: usize,
+    confidence: Option<u8>,
+) -> Option<usize> {
+    let models = job.route.models.len();
+    let pressure = pick::pressure(node, job, service, models.checked_sub(1)?).unwrap_or_default();
+    let next = tier::next(models, rank, confidence, pressure);
+    tracing::info!(
+        event = "judged-answer",
+        id = job.head.id,
+        model = rank,
+        confidence,
+        pressure,
+        next
+    );
+    next
+}
+
+/// Reads a plain answer whole, so that one that breaks off can be asked for again.
+async fn buffer_answer(
+    node: &Rc<Node>,
+    job: &Rc<Job>,
+    service: &Arc<str>,
+    progress: &mut RequestProgress,
+    response: OpenResponse,
+) -> Verdict {
+    let (mut head, body) = response.answered.response.into_parts();
+    let collected = Limited::new(body, MAX_BUFFERED_BYTES).collect().await;
+    let ended = match &collected {
+        Err(_) => Ended::Broken,
+        Ok(_) if head.status.is_server_error() => Ended::Badly,
+        Ok(_) => Ended::Well(Pace {
+            head_ms: response.head_ms,
+            expected_ms: response.expected_head_ms,
+            event_ms: None,
+        }),
+    };
+    count_outcome(node, job, &response.pick, progress.model, ended);
+    drop(response.in_flight);
+    match collected {
+        Ok(body) => {
+            node.pool.keep(response.answered.connection);
+            let may_repeat = job.route.is_repeatable() && head.status.is_server_error();
+            if may_repeat && take_retry(node, job, service, progress.sent, "error") {
+                progress.tried.push(response.pick.id.clone());
+                return Verdict::Retry;
+            }
+            // The caller gets the kept answer in place of the larger model's failure.
+            if head.status.is_server_error() && progress.fallback.is_some() {
+                return Verdict::Refuse(Refusal::OutcomeUnknown);
+            }
+            node.suspects.borrow_mut().ended_well(now(), job.digest);
+            headers::strip_hop_by_hop(&mut head.headers);
+            Verdict::Answer(Response::from_parts(
+                head,
+                ResponseBody::buffered(body.to_bytes()),
+            ))
+        }
+        Err(error) => {
+            tracing::info!(event = "answer-broken", id = job.head.id, server = &*response.pick.id, reason = %error);
+            progress.tried.push(response.pick.id.clone());
+            if job.route.is_repeatable() && take_retry(node, job, service, progress.sent, "broken")
+            {
+                return Verdict::Retry;
+            }
+            Verdict::Refuse(Refusal::OutcomeUnknown)
+        }
+    }
+}
+
+/// Counts how an attempt ended for a roll-out of the service.
+pub fn count_outcome(node: &Node, job: &Job, pick: &Pick, model: Option<usize>, ended: Ended) {
+    trials::count(
+        node,
+        pick,
+        &job.route.name,
+        latency_class(job, model),
+        ended,
+    );
+}
+
+/// Number by which answers that usually take unlike long are told apart.
+#[must_use]
+pub fn latency_class(job: &Job, model: Option<usize>) -> u64 {
+    let model = u64::try_from(model.unwrap_or_default()).unwrap_or_default();
+    home::mix(home::hash(job.route.name.as_bytes()) ^ model)
+}
+
+/// Status and headers of an answer that is relayed.
+#[must_use]
+pub fn with_status(
+    status: StatusCode,
+    mut headers: HeaderMap,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
+    headers::strip_hop_by_hop(&mut headers);
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
+}
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -12,19 +12,19 @@
 
 /// Milliseconds for which a node goes by what it found out about being a user. Nodes come and go
 /// less often than servers are picked.
-const BELIEVED_MS: u64 = 500;
+const MEMBERSHIP_TTL_MS: u64 = 500;
 
 /// Turns at the servers that are warming up, by the hash of their identity.
 #[derive(Debug)]
 pub struct Warming {
     /// From when this node counts itself among the users.
-    settled: Instant,
-    turns: HashMap<u64, Use>,
+    ready_at: Instant,
+    turns: HashMap<u64, Membership>,
 }
 
 /// What this node is to one server.
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct Membership {
     is_user: bool,
     /// Until when that is believed.
     until: Instant,
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            settled: now.plus_millis(SETTLE_MS),
+            ready_at: now.plus_millis(SETTLE_MS),
             turns: HashMap::new(),
         }
     }
@@ -50,7 +50,7 @@
 }
 
 /// Whether this node may send `server` a request now, as far as warming up goes.
-pub fn is_open(node: &Node, view: &View, server: &Server, now: Instant) -> bool {
+pub fn admits(node: &Node, view: &View, server: &Server, now: Instant) -> bool {
     if !server.is_cold(now) {
         return true;
     }
@@ -58,16 +58,16 @@
         return true;
     };
     let mut warming = node.warming.borrow_mut();
-    if now < warming.settled {
+    if now < warming.ready_at {
         return false;
     }
     let known = warming.turns.get(&server.identity).copied();
     let known = known.filter(|known| now < known.until);
     let found = known.unwrap_or_else(|| {
         let turn = warming.turns.get(&server.identity).map(|known| known.turn);
-        let found = Use {
+        let found = Membership {
             is_user: is_user(node, view, server, limit),
-            until: now.plus_millis(BELIEVED_MS),
+            until: now.plus_millis(MEMBERSHIP_TTL_MS),
             turn: turn.unwrap_or_default(),
         };
         warming.turns.insert(server.identity, found);
@@ -77,7 +77,7 @@
 }
 
 /// Notes that a request goes to `server` now.
-pub fn take(node: &Node, view: &View, server: &Server, now: Instant) {
+pub fn record_request(node: &Node, view: &View, server: &Server, now: Instant) {
     if !server.is_cold(now) {
         return;
     }
--- a/crates/gateway/tests/all/refusal.rs
+++ b/crates/gateway/tests/all/refusal.rs
@@ -12,11 +12,11 @@
 #[rstest]
 #[case::short(900)]
 #[case::long(25_000)]
-fn answer_return_times_spread_within_the_time_left(#[case] left_ms: u64) {
+fn response_return_times_spread_within_the_time_left(#[case] left_ms: u64) {
     let deadline = NOW.plus_millis(left_ms);
     let mut seconds: Vec<f64> = (0..100_u8)
         .map(|step| {
-            let response = Refusal::NotRun.answer(NOW, deadline, f64::from(step) / 100.0);
+            let response = Refusal::NotExecuted.response(NOW, deadline, f64::from(step) / 100.0);
             let value = response.headers()[RETRY_AFTER]
                 .to_str()
                 .expect("text")
@@ -35,18 +35,18 @@
 
 /// Only what has certainly not run may say so.
 #[rstest]
-#[case(Refusal::NotRun, 503, true)]
+#[case(Refusal::NotExecuted, 503, true)]
 #[case(Refusal::NotReady, 503, true)]
-#[case(Refusal::Unknown, 502, false)]
-#[case(Refusal::Late, 504, false)]
+#[case(Refusal::OutcomeUnknown, 502, false)]
+#[case(Refusal::DeadlineExceeded, 504, false)]
 #[case(Refusal::NoRoute, 404, false)]
-#[case(Refusal::NoKey, 401, false)]
-fn answer_status_says_what_is_known(
+#[case(Refusal::UnknownKey, 401, false)]
+fn response_status_says_what_is_known(
     #[case] refusal: Refusal,
     #[case] status: u16,
     #[case] says_when: bool,
 ) {
-    let response = refusal.answer(NOW, NOW.plus_millis(1_000), 0.5);
+    let response = refusal.response(NOW, NOW.plus_millis(1_000), 0.5);
     assert_eq!(response.status().as_u16(), status);
     assert_eq!(response.headers().contains_key(RETRY_AFTER), says_when);
 }
