--- a/crates/gateway/src/arrival.rs
+++ b/crates/gateway/src/arrival.rs
@@ -1,38 +1,38 @@
-//! When changes of the store came to the first node that told of them.
+//! When changes of the store arrived at the first node that received them.
 //!
-//! The store does not say when a key was written, and a node hears most changes from another one.
-//! So whoever follows the store notes when each revision came, and tells it with the news; the
-//! age of a change when it is in force here is then counted from that moment. What passed
-//! before, between the store and the first node, is not in it.
+//! The store does not report when a key was written, and a node receives most changes from another
+//! node. So each node that follows the store records when a revision arrived and sends this with
+//! its updates. The age of a change when it becomes active on this node is counted from that
+//! moment. It excludes the time between the write and the arrival at the first node.
 
 use std::collections::VecDeque;
 
 use fescuerack_core::clock::Instant;
 use serde::{Deserialize, Serialize};
 
-/// Revisions that are remembered. A watcher hears a few times a second, and news is seconds old at
-/// most while things go well.
+/// Revisions that are kept. A watcher receives changes a few times a second, and in normal
+/// operation updates are at most seconds old.
 const MAX_REVISIONS: usize = 128;
 
-/// What kind of change it is.
+/// The kind of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// The operators' configuration.
+    /// The configuration by the operators.
     Configuration,
     /// A backend server's entry.
     Server,
-    /// An order for a roll-out, or a record of one.
+    /// An order for a roll-out, or the record of one.
     Rollout,
     /// An order to evacuate an availability zone, or its withdrawal.
     Evacuation,
     /// A node's entry.
     Node,
-    /// An entry that could not be read.
+    /// An entry that could not be decoded.
     Unreadable,
 }
 
 impl ChangeKind {
-    /// Returns the name under which metrics count it.
+    /// Returns the label value in metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -46,21 +46,21 @@
     }
 }
 
-/// A revision and how long ago it came.
+/// A revision and how long ago it arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
     /// Revision of the store.
     pub revision: u64,
-    /// Milliseconds since it came.
+    /// Milliseconds since its arrival.
     pub age_ms: u64,
 }
 
-/// When revisions came, in order.
+/// The times at which revisions arrived, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Arrivals(VecDeque<(u64, Instant)>);
 
 impl Arrivals {
-    /// Notes that all changes up to `revision` had come at `at`.
+    /// Records that all changes up to `revision` had arrived at `at`.
     pub fn record(&mut self, revision: u64, at: Instant) {
         let last = self.0.back().map_or(0, |(last, _)| *last);
         if revision <= last {
@@ -72,17 +72,18 @@
         self.0.push_back((revision, at));
     }
 
-    /// When the change of `revision` came, if that is remembered.
+    /// Returns when the change of `revision` arrived, if that is still kept.
     #[must_use]
     pub fn at(&self, revision: u64) -> Option<Instant> {
         let next = self.0.partition_point(|(known, _)| *known < revision);
-        // Before the first one that is remembered, nothing says how much earlier it came.
+        // A revision before the first one kept arrived at an unknown earlier time.
         let is_remembered = next > 0 || self.0.front().is_some_and(|(first, _)| *first == revision);
         let (_, at) = self.0.get(next)?;
         is_remembered.then_some(*at)
     }
 
-    /// Arrivals after `revision`, and the last one before, from which they are counted.
+    /// Returns the arrivals after `revision`, preceded by the last one up to it, so that the
+    /// receiver knows where the range of the first of them begins.
     #[must_use]
     pub fn since(&self, now: Instant, revision: u64) -> Vec<Arrival> {
         let next = self.0.partition_point(|(known, _)| *known <= revision);
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one backend server, up to the head of its answer.
+//! One attempt: sends a request to one backend server and waits for the head of its response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,77 +20,78 @@
 use crate::upstream::{Answered, Sent};
 use crate::verdict;
 
-/// A caller's request, read whole.
+/// A caller's request with its whole body.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Route.
     pub route: Arc<Route>,
     /// Organisation of the caller.
     pub organisation: Option<Arc<str>>,
-    /// Regions that the organisation allows, besides the route's; empty if any.
+    /// Regions that the organisation allows, in addition to the restriction by the route; empty if
+    /// it allows all.
     pub regions: Vec<Arc<str>>,
-    /// Rank of the organisation, if it has one.
+    /// Priority of the organisation, if it has one.
     pub priority: Option<u32>,
-    /// What the caller's headers say.
+    /// Headers of the caller, parsed.
     pub head: RequestHead,
     /// Method.
     pub method: Method,
-    /// Path and query as sent.
+    /// Path and query as received.
     pub target: Uri,
-    /// Headers without those that concern the caller's connection.
+    /// Headers of the caller. Hop-by-hop headers are removed for each attempt.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When its head had come.
+    /// When its head was received.
     pub arrived: Instant,
-    /// When an answer must have gone out.
+    /// When the answer must have been sent.
     pub deadline: Instant,
-    /// Digest by which a request that crashes servers is known.
+    /// Digest by which a request that crashes servers is recognised.
     pub digest: u64,
     /// Hash of its session.
     pub session: u64,
 }
 
-/// What became of an attempt.
+/// The result of an attempt.
 pub enum AttemptResult {
-    /// The server did not run it, or no byte left for it.
+    /// The server did not execute the request, or no byte of it was sent.
     NotExecuted(NotExecuted),
-    /// It may have run.
+    /// The server may have executed the request.
     Unknown,
-    /// No head came in the time that the attempt had.
+    /// No head was received before the deadline of the attempt.
     TimedOut,
-    /// A head came.
+    /// A head was received.
     Responded(Box<OpenResponse>),
 }
 
-/// How it is known that an attempt did not run.
+/// Why it is certain that a request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotExecuted {
-    /// No byte left: the server could not be reached.
+    /// No byte was sent: the server could not be reached.
     Unreachable,
-    /// The server said so.
+    /// The server reported it.
     Reported,
 }
 
-/// An answer whose head is there.
+/// A response whose head was received and whose body has not been read.
 pub struct OpenResponse {
     /// Head, body and connection.
     pub answered: Answered,
-    /// What the head says.
+    /// Head, parsed.
     pub head: ResponseHead,
-    /// Who answers.
+    /// Server that responded.
     pub pick: Pick,
-    /// Milliseconds until the head came.
+    /// Milliseconds until the head was received.
     pub head_ms: f64,
-    /// Milliseconds until a head that the work on the server made likely.
+    /// Expected milliseconds until the head, by the work on the server.
     pub expected_head_ms: f64,
-    /// Counts the request as running there.
+    /// Counts the request as running on the server.
     pub in_flight: InFlight,
-    /// Lets a roll-out know while the answer is slow, until its end is counted.
+    /// Reports a slow response to the roll-out while it lasts, until its outcome is counted.
     pub watched: Option<Watched>,
 }
 
-/// An answer whose head is not judged yet.
+/// A response whose head has not been checked yet.
 struct ReceivedResponse {
     answered: Answered,
     in_flight: InFlight,
@@ -99,7 +100,7 @@
     expected_head_ms: f64,
 }
 
-/// Sends `job` to `pick` and waits for a head until `until`.
+/// Sends `job` to `pick` and waits for the head of the response until `until`.
 pub async fn run(
     node: &Rc<Node>,
     job: &Job,
@@ -120,8 +121,8 @@
         .pool
         .send(pick.address, request, job.route.is_repeatable());
     let Ok(sent) = tokio::time::timeout_at(deadline(until), sent).await else {
-        // A busy server is silent as well; leaving it out at once would put its work
-        // on the others, which then fall silent in turn.
+        // An overloaded server is silent too. Ejecting it at once would move its work to the other
+        // servers, which would become silent in turn.
         record_outcome(
             node,
             job,
@@ -177,15 +178,16 @@
     }
 }
 
-/// Milliseconds until a head that the work on the server and the request's own make likely.
+/// Returns the expected milliseconds until the head, by the work on the server and that of the
+/// request.
 fn expected_head_ms(node: &Node, pick: &Pick, work: f64) -> f64 {
     let waits = node.waits.borrow();
     let wait = waits.get(&pick.service).copied().unwrap_or_default();
     wait.millis(pick.load + work)
 }
 
-/// Learns how long work takes. A version on trial teaches nothing, or a slow one would make its own
-/// answers expected, and neither does a cold server.
+/// Adds a sample to the estimate of how long work takes. Samples of a canary are left out, since a
+/// slow canary would raise the expectation for its own responses; so are those of a cold server.
 fn record_wait(node: &Node, pick: &Pick, work: f64, head_ms: f64) {
     if !pick.is_canary && !pick.is_cold {
         let mut waits = node.waits.borrow_mut();
@@ -208,7 +210,7 @@
         .parse_response_head(status, answered.response.headers(), &job.head.id);
     if head.is_not_run {
         if status == StatusCode::MISDIRECTED_REQUEST {
-            // Another server has this address now; the entry is of the one before.
+            // Another server has this address now; the entry is that of its predecessor.
             pick::mark_replaced(&node.view, &pick);
         }
         record_outcome(node, job, &pick, started, None, "not-run", status.as_str());
@@ -287,7 +289,7 @@
     request
 }
 
-/// Takes an outcome into the server's health and writes the line about it.
+/// Records an outcome in the health of the server and logs the attempt.
 fn record_outcome(
     node: &Node,
     job: &Job,
@@ -306,10 +308,10 @@
     let revision = view.revision;
     let mut running = 0;
     let server = view.servers.get_mut(&pick.id);
-    // How a request ended in an earlier life says nothing of the new one.
+    // The outcome of a request before a restart does not count for the restarted server.
     if let Some(server) = server.filter(|server| server.identity == pick.identity) {
         running = server.running;
-        // Silence may be a busy server's.
+        // A server may be silent because it is overloaded.
         if let Some(outcome) = outcome
             && word != "silent"
         {
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers and to other nodes.
+//! Bodies of responses to callers and to peers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -12,23 +12,23 @@
 
 use crate::places::Place;
 
-/// Why a body ended before its end. The connection is then cut, so that what the
-/// caller has does not look whole.
+/// Why a body was aborted. The connection is then closed without the end of the body, so that the
+/// caller can detect the truncation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AbortReason {
-    /// The server broke off and nobody could go on.
-    #[error("the backend server broke off")]
+    /// The backend server failed and no other one could continue.
+    #[error("the backend server failed in the middle of the answer")]
     UpstreamFailed,
-    /// The request's time is over.
-    #[error("the request's time is over")]
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
     DeadlineExceeded,
 }
 
-/// Bytes of a [`Paced`] body that are handed over at a time: 13 ms of a link of 10 Mbit/s.
+/// Bytes of a [`Paced`] body in one frame: 13 ms on a link of 10 Mbit/s.
 const CHUNK_BYTES: usize = 16_384;
 
-/// A whole body that is handed over in parts, as fast as its connection takes them, and holds
-/// a place until the last one.
+/// A buffered body that is sent in frames of bounded size, as fast as its connection accepts them.
+/// It holds a place until the last frame.
 #[derive(Debug)]
 pub struct Paced {
     rest: Bytes,
@@ -36,7 +36,7 @@
 }
 
 impl Paced {
-    /// Creates a body from all its bytes.
+    /// Creates a body that consists of `bytes`.
     #[must_use]
     pub const fn new(bytes: Bytes, place: Option<Place>) -> Self {
         Self { rest: bytes, place }
@@ -69,18 +69,18 @@
     }
 }
 
-/// A body that is whole, or one that a task relays.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All bytes.
+    /// All bytes are in memory.
     Buffered(Full<Bytes>),
-    /// Bytes as they come.
+    /// A task forwards the bytes as they arrive.
     Relayed(Relayed),
 }
 
-/// A body that a task relays. The task ends when the body is dropped, which
-/// happens as soon as the caller has gone; with it ends its connection to the
-/// backend server, so that nobody works for a caller who left.
+/// A body that a task relays. Dropping the body aborts the task, which happens as soon as the
+/// caller disconnects. This closes the connection to the backend server as well, so that the server
+/// does not work for a caller that has disconnected.
 #[derive(Debug)]
 pub struct Relayed {
     channel: Channel<Bytes, AbortReason>,
@@ -88,7 +88,7 @@
 }
 
 impl Relayed {
-    /// Creates a body from the receiving side of a channel and the task that fills it.
+    /// Creates a body from the receiver of a channel and the task that sends to it.
     #[must_use]
     pub const fn new(channel: Channel<Bytes, AbortReason>, task: AbortHandle) -> Self {
         Self { channel, task }
@@ -102,7 +102,7 @@
 }
 
 impl ResponseBody {
-    /// Creates a body from all its bytes.
+    /// Creates a body that consists of `bytes`.
     #[must_use]
     pub fn buffered(bytes: Bytes) -> Self {
         Self::Buffered(Full::new(bytes))
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -1,8 +1,8 @@
-//! Which backend servers a request may be sent to at all.
+//! The backend servers that a request may be sent to.
 //!
-//! Ready servers of the service that hold the model, in a zone that is not evacuated and in a region
-//! that route and organisation allow, of the version that the session belongs to. Which of them runs
-//! the request is for [`pick`](crate::pick) to say.
+//! These are the ready servers of the service that have loaded the model, in a zone that is not
+//! evacuated and in a region that both route and organisation allow, of the version that the session
+//! is assigned to. [`pick`](crate::pick) selects one of them.
 
 use std::sync::Arc;
 
@@ -20,18 +20,18 @@
 use crate::view::{Order, View};
 use crate::warming;
 
-/// Why servers of the service that are ready may not be used; for the log.
+/// Numbers of ready servers of a service that may not be used, by reason; for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Excluded {
     /// In a zone that is evacuated.
     pub evacuated: usize,
-    /// Outside of the allowed regions.
+    /// Outside the allowed regions.
     pub outside_regions: usize,
-    /// Cold, and not for this node now.
+    /// Cold, and the warm-up limit does not allow this node a request now.
     pub cold: usize,
 }
 
-/// Servers that may run the request now, without those in `tried`.
+/// Returns the servers that may run the request now, except those in `tried`.
 #[must_use]
 pub fn servers<'a>(
     node: &Node,
@@ -80,14 +80,14 @@
     view.evacuated.contains_key(&server.entry.zone)
 }
 
-/// Whether route and organisation both allow the server's region.
+/// Returns whether route and organisation both allow the server's region.
 fn is_allowed(node: &Node, job: &Job, server: &Server) -> bool {
     let both = [&job.route.regions, &job.regions];
     if both.iter().all(|regions| regions.is_empty()) {
         return true;
     }
     let settings = node.settings.borrow();
-    // A zone that is in no known region may be anywhere.
+    // The region of the zone is unknown, so it cannot be shown to be allowed.
     let Some(region) = settings.regions.get(&*server.entry.zone) else {
         return false;
     };
@@ -97,7 +97,7 @@
     both.iter().all(|regions| allows(regions))
 }
 
-/// The servers among `all` of the version that the session goes to.
+/// Returns the servers among `all` of the version that the session is assigned to.
 fn for_version<'a>(
     node: &Node,
     order: &Order,
@@ -115,8 +115,8 @@
     canary_servers(node, order, new)
 }
 
-/// The servers of a version on trial that get its share of the traffic, healthy ones
-/// first; all nodes agree on them.
+/// Returns the servers of a canary version that get its share of the traffic, healthy ones first.
+/// All nodes choose the same ones.
 fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
     let trial = trials::trial(node, order);
@@ -126,7 +126,7 @@
     new
 }
 
-/// Whether neither this node nor all of them leave the server out.
+/// Returns whether the server is ejected neither by this node nor by outlier detection across nodes.
 #[must_use]
 pub fn is_healthy(node: &Node, server: &Server) -> bool {
     let now = now();
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -1,18 +1,18 @@
-//! The entry in the store by which nodes find each other.
+//! The entries in the store by which nodes discover each other.
 
 use std::net::SocketAddr;
 
-/// Prefix of the keys under which nodes enter themselves.
+/// Prefix of the keys of the entries.
 pub const NODES: &str = "fescuerack/node/";
 
-/// Another node's entry, or this node's own.
+/// The entry of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it listens for nodes.
+    /// Address on which the node listens for its peers.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the node.
     pub zone: String,
-    /// What its link carries, in megabits a second; zero if it does not say.
+    /// Bandwidth of its link in megabits a second; zero if unknown.
     pub link_mbps: u32,
 }
 
@@ -23,14 +23,14 @@
         format!("{} {} {}", self.address, self.zone, self.link_mbps)
     }
 
-    /// Reads the value of an entry; `None` if it is none.
+    /// Parses the value of an entry; `None` if it is malformed.
     #[must_use]
     pub fn new(value: &str) -> Option<Self> {
         let mut words = value.split(' ');
         Some(Self {
             address: words.next()?.parse().ok()?,
             zone: words.next()?.to_owned(),
-            // A program from before does not say.
+            // Earlier versions do not write the bandwidth.
             link_mbps: words.next().map_or(Some(0), |link| link.parse().ok())?,
         })
     }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,20 +1,20 @@
-//! Splitting a stream of events (`text/event-stream`) at the ends of events.
+//! Splitting of an event stream (`text/event-stream`) at the boundaries of events.
 //!
-//! A server may stop in the middle of an event. What is passed on ends with a
-//! whole event, so that a resumed stream goes on with the next one and the caller
-//! never sees half an event followed by another.
+//! A server may fail in the middle of an event. Only whole events are forwarded, so that a resumed
+//! stream continues with the next event and the caller never receives a partial event followed by
+//! another one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event that are held at most; a longer one is an error.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// An event that is too long.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// Holds back what does not yet end with a whole event.
+/// Splits a stream into whole events and buffers the rest.
 #[derive(Debug, Default)]
 pub struct Splitter {
     held: BytesMut,
@@ -23,8 +23,7 @@
 }
 
 impl Splitter {
-    /// Creates a splitter for a stream of which the caller has all events up to
-    /// `last`.
+    /// Creates a splitter for a stream of which the caller has received all events up to `last`.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
@@ -34,35 +33,35 @@
         }
     }
 
-    /// Identifier of the last whole event that was passed on.
+    /// Returns the identifier of the last event that was forwarded.
     #[must_use]
     pub const fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Number of whole events that were passed on.
+    /// Returns the number of events that were forwarded.
     #[must_use]
     pub const fn count(&self) -> u64 {
         self.count
     }
 
-    /// Whether part of an event is held.
+    /// Returns whether a partial event is buffered.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         !self.held.is_empty()
     }
 
-    /// Drops the part of an event that a broken stream left.
+    /// Drops the partial event at the end of a broken stream.
     pub fn drop_partial(&mut self) {
         self.held.clear();
     }
 
-    /// Takes in bytes and returns the whole events that they complete. Events that
-    /// the caller has already are left out.
+    /// Adds bytes and returns the events that they complete, without those that the caller has
+    /// already received.
     ///
     /// # Errors
     ///
-    /// When an event is too long.
+    /// When an event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, TooLong> {
         self.held.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
@@ -91,7 +90,7 @@
     }
 }
 
-/// Position after the blank line that ends the first event.
+/// Returns the position after the blank line that ends the first event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut from = 0;
     while let Some(at) = bytes[from..].iter().position(|&byte| byte == b'\n') {
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,12 +1,12 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers.
 
 use hyper::HeaderMap;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderName, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Removes from `headers` what must not be passed on: what concerns the connection
-/// itself, what `Connection` names, and the body's framing, which is set anew.
+/// Removes the headers that must not be forwarded: those that concern the connection itself, those
+/// that `Connection` names, and the framing of the body, which is set anew.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,4 +1,4 @@
-//! Taking in a caller's request: its route, its key, and its body within limits.
+//! Reading a caller's request: finds its route, checks its key and reads its body within limits.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::platform::RequestHead;
 use crate::refusal::Refusal;
 
-/// A request whose head may be served.
+/// A request whose head was accepted.
 pub struct Admitted {
     /// Route.
     pub route: Arc<Route>,
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// When no configuration is known yet, no route matches or the key is not known.
+/// When the configuration has not been loaded yet, no route matches or the key is unknown.
 pub fn admit(
     node: &Node,
     request: &Request<Incoming>,
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// When the body is too large, breaks off or does not come in time.
+/// When the body is too large, truncated or incomplete at `until`.
 pub async fn read_body(
     request: Request<Incoming>,
     admitted: Admitted,
@@ -96,7 +96,7 @@
             return Err(Refusal::TooLarge);
         }
         Ok(Err(_)) => return Err(Refusal::IncompleteBody),
-        // Nothing was sent to any server.
+        // The request was not sent to any server.
         Err(_) => return Err(Refusal::NotExecuted),
     };
     let target = parts
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,19 +1,24 @@
-//! Callers' port for routed requests: from the socket to a backend server and back.
+//! The gateway: routes callers' requests to backend servers and returns their answers.
 //!
-//! A process has one thread and runs on a [`Platform`](platform::Platform), whose names
-//! and formats an adapter supplies. [`process`] starts the tasks of a
-//! [`node`]: [`listeners`] listens, [`follow`] hears of changes from a [`source`] and brings them
-//! in [`apply`], so that the [`view`] has them, each backend [`server`] among them. [`member`] and [`peer`] find and tell other nodes,
-//! [`share`] tells them what runs where, and [`news`] what has changed; [`fetch`] brings
-//! what is too [`large`] for that, as a [`piece`] that the [`publisher`] of another node
-//! writes, and it is worked on [`offload`].
-//! [`trials`] judges roll-outs. Messages between nodes go by [`message`].
+//! A process has one thread and runs on a [`Platform`](platform::Platform), whose names and formats
+//! an adapter supplies. [`process`] starts the tasks of a [`node`]:
 //!
-//! A request is taken in by [`intake`] and goes through [`request`], which takes one
-//! [`attempt`] after another at servers that [`pick`] names out of the [`eligible`] ones, few of
-//! them [`warming`] up; [`course`] says how far it may go,
-//! [`judge`] what becomes of an answer, and [`relay`] passes streams on. All of them use one
-//! client, [`upstream`]. What is decided under load is in `fescuerack_core::routed`.
+//! - [`listeners`] accepts connections of callers and peers.
+//! - [`follow`] receives changes of the store from a [`source`] and applies them by [`apply`] to the
+//!   [`view`], which contains every backend [`server`].
+//! - [`member`] registers the node, and [`peer`] exchanges state with its peers: [`share`] sends
+//!   what runs where, and [`news`] what has changed.
+//! - [`fetch`] transfers items that are too [`large`] for updates, as a [`piece`] that the
+//!   [`publisher`] of a peer writes; they are processed on another thread by [`offload`].
+//! - [`trials`] evaluates roll-outs.
+//!
+//! Messages between nodes are sent by [`message`].
+//!
+//! [`intake`] reads a request. [`request`] then makes one [`attempt`] after another, at servers that
+//! [`pick`] selects from the [`eligible`] ones; servers that are [`warming`] up get few requests.
+//! [`progress`] holds the state of the request and its retry budget, [`verdict`] decides what happens
+//! to an answer, and [`relay`] forwards streams. All of them share the HTTP client in [`upstream`].
+//! The load-balancing decisions are in `fescuerack_core::routed`.
 
 pub mod apply;
 pub mod arrival;
--- a/crates/gateway/src/listeners.rs
+++ b/crates/gateway/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers, readiness, peers, metrics; and the graceful shutdown.
+//! The listeners for callers, readiness probes, peers and metrics, and the graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,27 +23,27 @@
 use crate::node::Node;
 use crate::{peer, request};
 
-/// Milliseconds that a path for metrics or readiness has for its head.
+/// Time-out for the head of a request for metrics or readiness, or by a peer.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Milliseconds after the signal for which new connections are taken: the platform
-/// needs two refused questions, a second apart, to send none any more.
+/// Milliseconds after the signal during which new connections are accepted. The platform sends
+/// no more requests after two failed readiness probes, one second apart.
 const ACCEPT_AFTER_SIGNAL_MS: u64 = 2_600;
-/// Milliseconds before the end of the grace at which the process ends whatever still
-/// runs: its last bytes must leave before it is killed.
+/// Milliseconds before the end of the grace period at which the process ends all requests that are
+/// still in progress, so that their last bytes are sent before it is killed.
 const EXIT_MARGIN_MS: u64 = 400;
-/// Milliseconds between looks at whether everything has ended.
+/// Interval at which a shutdown checks whether all connections have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause after a failed accept, which mostly means that descriptors ran out.
+/// Delay after a failed accept, which mostly means that the process has no file descriptors left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a graceful shutdown is.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not asked for.
+    /// No shutdown was requested.
     Serving,
-    /// Not ready any more; idle connections stay open.
+    /// The node reports that it is not ready; idle connections stay open.
     Draining,
-    /// Connections close as they become idle.
+    /// Connections are closed as they become idle.
     Closing,
 }
 
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// When an address cannot be bound.
+    /// When an address cannot be bound to.
     pub async fn bind(node: &Node) -> anyhow::Result<Self> {
         let (callers, readiness, peers, metrics) = {
             let settings = node.settings.borrow();
@@ -72,7 +72,7 @@
             )
         };
         let peers = bind("peers", peers).await?;
-        // A port of zero is chosen by the system, and peers must hear which.
+        // The system chooses a port in place of zero, and peers need the actual one.
         node.settings.borrow_mut().peers = peers.local_addr()?;
         Ok(Self {
             callers: bind("callers", callers).await?,
@@ -85,16 +85,16 @@
         })
     }
 
-    /// Addresses for callers and for readiness, with the ports in use.
+    /// Returns the addresses for callers and for readiness, with the ports in use.
     ///
     /// # Errors
     ///
-    /// When the system does not tell.
+    /// When the system does not report an address.
     pub fn addresses(&self) -> std::io::Result<(SocketAddr, SocketAddr)> {
         Ok((self.callers.local_addr()?, self.readiness.local_addr()?))
     }
 
-    /// Serves until a stop is asked for on `stop` and everything has ended.
+    /// Serves until a shutdown is requested on `stop` and has completed.
     pub async fn run(self, node: Rc<Node>, mut stop: watch::Receiver<Option<Instant>>) {
         let (phase, phases) = watch::channel(Phase::Serving);
         tokio::task::spawn_local(serve_readiness(self.readiness, node.clone()));
@@ -126,7 +126,7 @@
     tokio::time::sleep_until(deadline(asked.plus_millis(ACCEPT_AFTER_SIGNAL_MS))).await;
     phase.send_replace(Phase::Closing);
     let end = asked.plus_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
-    // Each open connection holds a receiver; the listener has dropped its own.
+    // Each open connection holds a receiver; the listener has dropped the ones it held.
     while phase.receiver_count() > 0 && now() < end {
         tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
@@ -164,7 +164,7 @@
         }
     };
     let closed = async {
-        // The sender lives as long as the node.
+        // An error would mean that the sender was dropped; it lives as long as the node.
         let _ = closing.wait_for(|phase| *phase == Phase::Closing).await;
     };
     tokio::select! {
@@ -183,8 +183,8 @@
         .catalog
         .as_ref()
         .map_or_else(Limits::default, |catalog| catalog.limits);
-    // One timer covers the idle time and the time for a head, since the library
-    // starts it when the last answer has ended.
+    // One time-out covers the idle time and the time for a head, since hyper starts it when the
+    // previous response has ended.
     let head = Duration::from_millis(limits.idle_ms + limits.header_ms);
     let service = service_fn({
         let node = node.clone();
@@ -268,8 +268,8 @@
     }
 }
 
-/// Bytes of answers to peers that a connection takes ahead of its link, 26 ms of one of 10 Mbit/s. With
-/// more, an answer would count as given while most of it is still to be sent.
+/// Size of the write buffer of a connection to a peer: 26 ms on a link of 10 Mbit/s. With a larger
+/// buffer, a response would count as sent while most of it is still waiting for the link.
 const PEER_BUFFER_BYTES: usize = 32_768;
 
 async fn serve_peers(listener: TcpListener, node: Rc<Node>) {
--- a/crates/gateway/src/net.rs
+++ b/crates/gateway/src/net.rs
@@ -1,8 +1,8 @@
-//! TCP connections whose silence shows.
+//! TCP connections that detect a dead remote host.
 //!
-//! A peer behind a partition, or one without power, answers nothing, and a
-//! connection to it may stay open for ever. Short keep-alive probes show it while
-//! this side waits, and a bound on unacknowledged data while it sends.
+//! A host behind a network partition or without power sends nothing, and a connection to it may stay
+//! open for ever. Short keep-alive intervals detect this while this side waits, and a time-out for
+//! unacknowledged data detects it while this side sends.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,24 +11,24 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// Silence after which the other side is probed: a good hundred round trips
-/// within a region, and short against the seconds that a caller waits.
+/// Idle time before the first keep-alive probe. It is more than a hundred round trips within a
+/// region, and short compared with the seconds that a caller waits.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between probes.
+/// Time between keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the connection has failed.
+/// Unanswered keep-alive probes after which the connection has failed.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Longest time for which sent data may stay unacknowledged.
+/// Time after which a connection with unacknowledged data has failed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time that a connection may take to open. One lost opening packet is
-/// sent again after a second, so a longer wait would hide a server that is gone.
+/// Time-out for opening a connection. A lost SYN packet is sent again after one second, so a longer
+/// time-out would only delay the detection of a dead server.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Opens a connection.
 ///
 /// # Errors
 ///
-/// What the system says, or [`io::ErrorKind::TimedOut`] after [`CONNECT`].
+/// The error of the system, or [`io::ErrorKind::TimedOut`] after [`CONNECT_TIMEOUT`].
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
@@ -37,11 +37,11 @@
     Ok(stream)
 }
 
-/// Makes silence on `stream` show.
+/// Sets the options on `stream` that detect a dead remote host, and disables Nagle's algorithm.
 ///
 /// # Errors
 ///
-/// When the system refuses an option.
+/// When the system rejects an option.
 pub fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -1,4 +1,5 @@
-//! Which backend server runs an attempt: the node's view, put to the decisions.
+//! Selection of the backend server for an attempt: passes the node's view to the load-balancing
+//! decisions in `fescuerack_core::routed`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,25 +18,24 @@
 use crate::view::View;
 use crate::warming;
 
-/// Prompt tokens that weigh as much as a request without any: a chunk that an
-/// engine reads between two steps.
+/// Prompt tokens that add as much work as a request without a prompt: the chunk that an engine
+/// prefills between two decoding steps.
 const PROMPT_WEIGHT_TOKENS: f64 = 4_096.0;
-/// How much heavier a request to the largest model weighs than one to the smallest.
+/// Work of a request to the largest model, relative to one to the smallest.
 const LARGEST_MODEL_WEIGHT: f64 = 10.0;
 
-/// Part of a request's work that is left once its prompt has been read: producing
-/// tokens shares each step with all other requests on the engine.
+/// Share of a request's work that remains after prefill. Decoding is cheaper, since each step is
+/// shared with all other requests on the engine.
 const DECODE_WORK_SHARE: f64 = 0.1;
-/// Prompts whose reading weighs less than this many tokens of the smallest model are
-/// light.
+/// Prompts whose prefill takes less work than this many tokens on the smallest model are light.
 const LIGHT_PREFILL_TOKENS: f64 = 15_000.0;
 
-/// The server that was picked.
+/// The server that was selected.
 #[derive(Clone, Debug)]
 pub struct Pick {
     /// Its identifier.
     pub id: Arc<str>,
-    /// Hash of its identifier and start.
+    /// Hash of its identifier and start time.
     pub identity: u64,
     /// Its address.
     pub address: SocketAddr,
@@ -45,15 +45,15 @@
     pub service: Arc<str>,
     /// Whether it is in this node's availability zone.
     pub is_near: bool,
-    /// Whether its version is one that a roll-out brings in.
+    /// Whether its version is a canary.
     pub is_canary: bool,
     /// Whether it is warming up.
     pub is_cold: bool,
-    /// Work on it, as far as this node knows.
+    /// Work on it, as far as this node has received reports.
     pub load: f64,
 }
 
-/// Counts a request as running on a server until dropped.
+/// A guard that counts a request as running on a server until it is dropped.
 pub struct InFlight {
     node: Rc<Node>,
     id: Arc<str>,
@@ -72,15 +72,15 @@
 }
 
 impl InFlight {
-    /// Notes that the first of the answer is there: the prompt has been read.
+    /// Records that the answer has begun, so the prefill is done.
     pub fn mark_prefill_done(&mut self) {
         let (before, rest) = (self.work, self.work * DECODE_WORK_SHARE);
         self.change(|server| server.work = (server.work - before + rest).max(0.0));
         self.work = rest;
     }
 
-    /// Changes what is counted on the server, unless it has started again since: a request that
-    /// ran in its earlier life would be taken off the work of the new one.
+    /// Changes the counts of the server, unless it has restarted since: a request to the earlier
+    /// start would be subtracted from the work of the new one.
     fn change(&self, change: impl FnOnce(&mut Server)) {
         let mut view = self.node.view.borrow_mut();
         let server = view.servers.get_mut(&self.id);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts a request on `pick`.
+    /// Counts a request as running on `pick`.
     #[must_use]
     pub fn new(node: &Rc<Node>, pick: &Pick, work: f64) -> Self {
         if let Some(server) = node.view.borrow_mut().servers.get_mut(&pick.id) {
@@ -105,13 +105,14 @@
     }
 }
 
-/// Work that a request brings, in requests of usual size.
+/// Returns the work of a request, in requests of usual size. `model` is the index of the model and
+/// the number of models.
 #[must_use]
 pub fn work(head: &RequestHead, model: Option<(usize, usize)>) -> f64 {
     (1.0 + f64::from(head.tokens.0) / PROMPT_WEIGHT_TOKENS) * model_weight(model)
 }
 
-/// Prompt tokens, weighed by how long the model takes to read one.
+/// Returns the number of prompt tokens, weighted by the prefill time of the model for a token.
 fn prefill_tokens(head: &RequestHead, model: Option<(usize, usize)>) -> f64 {
     f64::from(head.tokens.0) * model_weight(model)
 }
@@ -127,7 +128,7 @@
     }
 }
 
-/// Hash of the session that a request belongs to, alike on all nodes.
+/// Returns the hash of the session that a request belongs to. It is the same on all nodes.
 #[must_use]
 pub fn session(head: &RequestHead, organisation: Option<&str>) -> u64 {
     let base = home::hash(organisation.unwrap_or_default().as_bytes());
@@ -140,22 +141,22 @@
     }
 }
 
-/// The longest part of the prompt that other requests share: the last belongs to
-/// the request itself.
+/// Returns the identity of the longest prefix that other requests may share. The last block is
+/// specific to the request.
 fn shared_prefix(head: &RequestHead) -> Option<u64> {
     let parts = &head.blocks;
     let shared = parts.len().checked_sub(2).or(parts.len().checked_sub(1))?;
     Some(parts[shared].id)
 }
 
-/// Tokens of the parts that other requests share.
+/// Returns the number of tokens in the blocks that other requests may share.
 fn shared_tokens(head: &RequestHead) -> u32 {
     let own = head.blocks.len().saturating_sub(1);
     let shared = head.blocks[..own].iter().map(|part| part.tokens);
     shared.fold(0, u32::saturating_add)
 }
 
-/// Service of a route for a request, by the route's weights.
+/// Chooses the service for a request by the weights of its route.
 #[must_use]
 pub fn choose_service(route: &Route, id: &str) -> Option<Arc<str>> {
     let total: u64 = route
@@ -176,7 +177,7 @@
     None
 }
 
-/// Picks a server of `service` that holds `model` for `job`, leaving out those in `tried`.
+/// Selects a server of `service` that has loaded `model` for `job`, except those in `tried`.
 #[must_use]
 pub fn pick(
     node: &Node,
@@ -242,8 +243,8 @@
     })
 }
 
-/// Mean work, in requests of usual size, of the servers that would run a request on the
-/// model at `rank`; `None` if there is none.
+/// Returns the mean work, in requests of usual size, of the servers that would run a request to the
+/// model at `rank`; `None` if there are none.
 #[must_use]
 pub fn pressure(node: &Node, job: &Job, service: &Arc<str>, rank: usize) -> Option<f64> {
     let now = now();
@@ -266,7 +267,7 @@
     Some(loads.iter().sum::<f64>() / f64::from(servers))
 }
 
-/// Marks a server as one that another has taken the place of.
+/// Marks a server as replaced by another one at its address.
 pub fn mark_replaced(view: &RefCell<View>, pick: &Pick) {
     if let Some(server) = view.borrow_mut().servers.get_mut(&pick.id)
         && server.identity == pick.identity
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -1,10 +1,9 @@
-//! What the gateway asks of the platform that it runs on.
+//! The interface between the gateway and the platform that it runs on.
 //!
-//! An adapter implements [`Platform`]. It turns headers, keys and bodies into the
-//! types here and back; it opens no socket and decides nothing. A platform has a
-//! [key-value store](Item) with revisions, conditional writes, leases and
-//! watches, in which the catalog, the list of backend servers and the orders for
-//! roll-outs lie.
+//! An adapter implements [`Platform`]. It converts headers, keys and bodies to the types of this
+//! module and back; it opens no sockets and takes no decisions. A platform has a
+//! [key-value store](Item) with revisions, conditional writes, leases and watches. The store holds
+//! the catalog, the list of backend servers and the orders for roll-outs.
 
 use std::sync::Arc;
 
@@ -15,121 +14,121 @@
 use crate::arrival::ChangeKind;
 use crate::catalog::Catalog;
 
-/// One part of a prompt that other requests may share.
+/// A block of a prompt that other requests may share as part of their prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Identity of the part and of all parts before it.
+    /// Identity of this block together with all blocks before it.
     pub id: u64,
-    /// Tokens.
+    /// Number of tokens in the block.
     pub tokens: u32,
 }
 
-/// What a caller's headers say.
+/// The headers of a caller's request, parsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Identifier of this try of the caller.
+    /// Identifier of the request; a caller's retry has its own.
     pub id: String,
-    /// Milliseconds that the caller waits.
+    /// Milliseconds that the caller waits for an answer.
     pub wait_ms: Option<u64>,
-    /// Key of the caller.
+    /// API key of the caller.
     pub key: Option<String>,
-    /// Whether the route's model is to be chosen for the caller.
+    /// Whether the gateway chooses the model among those of the route.
     pub any_model: bool,
     /// Model that the caller names.
     pub model: Option<String>,
-    /// Prompt tokens, and output tokens at most.
+    /// Number of prompt tokens and maximum number of output tokens.
     pub tokens: (u32, u32),
-    /// Parts of the prompt in order.
+    /// Blocks of the prompt, in order.
     pub blocks: Vec<PrefixBlock>,
     /// Session that the request belongs to.
     pub session: Option<String>,
-    /// Identifier of the last event that the caller has.
+    /// Identifier of the last event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// What the gateway tells a backend server besides the caller's own headers.
+/// Headers that the gateway sets on a request to a backend server, besides the caller's own.
 #[derive(Clone, Debug)]
 pub struct UpstreamHead<'a> {
-    /// Identifier of the server that is meant.
+    /// Identifier of the server that the request is meant for.
     pub server: &'a str,
-    /// Milliseconds that are left.
+    /// Milliseconds until the deadline.
     pub left_ms: Option<u64>,
     /// Organisation of the caller.
     pub organisation: Option<&'a str>,
-    /// Rank, zero first.
+    /// Priority; zero is the highest.
     pub priority: Option<u32>,
-    /// Model, where the gateway chooses it.
+    /// Model, if the gateway chooses it.
     pub model: Option<&'a str>,
-    /// Last event that the caller has, when a stream is resumed.
+    /// Identifier of the last event that the caller has received, if a stream is resumed.
     pub last_event: Option<u64>,
 }
 
-/// What a server's head says.
+/// The head of a backend server's response, parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Whether the server says that it did not run the request.
+    /// Whether the server reports that it did not execute the request.
     pub is_not_run: bool,
-    /// Whether the answer is for the request with the asked identifier.
+    /// Whether the response carries the identifier of the request that was sent.
     pub is_own: bool,
-    /// The model's confidence in percent.
+    /// The model's confidence in its answer, in percent.
     pub confidence: Option<u8>,
 }
 
-/// One key of the store.
+/// A key of the store with its value and revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     /// Key.
     pub key: String,
-    /// Value; `None` once removed.
+    /// Value; `None` if the key was removed.
     pub value: Option<String>,
     /// Revision of its last change.
     pub revision: u64,
 }
 
-/// Items that a read or a watch returned.
+/// Items that a range read or a watch returned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     /// Items in order.
     pub items: Vec<Item>,
-    /// Whether more follow after the last key.
+    /// Whether more items follow after the last key.
     pub has_more: bool,
-    /// Revision of the store that the page is as of.
+    /// Revision of the store at which the page was read.
     pub revision: u64,
 }
 
-/// A call to the store.
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest<'a> {
-    /// Reads all keys with a prefix, after a key.
+    /// Reads the keys with a prefix that follow a key.
     Range {
         /// Prefix of the keys.
         prefix: &'a str,
-        /// Key that the page begins after.
+        /// Key after which the page begins.
         after: Option<&'a str>,
     },
-    /// Waits for a change of a key with a prefix.
+    /// Waits for changes of keys with a prefix.
     Watch {
         /// Prefix of the keys.
         prefix: &'a str,
-        /// Revision to go on from.
+        /// Revision after which changes are wanted.
         after: u64,
         /// Longest wait in milliseconds.
         wait_ms: u64,
     },
-    /// Writes a key if it still has the revision (zero: does not exist).
+    /// Writes a key, on the condition that it still has `revision` (zero: it does not exist).
     Put {
         /// Key.
         key: &'a str,
         /// Value.
         value: &'a str,
-        /// Revision that it must have, if any.
+        /// Revision that the key must have; `None` writes unconditionally.
         revision: Option<u64>,
-        /// Lease that it is bound to.
+        /// Lease that the key is bound to.
         lease: Option<u64>,
     },
     /// Grants a lease.
     Grant {
-        /// Milliseconds that it lasts.
+        /// Time to live in milliseconds.
         ttl_ms: u64,
     },
     /// Renews a lease.
@@ -140,7 +139,8 @@
 }
 
 impl StoreRequest<'_> {
-    /// Returns the call without its texts: its answer can be read by that on another thread.
+    /// Returns the request with empty keys and values. It borrows nothing, so the response can be
+    /// decoded by it on another thread.
     #[must_use]
     pub const fn to_static(&self) -> StoreRequest<'static> {
         match *self {
@@ -167,7 +167,7 @@
     }
 }
 
-/// A call in the platform's form.
+/// A request to the store in the platform's HTTP form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpRequest {
     /// Method.
@@ -178,36 +178,37 @@
     pub body: Bytes,
 }
 
-/// What a call came to.
+/// The outcome of a request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreResponse {
     /// Items.
     Page(Page),
-    /// Done; the lease's number for [`StoreRequest::Grant`], the revision for [`StoreRequest::Put`].
+    /// Done. Holds the number of the lease for [`StoreRequest::Grant`] and the new revision for
+    /// [`StoreRequest::Put`].
     Done(u64),
-    /// The condition does not hold.
+    /// The condition of a write does not hold.
     Conflict,
-    /// No such lease, or no such history any more.
+    /// The lease does not exist, or the history from that revision is no longer kept.
     Gone,
-    /// The store did nothing, and says so.
+    /// The store reports that it did nothing.
     Refused,
-    /// The answer cannot be read.
+    /// The response cannot be decoded; holds the reason.
     Unreadable(String),
 }
 
 /// State of a backend server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Leaves.
+    /// Accepts no new requests; it is about to stop.
     Draining,
 }
 
-/// One backend server in the list.
+/// The entry of a backend server in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// Its identifier. A server that starts again may keep it.
+    /// Identifier. A server that restarts may keep it.
     pub id: Arc<str>,
     /// Service.
     pub service: Arc<str>,
@@ -217,53 +218,54 @@
     pub zone: Arc<str>,
     /// Version of its software.
     pub version: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub concurrency: u32,
     /// State.
     pub state: ServerState,
-    /// Models that it holds; empty if the list does not say.
+    /// Models that it has loaded; empty if the entry does not state them.
     pub models: Vec<Arc<str>>,
-    /// When it started, in Unix milliseconds by its own clock; `None` if the list does not say.
+    /// Start time in Unix milliseconds by the server's own clock; `None` if the entry does not
+    /// state it.
     pub started_ms: Option<u64>,
-    /// Milliseconds for which it stays cold from when the entry was written; `None` if the list
-    /// does not say.
+    /// Milliseconds for which it stays cold, counted from when the entry was written; `None` if the
+    /// entry does not state it.
     pub cold_ms: Option<u64>,
 }
 
-/// An operator's order to bring in a version.
+/// An operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rollout {
     /// Service.
     pub service: Arc<str>,
-    /// Version to bring in.
+    /// Version to roll out.
     pub version: Arc<str>,
-    /// Milliseconds from the order within which it must be decided.
+    /// Milliseconds from the order within which the roll-out must be completed or rolled back.
     pub within_ms: u64,
 }
 
-/// How far a roll-out is.
+/// Progress of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// On trial.
+    /// The new version is a canary.
     Running,
     /// All traffic goes to the new version.
     Completed,
-    /// The new version gets nothing any more.
+    /// The new version gets no more traffic.
     RolledBack,
 }
 
-/// The record of a roll-out that the operators read.
+/// The record of a roll-out, which operators read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// Service.
     pub service: Arc<str>,
-    /// Version that was to be brought in.
+    /// Version that was to be rolled out.
     pub version: Arc<str>,
-    /// How far it is.
+    /// Progress.
     pub progress: Progress,
 }
 
-/// What a change of a key means.
+/// The meaning of a change of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// The newest configuration.
@@ -272,7 +274,8 @@
     Server(ServerEntry),
     /// A backend server is no longer listed.
     ServerGone(Arc<str>),
-    /// The entry of a backend server cannot be read, for the reason given; there is none to use.
+    /// The entry of a backend server cannot be decoded, for the reason given; the server has no
+    /// usable entry.
     ServerUnreadable(Arc<str>, String),
     /// A roll-out was ordered.
     Rollout(Rollout),
@@ -282,21 +285,22 @@
     RolloutStatus(RolloutStatus),
     /// The record of a roll-out was removed.
     RolloutStatusGone(Arc<str>),
-    /// The operators want no requests at the servers of an availability zone, or do again.
+    /// Operators ordered the evacuation of an availability zone, so that its servers get no
+    /// requests, or withdrew the order.
     Evacuation {
         /// Availability zone.
         zone: Arc<str>,
-        /// Whether the order is in force.
+        /// Whether the order is active.
         is_ordered: bool,
     },
-    /// A key of the gateway's own.
+    /// A key that the gateway itself uses.
     Internal,
-    /// The value cannot be read; what was known before stays in force.
+    /// The value cannot be decoded, for the reason given; the previous value stays active.
     Unreadable(String),
 }
 
 impl Change {
-    /// Returns what kind of change it is.
+    /// Returns the kind of the change.
     #[must_use]
     pub const fn kind(&self) -> ChangeKind {
         match self {
@@ -313,30 +317,30 @@
     }
 }
 
-/// Names, formats and calls of a platform.
+/// The names and formats of a platform.
 pub trait Platform: Send + Sync + 'static {
-    /// Reads a caller's headers.
+    /// Parses the headers of a caller's request.
     fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
-    /// Replaces in `headers` what only the gateway may set.
+    /// Replaces the headers that only the gateway may set.
     fn write_upstream_head(&self, headers: &mut HeaderMap, order: &UpstreamHead<'_>);
-    /// Reads a server's head that should answer the request `id`.
+    /// Parses the head of a backend server's response to the request `id`.
     fn parse_response_head(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
         id: &str,
     ) -> ResponseHead;
-    /// Puts a call into the platform's form.
-    fn encode_store_request(&self, call: &StoreRequest<'_>) -> HttpRequest;
-    /// Reads the answer to `call`.
+    /// Encodes a request to the store.
+    fn encode_store_request(&self, request: &StoreRequest<'_>) -> HttpRequest;
+    /// Decodes the response to `request`.
     fn decode_store_response(
         &self,
-        call: &StoreRequest<'_>,
+        request: &StoreRequest<'_>,
         status: StatusCode,
         body: &[u8],
     ) -> StoreResponse;
-    /// Reads a key of the store.
+    /// Decodes a key of the store.
     fn decode_item(&self, item: &Item) -> Change;
-    /// Returns key and value under which a record is kept.
+    /// Returns the key and the value of the record of a roll-out.
     fn encode_rollout_status(&self, status: &RolloutStatus) -> (String, String);
 }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far a request has come, and whether it may go further.
+//! The state of a request across its attempts, and its retry budget.
 
 use std::sync::Arc;
 
@@ -8,37 +8,37 @@
 use crate::clock::now;
 use crate::node::Node;
 
-/// Part of a request's time that is left for passing on a kept answer. It has been made by
-/// then, so only its bytes have to reach the caller.
+/// The fallback answer is sent when the remaining time is the whole time of the request divided by
+/// this. The answer is complete by then, so only its bytes have to reach the caller.
 const FALLBACK_RESERVE_DIVISOR: u32 = 20;
 
-/// How far a request has come.
+/// The state of a request across its attempts.
 #[derive(Default)]
 pub struct RequestProgress {
-    /// Servers that must not be asked again.
+    /// Servers that must not be tried again.
     pub tried: Vec<Arc<str>>,
     /// Attempts that reached a server.
     pub sent: u32,
-    /// Tries at servers that could not be reached.
+    /// Attempts at servers that could not be reached.
     pub unreached: u32,
-    /// Whether an attempt may have run.
+    /// Whether the request may have been executed.
     pub may_have_run: bool,
-    /// Index of the model to ask.
+    /// Index of the model for the next attempt.
     pub model: Option<usize>,
-    /// A doubted answer that is kept until that of a larger model is there.
+    /// An answer of low confidence, kept until that of a larger model is received.
     pub fallback: Option<Fallback>,
 }
 
-/// An answer at hand, which the caller gets if no better one comes in time.
+/// An answer that is sent to the caller if no better one is received in time.
 ///
-/// Nothing of its body is read meanwhile: its server writes on, and what it has written waits
-/// in the connection.
+/// Its body is not read meanwhile. The server continues to write it, and the bytes are buffered by
+/// the connection.
 pub struct Fallback {
     /// The answer.
     pub response: OpenResponse,
-    /// Index of the model that made it.
+    /// Index of the model that generated it.
     pub model: usize,
-    /// When it goes to the caller at the latest.
+    /// When it is sent to the caller at the latest.
     pub until: Instant,
 }
 
@@ -46,7 +46,7 @@
     /// Keeps the answer of `model` to `job`.
     #[must_use]
     pub fn new(mut response: OpenResponse, model: usize, job: &Job) -> Self {
-        // It has been counted with its doubt.
+        // Its outcome was counted when it was found to be of low confidence.
         response.watched = None;
         let rest = job.deadline.since(job.arrived) / FALLBACK_RESERVE_DIVISOR;
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
@@ -59,7 +59,7 @@
 }
 
 impl RequestProgress {
-    /// Whether the kept answer is due.
+    /// Returns whether the fallback answer is due.
     #[must_use]
     pub fn is_fallback_due(&self) -> bool {
         self.fallback
@@ -68,7 +68,8 @@
     }
 }
 
-/// Takes a further attempt from the route's attempts and the service's budget.
+/// Takes a further attempt from the attempts of the route and the retry budget of the service.
+/// Returns whether it is allowed.
 pub fn take_retry(node: &Node, job: &Job, service: &Arc<str>, sent: u32, reason: &str) -> bool {
     if sent >= job.route.attempts {
         return false;
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway itself generates.
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
@@ -7,37 +7,36 @@
 
 use crate::body::ResponseBody;
 
-/// Part of the time that is left which a caller may be asked to wait.
+/// A caller is asked to wait at most the time until its deadline, divided by this.
 const RETRY_AFTER_DIVISOR: u64 = 4;
-/// Milliseconds that a caller is asked to wait at least: a queue of plain calls has
-/// moved on by then.
+/// Minimum `Retry-After` in milliseconds. A queue of plain requests has advanced by then.
 const RETRY_AFTER_MIN_MS: u64 = 60;
-/// Milliseconds that a caller is asked to wait at most.
+/// Maximum `Retry-After` in milliseconds.
 const RETRY_AFTER_MAX_MS: u64 = 1_500;
 
-/// Why the gateway answers by itself.
+/// Why the gateway answers a request with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration is known yet.
+    /// The configuration has not been loaded yet.
     NotReady,
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The body is larger than allowed.
+    /// The body exceeds the limit.
     TooLarge,
-    /// The body did not come, or not whole.
+    /// The body was truncated, or the request was malformed.
     IncompleteBody,
-    /// Nothing has run and nothing will: no server can take it now.
+    /// The request was not executed and will not be; no server can take it now.
     NotExecuted,
-    /// It may have run; no answer came.
+    /// The request may have been executed; no answer was received.
     OutcomeUnknown,
-    /// It may have run; its time is over.
+    /// The request may have been executed; its deadline has passed.
     DeadlineExceeded,
 }
 
 impl Refusal {
-    /// Status of the answer.
+    /// Returns the status of the response.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Word for logs and metrics.
+    /// Returns the code for the response body, logs and metrics.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -66,8 +65,8 @@
         }
     }
 
-    /// Answer to the caller; `spread`, from 0 to 1, keeps those who are refused
-    /// together from coming back together.
+    /// Returns the response to the caller. A random `spread` from 0 to 1 sets `Retry-After`
+    /// within its range, so that callers refused at the same time do not retry at the same time.
     #[must_use]
     pub fn response(self, now: Instant, deadline: Instant, spread: f64) -> Response<ResponseBody> {
         let text = format!("{}\n", self.code());
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,15 +1,14 @@
-//! Relaying a stream of events, and going on at another server when it breaks.
+//! Relays a stream of events, and resumes it at another server when it breaks.
 //!
-//! What reaches the caller ends with a whole event at any moment. When the server
-//! breaks off or dies, and the route's streams may be resumed, the same model is
-//! asked at another server to go on after the last event. The caller keeps the
-//! first server's head. A stream that cannot go on is cut, so that it does not
-//! look whole.
+//! Only whole events are forwarded to the caller. When the server fails and the streams of the route
+//! may be resumed, the same model at another server is requested to continue after the last event.
+//! The caller keeps the head of the first server. A stream that cannot be resumed is aborted, so that
+//! the caller can detect the truncation.
 //!
-//! A server that falls silent may still be at work: an engine that reads long prompts for others
-//! makes a token in half a second. So another one is asked beside it. The silent one goes
-//! on if it sends anything before the other's head is there, else the other does; where no
-//! other can be asked, the silent one is waited for.
+//! A stalled server may still be working: an engine that prefills long prompts of other requests
+//! generates a token in half a second. So a hedged request is sent to another server. The stalled
+//! server continues if it sends anything before the head of the other one is received; otherwise the
+//! other one continues. If no other server can be used, the relay waits for the stalled one.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -33,14 +32,15 @@
 use crate::trials::Ended;
 use crate::verdict;
 
-/// Frames that wait for a slow caller before the server is made to wait.
+/// Frames that are buffered for a slow caller before back-pressure on the server.
 const BUFFERED_FRAMES: usize = 16;
-/// How many times the longest pause on time a server may be silent between events before another
-/// is asked beside it.
+/// Time without an event before a hedged request is sent, as a multiple of the longest pause that the
+/// route allows between events.
 const STALL_FACTOR: f64 = 1.6;
-/// Events from which the time between them says something.
+/// Minimum number of events for a meaningful mean time between events.
 const MIN_EVENTS: u32 = 4;
-/// Milliseconds of silence that are borne where the route states no longest pause.
+/// Milliseconds without an event before a hedged request is sent, if the route states no longest
+/// pause.
 const DEFAULT_STALL_MS: u64 = 5_000;
 
 struct Stream {
@@ -53,26 +53,26 @@
     splitter: Splitter,
     /// Milliseconds of the longest pause between two events.
     pause_ms: f64,
-    /// When the last event was passed on.
+    /// When the last event was forwarded.
     last_event_at: Option<Instant>,
 }
 
-/// What a server sends next: a frame, an error, or nothing more.
+/// What a server sends next: a frame, an error, or the end of the body.
 type NextFrame = Option<Result<Frame<Bytes>, hyper::Error>>;
 
-/// How one server's part of a stream ended.
+/// How the segment of a stream from one server ended.
 enum Segment {
-    /// Whole.
+    /// The stream is complete.
     Done,
-    /// The server broke off.
+    /// The server failed, for the reason given.
     Broken(String),
-    /// The server fell silent, and another goes on.
+    /// The server stalled, and another one continues.
     Hedged(Box<OpenResponse>),
-    /// The caller has gone.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// Begins to relay.
+/// Starts to relay a stream and returns the response to the caller.
 pub fn start(
     node: &Rc<Node>,
     job: &Rc<Job>,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Passes on one server's events.
+    /// Forwards the events of one server.
     async fn relay_segment(
         &mut self,
         response: OpenResponse,
@@ -249,8 +249,9 @@
         Segment::Done
     }
 
-    /// Waits for what the silent server at `pick` sends next and asks another beside it; returns the
-    /// other's head if that is there first.
+    /// Waits for the next frame of the stalled server at `pick` while a hedged request to another
+    /// server is in progress. Returns the frame, or the other server's response as an error if its
+    /// head is received first.
     async fn hedge(
         &mut self,
         pick: &Pick,
@@ -282,7 +283,8 @@
         }
     }
 
-    /// Milliseconds between the events since `from`, when `before` had been passed on.
+    /// Returns the mean milliseconds between the events since `from`, when `before` events had been
+    /// forwarded; `None` if there are too few.
     fn mean_event_ms(&self, from: Instant, before: u64) -> Option<f64> {
         let events = u32::try_from(self.splitter.count() - before).ok()?;
         let elapsed_ms = now().since(from).as_secs_f64() * 1_000.0;
@@ -300,7 +302,7 @@
         }
     }
 
-    /// Asks other servers to go on.
+    /// Requests other servers to continue the stream, one after another.
     async fn resume(&mut self) -> Option<OpenResponse> {
         if !self.job.route.resumable {
             return None;
@@ -336,7 +338,7 @@
                     return Some(*response);
                 }
                 AttemptResult::NotExecuted(NotExecuted::Unreachable) => {
-                    // No byte left, so nobody was asked.
+                    // No byte was sent, so this does not count as an attempt.
                     self.sent -= 1;
                     self.tried.push(pick.id);
                 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,8 +1,8 @@
-//! One request of a caller, from its head to the answer.
+//! Processes a request of a caller, from its head to the answer.
 //!
-//! route → key → body → model → server → attempt → head judged → answer. Nothing of
-//! an answer goes to the caller before its head is judged, so up to then another
-//! server or a larger model can be asked instead.
+//! The steps are: route, key, body, model, server, attempt, verdict on the head, answer. Nothing of
+//! an answer is sent to the caller before the verdict on its head, so until then another server or a
+//! larger model can be used instead.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,25 +28,27 @@
 use crate::trials::Ended;
 use crate::verdict::{self, Verdict};
 
-/// Milliseconds that a caller is thought to wait if neither it nor the route says.
+/// Time-out of a request in milliseconds, if neither the caller nor the route states one.
 const DEFAULT_TIMEOUT_MS: u64 = 60_000;
-/// Milliseconds that a request waits for a process that is starting: reading the store
-/// takes about ten.
+/// Milliseconds that a request waits for a process that is starting. Reading the store takes about
+/// ten.
 const STARTUP_WAIT_MS: u64 = 200;
-/// Time between looks at whether the process has started.
+/// Interval at which a waiting request checks whether the process has started.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Tries at servers that could not be reached; no byte left for them.
+/// Attempts at servers that could not be reached, after which the request fails.
 const MAX_CONNECT_FAILURES: u32 = 3;
-/// Part of a repeatable plain call's target after which another server is asked: a
-/// server that does not answer is not told from a slow one any earlier.
+/// Time-out of an attempt at a repeatable request without a stream, as a multiple of its latency
+/// target. Any earlier, a server that does not answer cannot be distinguished from a slow one.
 const PLAIN_TIMEOUT_FACTOR: f64 = 2.5;
-/// Part of a stream's target for which its server is left to read the prompt, at least.
+/// Minimum time-out until the head of a stream, as a multiple of its latency target; the server reads
+/// the prompt meanwhile.
 const STREAM_MIN_TIMEOUT_FACTOR: f64 = 0.9;
-/// The same at most. An engine that reads long prompts is as silent as one that hangs, and
-/// whoever leaves it throws away what it has read.
+/// Maximum time-out until the head of a stream, as a multiple of its latency target. An engine that
+/// reads long prompts is as silent as one that hangs, and abandoning it discards the prefill that it
+/// has done.
 const STREAM_MAX_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Answers a caller.
+/// Serves a request of a caller.
 pub async fn serve(node: Rc<Node>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = now();
     node.metrics.in_progress.inc();
@@ -72,9 +74,9 @@
     finish(&node, result, &id, &name, arrived, deadline)
 }
 
-/// Waits a moment for the first configuration. Callers reach a process that has just
-/// started some milliseconds before it has read the store; refused, they come back much
-/// later and with one try less.
+/// Waits a short time for the first configuration. Callers reach a process that has just started some
+/// milliseconds before it has read the store. If it rejected their requests, they would retry much
+/// later and with one attempt fewer.
 async fn wait_for_configuration(node: &Node, arrived: Instant) {
     let until = arrived.plus_millis(STARTUP_WAIT_MS);
     while !node.view.borrow().is_ready() && now() < until {
@@ -162,8 +164,8 @@
     }
 }
 
-/// Answers with what a smaller model made, since no larger one's answer comes in time. A doubted
-/// answer is better for the caller than none.
+/// Answers with the output of a smaller model, since no answer of a larger one was received in time.
+/// An answer of low confidence is better for the caller than none.
 fn serve_fallback(
     node: &Rc<Node>,
     job: &Rc<Job>,
@@ -280,8 +282,8 @@
     }
 }
 
-/// Until when an attempt may go without a head before another server is asked, or a kept answer
-/// is given.
+/// Returns until when an attempt waits for a head before another server is tried or the fallback
+/// answer is sent.
 fn attempt_deadline(job: &Job, progress: &RequestProgress) -> Instant {
     let latest = progress
         .fallback
@@ -300,8 +302,8 @@
     (now() + timeout).min(latest)
 }
 
-/// How long the server of a stream may be silent, with `left` until the deadline: the next one
-/// needs as long.
+/// Returns the time-out until the head of a stream, with `left` until the deadline. It is at most
+/// half of that if possible, since the next server needs as long.
 fn stream_attempt_timeout(target: Duration, left: Duration) -> Duration {
     let most = target.mul_f64(STREAM_MAX_TIMEOUT_FACTOR).min(left / 2);
     most.max(target.mul_f64(STREAM_MIN_TIMEOUT_FACTOR))
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -1,8 +1,9 @@
-//! Routes, found by host and longest prefix.
+//! Lookup of routes by host and longest path prefix.
 //!
-//! Each request chooses its route. Compared one after the other, 2,000 routes took 64 µs of a whole
-//! core, half a millisecond of the smallest one, for every request; looked up by prefix, once for
-//! each length that a host's prefixes have, the time does not grow with the routes.
+//! Every request looks up its route. A linear scan of 2,000 routes takes 64 µs of a whole core per
+//! request, and half a millisecond of the smallest core. Instead, the prefixes of a host are in a
+//! hash map, which is probed once for each length that its prefixes have, so the time does not
+//! grow with the number of routes.
 
 use std::borrow::Cow;
 use std::collections::{BTreeSet, HashMap};
@@ -16,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Host {
     by_prefix: HashMap<String, Arc<Route>>,
-    /// Lengths that the prefixes have, in bytes.
+    /// Distinct lengths of the prefixes, in bytes.
     lengths: BTreeSet<usize>,
 }
 
@@ -34,7 +35,7 @@
 }
 
 impl FromIterator<Arc<Route>> for Routes {
-    /// Of two routes with the same host and prefix the later one counts.
+    /// Of two routes with the same host and prefix, the later one wins.
     fn from_iter<I: IntoIterator<Item = Arc<Route>>>(routes: I) -> Self {
         let mut all = Self::default();
         for route in routes {
@@ -48,19 +49,20 @@
 }
 
 impl Routes {
-    /// Number of routes.
+    /// Returns the number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_host.values().map(|host| host.by_prefix.len()).sum()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
 
-    /// Finds the route with the longest prefix of `path` on `host`, which has no port.
+    /// Returns the route on `host` with the longest prefix of `path`. `host` must not contain a
+    /// port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let is_lowercase = !host.bytes().any(|byte| byte.is_ascii_uppercase());
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! A backend server as one node sees it.
+//! The state of a backend server on one node.
 
 use std::sync::Arc;
 
@@ -11,32 +11,34 @@
 /// A backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its entry in the list.
+    /// Entry in the list of servers.
     pub entry: ServerEntry,
-    /// Hash of its identifier and start. Whatever is known or told of a server goes by this, so
-    /// nothing of an earlier life is held against, or credited to, one that started again under
-    /// the same identifier, also when a peer's word about that life comes later.
+    /// Hash of its identifier and start time. All that is recorded or reported about a server is
+    /// keyed by this. So nothing that concerns an earlier start counts for or against a server that
+    /// restarted under the same identifier, even if a peer's report about the earlier one arrives
+    /// later.
     pub identity: u64,
-    /// How its attempts end.
+    /// Outcomes of attempts at it.
     pub health: Health,
-    /// Own requests on it.
+    /// Requests of this node that are running on it.
     pub running: u32,
-    /// Their work, in requests of usual size.
+    /// Work of these requests, in requests of usual size.
     pub work: f64,
-    /// When it counts as gone, if its entry vanished during an outage.
+    /// When the server counts as gone, if its entry vanished during an outage.
     pub expires_at: Option<Instant>,
-    /// Whether it has said itself, or by an error, that it is not this server.
+    /// Whether another server has replaced it: the one at its address reported, by an error, that
+    /// it is not this server.
     pub is_replaced: bool,
-    /// Until when it bears few requests only, if it is cold.
+    /// Until when it can take only few requests, if it is cold.
     cold_until: Option<Instant>,
-    /// Entries up to this revision do not tell that it is warm: something that came later says
-    /// that it is cold.
+    /// Entries before this revision do not make it warm, since a change at this revision made it
+    /// cold.
     cold_revision: u64,
 }
 
 impl Server {
-    /// Creates a server whose entry came at `now`. `warmup_ms` is how long servers of its service
-    /// are cold after a start; it counts where the entry does not say.
+    /// Creates a server whose entry arrived at `now`. `warmup_ms` is how long servers of its
+    /// service are cold after a start; it applies if the entry does not state a time.
     #[must_use]
     pub fn new(now: Instant, entry: ServerEntry, warmup_ms: u64) -> Self {
         let mut server = Self {
@@ -54,7 +56,7 @@
         server
     }
 
-    /// Takes in a newer entry of the same life, as of `revision`.
+    /// Updates the server to a newer entry with the same start time, as of `revision`.
     pub fn update(&mut self, now: Instant, entry: ServerEntry, revision: u64) {
         self.expires_at = None;
         self.entry = entry;
@@ -65,19 +67,19 @@
         }
     }
 
-    /// Takes it for cold because of what happened at `revision`, whatever earlier entries say.
+    /// Marks the server as cold because of a change at `revision`, regardless of earlier entries.
     pub fn mark_cold(&mut self, now: Instant, warmup_ms: u64, revision: u64) {
         self.cold_revision = revision;
         self.set_cold(now, warmup_ms);
     }
 
-    /// Whether it bears few requests only.
+    /// Returns whether the server is cold and can take only few requests.
     #[must_use]
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Notes that it is warm if its time is over; returns whether that is news.
+    /// Marks the server as warm if its warm-up time is over. Returns whether it was cold before.
     pub fn expire_cold(&mut self, now: Instant) -> bool {
         let is_over = self.cold_until.is_some_and(|until| now >= until);
         if is_over {
@@ -103,13 +105,14 @@
         }
     }
 
-    /// Whether its entry says that it takes requests and nothing speaks against it.
+    /// Returns whether its entry states that it accepts requests and it has neither vanished nor
+    /// been replaced.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.entry.state == ServerState::Ready && self.expires_at.is_none() && !self.is_replaced
     }
 
-    /// Whether it holds `model`, as far as its entry says.
+    /// Returns whether it has loaded `model`, or its entry states no models.
     #[must_use]
     pub fn has_model(&self, model: &str) -> bool {
         let models = &self.entry.models;
@@ -117,7 +120,7 @@
     }
 }
 
-/// Hash by which a server's life is known, alike on all nodes.
+/// Returns the hash that identifies one start of a server; it is the same on all nodes.
 fn identity(entry: &ServerEntry) -> u64 {
     let id = home::hash(entry.id.as_bytes());
     entry
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,9 +1,8 @@
-//! The one HTTP client: connections to backend servers, peers and the store.
+//! The HTTP client for backend servers, peers and the store.
 //!
-//! Connections are kept for the next request, since opening one costs a round
-//! trip and the server a place. A kept connection may close just as a request is
-//! written to it; whether a byte of the request left is then known from the
-//! connection itself ([`Sent::NotSent`]), never guessed.
+//! Idle connections are pooled, since opening one costs a round trip and a connection slot at the
+//! server. A pooled connection may close just as a request is written to it. Whether any byte of the
+//! request was sent is then reported by the connection itself ([`Sent::NotSent`]) and never guessed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,33 +21,35 @@
 use crate::clock::now;
 use crate::net;
 
-/// Milliseconds for which an idle connection is trusted with a request that may
-/// be repeated. Servers that state no time-out close idle connections after
-/// seconds.
+/// Maximum idle time in milliseconds of a connection that is reused for a repeatable request.
+/// Servers that state no time-out close idle connections after some seconds.
 const MAX_IDLE_MS: u64 = 4_000;
-/// The same for a request that must not be repeated: if a connection closes under
-/// it the outcome is unknown, so only one that was used moments ago is trusted.
+/// Maximum idle time in milliseconds of a connection that is reused for a request that must not be
+/// repeated. If a connection closes during such a request, its outcome is unknown, so only a
+/// connection that was used very recently is reused.
 const MAX_IDLE_UNREPEATABLE_MS: u64 = 700;
-/// Idle connections that are kept for one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// Bytes of an unneeded answer that are read to keep its connection.
+/// Maximum number of bytes of an unneeded response that are read so that its connection can be
+/// reused.
 const MAX_DISCARD_BYTES: usize = 4_096;
-/// Longest time that reading an unneeded answer may take.
+/// Time-out for reading an unneeded response.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest silence within a body from the store or a peer. A configuration of 1,900 routes is
-/// 0.6 MB, which takes a link of 10 Mbit/s half a second alone and seconds beside others; with
-/// a bound on the whole it was begun anew again and again and never came.
+/// Maximum time between two frames of a body from the store or a peer. A configuration of 1,900
+/// routes is 0.6 MB, which takes half a second on an idle link of 10 Mbit/s and seconds on a shared
+/// one. A short time-out for the whole body would restart such a transfer over and over, so that it
+/// never completes.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest time for a body from the store or a peer that goes on coming.
+/// Time-out for a whole body from the store or a peer, even if its frames keep arriving.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads a body from the store or a peer, of at most `most` bytes.
+/// Reads a body of at most `max_bytes` from the store or a peer.
 ///
 /// # Errors
 ///
-/// When it breaks off, falls silent, is too long or does not end.
+/// When the body is truncated or too long, or on a time-out.
 pub async fn collect(body: Incoming, max_bytes: usize) -> anyhow::Result<Bytes> {
     let read = async {
         let mut body = Limited::new(body, max_bytes);
@@ -64,23 +65,23 @@
     tokio::time::timeout(BODY_TIMEOUT, read).await?
 }
 
-/// What became of a request.
+/// The outcome of sending a request.
 #[derive(Debug)]
 pub enum Sent {
-    /// No byte of it left.
+    /// No byte of it was sent; holds the reason.
     NotSent(String),
-    /// It was sent, at least in part, and no answer came.
+    /// It was sent at least in part, and no response was received; holds the reason.
     Broken(String),
-    /// A head came.
+    /// The head of a response was received.
     Answered(Answered),
 }
 
-/// A head, the body to come and the connection that they come on.
+/// A response whose head was received, with its connection.
 #[derive(Debug)]
 pub struct Answered {
-    /// Head and body.
+    /// The head, and the body to be read.
     pub response: Response<Incoming>,
-    /// Connection; hand it back with [`Pool::keep`] once the body is whole.
+    /// The connection. Return it with [`Pool::keep`] once the body has been read.
     pub connection: Connection,
 }
 
@@ -92,7 +93,7 @@
     idle_since: Instant,
 }
 
-/// Idle connections by address.
+/// A pool of idle connections, by address.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     idle: Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>,
@@ -106,13 +107,13 @@
         Self::default()
     }
 
-    /// Connections that were opened so far.
+    /// Returns the number of connections that were opened so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Sends a request to `address`; `may_repeat` tells whether it may run twice.
+    /// Sends a request to `address`. `may_repeat` states whether it may be executed twice.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Keeps a connection whose last answer is whole. It is offered again once it
-    /// has shown that nothing came after that answer.
+    /// Returns a connection whose last response has been read. It becomes available once it is
+    /// ready for the next request, so that no unexpected bytes follow that response.
     pub fn keep(&self, mut connection: Connection) {
         let pool = self.clone();
         tokio::task::spawn_local(async move {
@@ -158,8 +159,8 @@
         });
     }
 
-    /// Reads the rest of an answer that nobody needs, so that its connection can be
-    /// kept; one with a long rest is closed.
+    /// Reads the rest of an unneeded response, so that its connection can be reused. If the rest is
+    /// long, closes the connection.
     pub fn discard(&self, answered: Answered) {
         let pool = self.clone();
         tokio::task::spawn_local(async move {
@@ -171,12 +172,12 @@
         });
     }
 
-    /// Closes idle connections to `address`, where a server has started again.
+    /// Closes the idle connections to `address`, where a server has restarted.
     pub fn forget(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes idle connections that no request would trust any more.
+    /// Closes the connections that have been idle for too long.
     pub fn sweep(&self) {
         let now = now();
         let mut idle = self.idle.borrow_mut();
@@ -195,8 +196,7 @@
         while let Some(connection) = list.pop() {
             let is_trusted = now() < connection.idle_since.plus_millis(max_idle_ms);
             if !is_trusted {
-                // The rest of the list is older still; they stay for requests
-                // that may be repeated.
+                // The rest of the list is older still. It stays for requests that may be repeated.
                 list.push(connection);
                 return None;
             }
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -1,4 +1,5 @@
-//! Judging the head of an answer: pass it on, ask a larger model, or ask again.
+//! Decides what happens to an answer by its head: it is sent to the caller, the request is escalated
+//! to a larger model, or it is retried.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,20 +21,20 @@
 use crate::relay;
 use crate::trials::{self, Ended};
 
-/// Bytes of an answer that is read whole before it is passed on.
+/// Maximum size in bytes of an answer that is buffered before it is sent to the caller.
 const MAX_BUFFERED_BYTES: usize = 32 << 20;
 
-/// What becomes of a request after the head of an answer.
+/// What happens to a request after the head of an answer.
 pub enum Verdict {
-    /// The answer goes to the caller.
+    /// The answer is sent to the caller.
     Answer(Response<ResponseBody>),
-    /// The request ends without it.
+    /// The request fails.
     Refuse(Refusal),
     /// Another attempt is made.
     Retry,
 }
 
-/// Judges an answer by its head; plain answers are read whole.
+/// Decides what happens to an answer by its head. Answers that are not streams are buffered.
 pub async fn decide(
     node: &Rc<Node>,
     job: &Rc<Job>,
@@ -76,7 +77,7 @@
     buffer_answer(node, job, service, progress, response).await
 }
 
-/// The model to ask because the answer of the model at `rank` is doubted.
+/// Returns the model to escalate to if the answer of the model at `rank` is of low confidence.
 fn escalation_rank(
     node: &Node,
     job: &Job,
@@ -98,7 +99,7 @@
     next
 }
 
-/// Reads a plain answer whole, so that one that breaks off can be asked for again.
+/// Buffers an answer that is not a stream, so that the request can be retried if it is truncated.
 async fn buffer_answer(
     node: &Rc<Node>,
     job: &Rc<Job>,
@@ -127,7 +128,7 @@
                 progress.tried.push(response.pick.id.clone());
                 return Verdict::Retry;
             }
-            // The caller gets the kept answer in place of the larger model's failure.
+            // The caller gets the fallback answer instead of the failure of the larger model.
             if head.status.is_server_error() && progress.fallback.is_some() {
                 return Verdict::Refuse(Refusal::OutcomeUnknown);
             }
@@ -150,7 +151,7 @@
     }
 }
 
-/// Counts how an attempt ended for a roll-out of the service.
+/// Counts the outcome of an attempt for a roll-out of the service.
 pub fn count_outcome(node: &Node, job: &Job, pick: &Pick, model: Option<usize>, ended: Ended) {
     trials::count(
         node,
@@ -161,14 +162,14 @@
     );
 }
 
-/// Number by which answers that usually take unlike long are told apart.
+/// Returns the class of answers with a similar usual latency: those of one route and model.
 #[must_use]
 pub fn latency_class(job: &Job, model: Option<usize>) -> u64 {
     let model = u64::try_from(model.unwrap_or_default()).unwrap_or_default();
     home::mix(home::hash(job.route.name.as_bytes()) ^ model)
 }
 
-/// Status and headers of an answer that is relayed.
+/// Returns a response with the status and headers of the backend server's response and `body`.
 #[must_use]
 pub fn with_status(
     status: StatusCode,
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -1,4 +1,4 @@
-//! What this node may send to backend servers that are warming up; see
+//! Limits on the requests that this node sends to backend servers that are warming up; see
 //! [`warmup`].
 
 use std::collections::HashMap;
@@ -10,11 +10,12 @@
 use crate::server::Server;
 use crate::view::View;
 
-/// Milliseconds for which a node goes by what it found out about being a user. Nodes come and go
-/// less often than servers are picked.
+/// Milliseconds for which it is cached whether this node is among the users of a server. Servers are
+/// picked more often than nodes come and go.
 const MEMBERSHIP_TTL_MS: u64 = 500;
 
-/// Turns at the servers that are warming up, by the hash of their identity.
+/// The membership of this node in the users of each server that is warming up, by the hash of the
+/// server's identity.
 #[derive(Debug)]
 pub struct Warming {
     /// From when this node counts itself among the users.
@@ -22,17 +23,17 @@
     turns: HashMap<u64, Membership>,
 }
 
-/// What this node is to one server.
+/// Whether this node is a user of one server, and when it may send the next request.
 #[derive(Clone, Copy, Debug)]
 struct Membership {
     is_user: bool,
-    /// Until when that is believed.
+    /// Until when `is_user` is valid.
     until: Instant,
     turn: Turn,
 }
 
 impl Warming {
-    /// Creates the turns of a node that starts at `now`.
+    /// Creates the state of a node that starts at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Drops the turns at servers that are warm or gone.
+    /// Drops the state of servers that are warm or gone.
     pub fn sweep(&mut self, now: Instant, view: &View) {
         let cold = view.servers.values().filter(|server| server.is_cold(now));
         let cold: Vec<u64> = cold.map(|server| server.identity).collect();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Whether this node may send `server` a request now, as far as warming up goes.
+/// Returns whether the warm-up limit allows this node to send `server` a request now.
 pub fn admits(node: &Node, view: &View, server: &Server, now: Instant) -> bool {
     if !server.is_cold(now) {
         return true;
@@ -76,7 +77,7 @@
     found.is_user && found.turn.is_due(now)
 }
 
-/// Notes that a request goes to `server` now.
+/// Records that a request is sent to `server` now.
 pub fn record_request(node: &Node, view: &View, server: &Server, now: Instant) {
     if !server.is_cold(now) {
         return;
@@ -102,7 +103,7 @@
     warmup::is_user(&settings.instance, names, server.identity, users)
 }
 
-/// What the server bears while it is cold; `None` if its service states no limit.
+/// Returns the limit of the server while it is cold; `None` if its service states none.
 fn limit(node: &Node, view: &View, server: &Server) -> Option<Limit> {
     let catalog = view.catalog.as_ref()?;
     let warmup = catalog.services.get(&server.entry.service)?.warmup?;
