--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -296,13 +296,13 @@
     pick: &Pick,
     started: Instant,
     outcome: Option<Outcome>,
-    word: &str,
+    label: &str,
     detail: &str,
 ) {
     let ended = now();
     node.metrics
         .attempts
-        .with_label_values(&[&*pick.service, word])
+        .with_label_values(&[&*pick.service, label])
         .inc();
     let mut view = node.view.borrow_mut();
     let revision = view.revision;
@@ -313,7 +313,7 @@
         running = server.running;
         // A server may be silent because it is overloaded.
         if let Some(outcome) = outcome
-            && word != "silent"
+            && label != "silent"
         {
             let short = load::short(server.identity);
             let is_failure = outcome != Outcome::Good;
@@ -342,7 +342,7 @@
         running,
         revision,
         ms = ended.since(started).as_secs_f64() * 1_000.0,
-        outcome = word,
+        outcome = label,
         detail
     );
 }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -56,8 +56,8 @@
             body.place = None;
             return Poll::Ready(None);
         }
-        let part = body.rest.split_to(CHUNK_BYTES.min(body.rest.len()));
-        Poll::Ready(Some(Ok(Frame::data(part))))
+        let chunk = body.rest.split_to(CHUNK_BYTES.min(body.rest.len()));
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -82,19 +82,19 @@
 
 /// Returns whether route and organisation both allow the server's region.
 fn is_allowed(node: &Node, job: &Job, server: &Server) -> bool {
-    let both = [&job.route.regions, &job.regions];
-    if both.iter().all(|regions| regions.is_empty()) {
+    let restrictions = [&job.route.regions, &job.regions];
+    if restrictions.iter().all(|regions| regions.is_empty()) {
         return true;
     }
     let settings = node.settings.borrow();
-    // The region of the zone is unknown, so it cannot be shown to be allowed.
+    // A zone of no known region may be outside the allowed ones.
     let Some(region) = settings.regions.get(&*server.entry.zone) else {
         return false;
     };
     let allows = |regions: &[Arc<str>]| {
         regions.is_empty() || regions.iter().any(|allowed| **allowed == **region)
     };
-    both.iter().all(|regions| allows(regions))
+    restrictions.iter().all(|regions| allows(regions))
 }
 
 /// Returns the servers among `all` of the version that the session is assigned to.
@@ -120,9 +120,9 @@
 fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
     let trial = trials::trial(node, order);
-    let busy = trial.servers(trial.stage(now), new.len());
+    let count = trial.servers(trial.stage(now), new.len());
     new.sort_by_key(|server| (!is_healthy(node, server), home::mix(server.identity)));
-    new.truncate(busy);
+    new.truncate(count);
     new
 }
 
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -17,7 +17,7 @@
 /// Splits a stream into whole events and buffers the rest.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
+    partial: BytesMut,
     last: Option<u64>,
     count: u64,
 }
@@ -27,7 +27,7 @@
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
-            held: BytesMut::new(),
+            partial: BytesMut::new(),
             last,
             count: 0,
         }
@@ -48,12 +48,12 @@
     /// Returns whether a partial event is buffered.
     #[must_use]
     pub fn is_partial(&self) -> bool {
-        !self.held.is_empty()
+        !self.partial.is_empty()
     }
 
     /// Drops the partial event at the end of a broken stream.
     pub fn drop_partial(&mut self) {
-        self.held.clear();
+        self.partial.clear();
     }
 
     /// Adds bytes and returns the events that they complete, without those that the caller has
@@ -63,18 +63,18 @@
     ///
     /// When an event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, TooLong> {
-        self.held.extend_from_slice(bytes);
-        let mut whole = BytesMut::new();
-        while let Some(end) = end_of_event(&self.held) {
-            let event = self.held.split_to(end);
+        self.partial.extend_from_slice(bytes);
+        let mut events = BytesMut::new();
+        while let Some(end) = end_of_event(&self.partial) {
+            let event = self.partial.split_to(end);
             if self.is_new(&event) {
-                whole.extend_from_slice(&event);
+                events.extend_from_slice(&event);
             }
         }
-        if self.held.len() > MAX_EVENT_BYTES {
+        if self.partial.len() > MAX_EVENT_BYTES {
             return Err(TooLong);
         }
-        Ok(whole.freeze())
+        Ok(events.freeze())
     }
 
     fn is_new(&mut self, event: &[u8]) -> bool {
--- a/crates/gateway/src/listeners.rs
+++ b/crates/gateway/src/listeners.rs
@@ -108,13 +108,13 @@
                 return;
             }
         }
-        let asked = stop.borrow().unwrap_or_else(now);
-        shut_down(&node, &phase, asked).await;
+        let requested_at = stop.borrow().unwrap_or_else(now);
+        shut_down(&node, &phase, requested_at).await;
         callers.abort();
     }
 }
 
-async fn shut_down(node: &Node, phase: &watch::Sender<Phase>, asked: Instant) {
+async fn shut_down(node: &Node, phase: &watch::Sender<Phase>, requested_at: Instant) {
     node.is_stopping.set(true);
     let grace_ms = node.settings.borrow().grace_ms;
     tracing::info!(
@@ -123,9 +123,9 @@
         grace_ms
     );
     phase.send_replace(Phase::Draining);
-    tokio::time::sleep_until(deadline(asked.plus_millis(ACCEPT_AFTER_SIGNAL_MS))).await;
+    tokio::time::sleep_until(deadline(requested_at.plus_millis(ACCEPT_AFTER_SIGNAL_MS))).await;
     phase.send_replace(Phase::Closing);
-    let end = asked.plus_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
+    let end = requested_at.plus_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
     // Each open connection holds a receiver; the listener has dropped the ones it held.
     while phase.receiver_count() > 0 && now() < end {
         tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
@@ -185,7 +185,7 @@
         .map_or_else(Limits::default, |catalog| catalog.limits);
     // One time-out covers the idle time and the time for a head, since hyper starts it when the
     // previous response has ended.
-    let head = Duration::from_millis(limits.idle_ms + limits.header_ms);
+    let head_timeout = Duration::from_millis(limits.idle_ms + limits.header_ms);
     let service = service_fn({
         let node = node.clone();
         move |request: Request<Incoming>| {
@@ -196,21 +196,21 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(head)
+        .header_read_timeout(head_timeout)
         .max_buf_size(limits.header_bytes.max(8_192) * 4);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => Some(ended),
+    let result = tokio::select! {
+        result = connection.as_mut() => Some(result),
         _ = async { phases.wait_for(|phase| *phase == Phase::Closing).await.is_ok() } => None,
     };
-    let ended = if let Some(ended) = ended {
-        ended
+    let result = if let Some(result) = result {
+        result
     } else {
         connection.as_mut().graceful_shutdown();
         connection.await
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         tracing::debug!(event = "caller-connection-ended", %error);
     }
 }
@@ -253,10 +253,10 @@
 
 async fn serve_plain(
     stream: TcpStream,
-    answer: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>,
+    respond: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>,
 ) {
     let service = service_fn(|request| {
-        let response = answer(&request);
+        let response = respond(&request);
         async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -49,7 +49,7 @@
     pub is_canary: bool,
     /// Whether it is warming up.
     pub is_cold: bool,
-    /// Work on it, as far as this node has received reports.
+    /// Work on it that this node knows of: that of its own requests and that reported by peers.
     pub load: f64,
 }
 
@@ -144,15 +144,18 @@
 /// Returns the identity of the longest prefix that other requests may share. The last block is
 /// specific to the request.
 fn shared_prefix(head: &RequestHead) -> Option<u64> {
-    let parts = &head.blocks;
-    let shared = parts.len().checked_sub(2).or(parts.len().checked_sub(1))?;
-    Some(parts[shared].id)
+    let blocks = &head.blocks;
+    let shared = blocks
+        .len()
+        .checked_sub(2)
+        .or(blocks.len().checked_sub(1))?;
+    Some(blocks[shared].id)
 }
 
 /// Returns the number of tokens in the blocks that other requests may share.
 fn shared_tokens(head: &RequestHead) -> u32 {
-    let own = head.blocks.len().saturating_sub(1);
-    let shared = head.blocks[..own].iter().map(|part| part.tokens);
+    let shared_count = head.blocks.len().saturating_sub(1);
+    let shared = head.blocks[..shared_count].iter().map(|block| block.tokens);
     shared.fold(0, u32::saturating_add)
 }
 
@@ -162,17 +165,20 @@
     let total: u64 = route
         .destinations
         .iter()
-        .map(|one| u64::from(one.weight))
+        .map(|destination| u64::from(destination.weight))
         .sum();
     if total == 0 {
-        return route.destinations.first().map(|one| one.service.clone());
+        return route
+            .destinations
+            .first()
+            .map(|destination| destination.service.clone());
     }
     let mut draw = home::hash(id.as_bytes()) % total;
-    for one in &route.destinations {
-        if draw < u64::from(one.weight) {
-            return Some(one.service.clone());
+    for destination in &route.destinations {
+        if draw < u64::from(destination.weight) {
+            return Some(destination.service.clone());
         }
-        draw -= u64::from(one.weight);
+        draw -= u64::from(destination.weight);
     }
     None
 }
@@ -191,13 +197,13 @@
     let view = node.view.borrow();
     let settings = node.settings.borrow();
     let others = node.others.borrow();
-    let mut listed = eligible::servers(node, &view, job, service, model, tried);
-    listed.sort_by_key(|server| home::mix(server.identity));
-    let rank = route.models.iter().position(|one| Some(&**one) == model);
-    let sized = rank.map(|rank| (rank, route.models.len()));
-    let is_small = prefill_tokens(head, sized) < LIGHT_PREFILL_TOKENS;
-    let count = listed.len();
-    let candidates: Vec<Candidate> = listed
+    let mut servers = eligible::servers(node, &view, job, service, model, tried);
+    servers.sort_by_key(|server| home::mix(server.identity));
+    let rank = route.models.iter().position(|name| Some(&**name) == model);
+    let model_rank = rank.map(|rank| (rank, route.models.len()));
+    let is_light = prefill_tokens(head, model_rank) < LIGHT_PREFILL_TOKENS;
+    let count = servers.len();
+    let candidates: Vec<Candidate> = servers
         .iter()
         .enumerate()
         .map(|(rank, server)| Candidate {
@@ -206,22 +212,22 @@
             places: server.entry.concurrency,
             is_near: *server.entry.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
-            is_suited: route.models.len() < 2 || home::suits(rank, count, is_small),
+            is_suited: route.models.len() < 2 || home::suits(rank, count, is_light),
         })
         .collect();
-    let part = match route.kind {
+    let prefix = match route.kind {
         Kind::Streaming => shared_prefix(head)
-            .map(|part| home::mix(part ^ home::hash(model.unwrap_or_default().as_bytes()))),
+            .map(|prefix| home::mix(prefix ^ home::hash(model.unwrap_or_default().as_bytes()))),
         Kind::Idempotent | Kind::NonIdempotent => None,
     };
     let draw = home::hash(head.id.as_bytes());
-    let index = match part {
-        Some(part) if home::stays_near(shared_tokens(head)) => {
-            home::choose_near(&candidates, part, draw)
+    let index = match prefix {
+        Some(prefix) if home::stays_near(shared_tokens(head)) => {
+            home::choose_near(&candidates, prefix, draw)
         }
-        part => home::choose(&candidates, part, draw),
+        prefix => home::choose(&candidates, prefix, draw),
     }?;
-    let server = listed[index];
+    let server = servers[index];
     let order = view.orders.get(service);
     let order = order.filter(|order| order.rollout.version == server.entry.version);
     let is_canary = order.is_some_and(|order| order.progress != Some(Progress::Completed));
@@ -251,20 +257,18 @@
     let view = node.view.borrow();
     let others = node.others.borrow();
     let models = &job.route.models;
-    let mut listed = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
-    listed.sort_by_key(|server| home::mix(server.identity));
+    let mut servers = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
+    servers.sort_by_key(|server| home::mix(server.identity));
     let is_light = prefill_tokens(&job.head, Some((rank, models.len()))) < LIGHT_PREFILL_TOKENS;
-    let count = listed.len();
-    let loads: Vec<f64> = listed
+    let count = servers.len();
+    let loads: Vec<f64> = servers
         .iter()
         .enumerate()
-        .filter(|(place, _)| home::suits(*place, count, is_light))
+        .filter(|(rank, _)| home::suits(*rank, count, is_light))
         .map(|(_, server)| server.work + others.work(now, server.identity))
         .collect();
-    let servers = u32::try_from(loads.len())
-        .ok()
-        .filter(|servers| *servers > 0)?;
-    Some(loads.iter().sum::<f64>() / f64::from(servers))
+    let server_count = u32::try_from(loads.len()).ok().filter(|count| *count > 0)?;
+    Some(loads.iter().sum::<f64>() / f64::from(server_count))
 }
 
 /// Marks a server as replaced by another one at its address.
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -74,18 +74,18 @@
     if sent >= job.route.attempts {
         return false;
     }
-    let bound = node.settings.borrow().retries;
+    let policy = node.settings.borrow().retries;
     let nodes = node.view.borrow().node_count();
     let is_taken = node
         .budgets
         .borrow_mut()
         .entry(service.clone())
         .or_default()
-        .take(now(), &bound, nodes);
-    let word = if is_taken { reason } else { "over-budget" };
+        .take(now(), &policy, nodes);
+    let label = if is_taken { reason } else { "over-budget" };
     node.metrics
         .further
-        .with_label_values(&[&**service, word])
+        .with_label_values(&[&**service, label])
         .inc();
     tracing::info!(
         event = "further-attempt",
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -80,8 +80,8 @@
             let max_ms =
                 (left_ms / RETRY_AFTER_DIVISOR).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
             let range = f64::from(u32::try_from(max_ms - RETRY_AFTER_MIN_MS).unwrap_or(u32::MAX));
-            let least = f64::from(u32::try_from(RETRY_AFTER_MIN_MS).unwrap_or(u32::MAX));
-            let seconds = (least + range * spread) / 1_000.0;
+            let min_ms = f64::from(u32::try_from(RETRY_AFTER_MIN_MS).unwrap_or(u32::MAX));
+            let seconds = (min_ms + range * spread) / 1_000.0;
             if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
                 headers.insert(RETRY_AFTER, value);
             }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -232,15 +232,15 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            let whole = match self.splitter.push(&data) {
-                Ok(whole) => whole,
+            let events = match self.splitter.push(&data) {
+                Ok(events) => events,
                 Err(error) => return Segment::Broken(error.to_string()),
             };
-            if whole.is_empty() {
+            if events.is_empty() {
                 continue;
             }
             self.record_pause();
-            if sender.send_data(whole).await.is_err() {
+            if sender.send_data(events).await.is_err() {
                 return Segment::CallerLeft;
             }
         }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -98,7 +98,7 @@
     };
     let spread = node.random.borrow_mut().random::<f64>();
     let response = result.unwrap_or_else(|refusal| refusal.response(now(), deadline, spread));
-    let passed = now().since(arrived);
+    let elapsed = now().since(arrived);
     node.metrics
         .requests
         .with_label_values(&[route, outcome])
@@ -106,20 +106,20 @@
     node.metrics
         .first
         .with_label_values(&[route])
-        .observe(passed.as_secs_f64());
+        .observe(elapsed.as_secs_f64());
     let configuration = node
         .view
         .borrow()
         .catalog
         .as_ref()
-        .map_or(0, |known| known.version);
+        .map_or(0, |catalog| catalog.version);
     tracing::info!(
         event = "request",
         id,
         route,
         outcome,
         status = response.status().as_u16(),
-        ms = passed.as_secs_f64() * 1_000.0,
+        ms = elapsed.as_secs_f64() * 1_000.0,
         configuration
     );
     response
@@ -224,10 +224,10 @@
         let outcome =
             attempt::run(node, job, pick.clone(), named, job.head.last_event, until).await;
         match outcome {
-            AttemptResult::NotExecuted(how) => {
+            AttemptResult::NotExecuted(reason) => {
                 progress.may_have_run = may_have_run;
                 progress.tried.push(pick.id.clone());
-                let may_continue = match how {
+                let may_continue = match reason {
                     NotExecuted::Unreachable => {
                         progress.unreached += 1;
                         progress.unreached < MAX_CONNECT_FAILURES
@@ -302,9 +302,9 @@
     (now() + timeout).min(latest)
 }
 
-/// Returns the time-out until the head of a stream, with `left` until the deadline. It is at most
-/// half of that if possible, since the next server needs as long.
+/// Returns the time-out until the head of a stream, with `left` until the deadline. Unless the
+/// minimum is longer, it is at most half of `left`, since the next server needs as long.
 fn stream_attempt_timeout(target: Duration, left: Duration) -> Duration {
-    let most = target.mul_f64(STREAM_MAX_TIMEOUT_FACTOR).min(left / 2);
-    most.max(target.mul_f64(STREAM_MIN_TIMEOUT_FACTOR))
+    let upper = target.mul_f64(STREAM_MAX_TIMEOUT_FACTOR).min(left / 2);
+    upper.max(target.mul_f64(STREAM_MIN_TIMEOUT_FACTOR))
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -152,9 +152,9 @@
             }
             connection.idle_since = now();
             let mut idle = pool.idle.borrow_mut();
-            let list = idle.entry(connection.address).or_default();
-            if list.len() < MAX_IDLE_PER_ADDRESS {
-                list.push(connection);
+            let connections = idle.entry(connection.address).or_default();
+            if connections.len() < MAX_IDLE_PER_ADDRESS {
+                connections.push(connection);
             }
         });
     }
@@ -181,23 +181,23 @@
     pub fn sweep(&self) {
         let now = now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|_, list| {
-            list.retain(|connection| {
+        idle.retain(|_, connections| {
+            connections.retain(|connection| {
                 !connection.sender.is_closed()
                     && now < connection.idle_since.plus_millis(MAX_IDLE_MS)
             });
-            !list.is_empty()
+            !connections.is_empty()
         });
     }
 
     fn take(&self, address: SocketAddr, max_idle_ms: u64) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.get_mut(&address)?;
-        while let Some(connection) = list.pop() {
-            let is_trusted = now() < connection.idle_since.plus_millis(max_idle_ms);
-            if !is_trusted {
+        let connections = idle.get_mut(&address)?;
+        while let Some(connection) = connections.pop() {
+            let is_recent = now() < connection.idle_since.plus_millis(max_idle_ms);
+            if !is_recent {
                 // The rest of the list is older still. It stays for requests that may be repeated.
-                list.push(connection);
+                connections.push(connection);
                 return None;
             }
             if connection.sender.is_ready() {
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -20,7 +20,7 @@
 pub struct Warming {
     /// From when this node counts itself among the users.
     ready_at: Instant,
-    turns: HashMap<u64, Membership>,
+    memberships: HashMap<u64, Membership>,
 }
 
 /// Whether this node is a user of one server, and when it may send the next request.
@@ -38,7 +38,7 @@
     pub fn new(now: Instant) -> Self {
         Self {
             ready_at: now.plus_millis(SETTLE_MS),
-            turns: HashMap::new(),
+            memberships: HashMap::new(),
         }
     }
 
@@ -46,7 +46,8 @@
     pub fn sweep(&mut self, now: Instant, view: &View) {
         let cold = view.servers.values().filter(|server| server.is_cold(now));
         let cold: Vec<u64> = cold.map(|server| server.identity).collect();
-        self.turns.retain(|identity, _| cold.contains(identity));
+        self.memberships
+            .retain(|identity, _| cold.contains(identity));
     }
 }
 
@@ -62,19 +63,22 @@
     if now < warming.ready_at {
         return false;
     }
-    let known = warming.turns.get(&server.identity).copied();
-    let known = known.filter(|known| now < known.until);
-    let found = known.unwrap_or_else(|| {
-        let turn = warming.turns.get(&server.identity).map(|known| known.turn);
-        let found = Membership {
+    let cached = warming.memberships.get(&server.identity).copied();
+    let cached = cached.filter(|cached| now < cached.until);
+    let membership = cached.unwrap_or_else(|| {
+        let turn = warming
+            .memberships
+            .get(&server.identity)
+            .map(|cached| cached.turn);
+        let membership = Membership {
             is_user: is_user(node, view, server, limit),
             until: now.plus_millis(MEMBERSHIP_TTL_MS),
             turn: turn.unwrap_or_default(),
         };
-        warming.turns.insert(server.identity, found);
-        found
+        warming.memberships.insert(server.identity, membership);
+        membership
     });
-    found.is_user && found.turn.is_due(now)
+    membership.is_user && membership.turn.is_due(now)
 }
 
 /// Records that a request is sent to `server` now.
@@ -86,8 +90,13 @@
         return;
     };
     let spacing_ms = limit.spacing_ms(view.node_count());
-    if let Some(found) = node.warming.borrow_mut().turns.get_mut(&server.identity) {
-        found.turn.take(now, spacing_ms);
+    if let Some(membership) = node
+        .warming
+        .borrow_mut()
+        .memberships
+        .get_mut(&server.identity)
+    {
+        membership.turn.take(now, spacing_ms);
     }
     let service = &*server.entry.service;
     node.metrics
--- a/crates/gateway/tests/all/arrival.rs
+++ b/crates/gateway/tests/all/arrival.rs
@@ -1,4 +1,4 @@
-//! How old a change is when it is in force.
+//! The age of a change when it becomes active.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_gateway::arrival::{Arrival, Arrivals};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn at_is_when_the_revision_came() {
+fn at_is_when_the_revision_arrived() {
     let mut arrivals = Arrivals::default();
     arrivals.record(10, at(1_000));
     arrivals.record(14, at(2_000));
@@ -19,7 +19,7 @@
     assert_eq!(arrivals.at(15), None);
 }
 
-/// A node has just started and hears of a change from long ago: its age is not known.
+/// A node that has just started receives a change from long ago, whose age is unknown.
 #[test]
 fn at_before_the_first_is_unknown() {
     let mut arrivals = Arrivals::default();
@@ -27,18 +27,18 @@
     assert_eq!(arrivals.at(9), None);
 }
 
-/// The one who is told goes on counting from the first one's moment.
+/// The receiver of an arrival counts the age from the time at the sender, not from its own receipt.
 #[test]
-fn since_tells_ages() {
+fn since_reports_ages() {
     let mut first = Arrivals::default();
     first.record(10, at(1_000));
     first.record(14, at(2_000));
-    let told = first.since(at(2_300), 10);
+    let reported = first.since(at(2_300), 10);
     let expected = [(10, 1_300), (14, 300)].map(|(revision, age_ms)| Arrival { revision, age_ms });
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
     let mut second = Arrivals::default();
     let here = at(90_000);
-    for arrival in told {
+    for arrival in reported {
         second.record(arrival.revision, here.minus_millis(arrival.age_ms));
     }
     assert_eq!(second.at(14), Some(here.minus_millis(300)));
--- a/crates/gateway/tests/all/events.rs
+++ b/crates/gateway/tests/all/events.rs
@@ -1,4 +1,4 @@
-//! Splitting streams at the ends of events.
+//! Splitting of event streams at the boundaries of events.
 
 use fescuerack_gateway::events::Splitter;
 use proptest::prelude::*;
@@ -7,10 +7,10 @@
     format!("id: {id}\ndata: {id}\n\n")
 }
 
-/// A server stops within an event and another goes on. Nothing of the half event may
-/// have been passed on.
+/// A server fails within an event and another one continues. Nothing of the partial event may
+/// have been forwarded.
 #[test]
-fn push_half_an_event_is_held() {
+fn push_partial_event_is_not_forwarded() {
     let mut splitter = Splitter::new(None);
     let text = format!("{}id: 2\nda", event(1));
     assert_eq!(splitter.push(text.as_bytes()).expect("short"), event(1));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn push_other_line_ends_and_comments_pass() {
+fn push_crlf_and_comments_are_forwarded() {
     let mut splitter = Splitter::new(Some(3));
     let text = ": ping\r\n\r\nid: 3\r\ndata: a\r\n\r\nid: 4\r\ndata: b\r\n\r\n";
     let whole = splitter.push(text.as_bytes()).expect("short");
@@ -35,22 +35,22 @@
 }
 
 proptest! {
-    /// However the bytes come in pieces, what is passed on is the same, and ends with a
-    /// whole event after each piece.
+    /// However the bytes are split into pieces, the output is the same, and ends with a whole event
+    /// after each piece.
     #[test]
-    fn push_pieces_make_no_difference(count in 1u64..12, cuts in prop::collection::vec(0usize..200, 0..20)) {
+    fn push_any_pieces_give_the_same_output(count in 1u64..12, cuts in prop::collection::vec(0usize..200, 0..20)) {
         let text: String = (1..=count).map(event).collect::<Vec<_>>().concat();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|cut| cut % text.len()).collect();
         cuts.extend([0, text.len()]);
         cuts.sort_unstable();
         let mut splitter = Splitter::new(None);
-        let mut passed = Vec::new();
+        let mut output = Vec::new();
         for piece in cuts.windows(2) {
             let whole = splitter.push(&text.as_bytes()[piece[0]..piece[1]]).expect("short");
-            passed.extend_from_slice(&whole);
-            prop_assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
+            output.extend_from_slice(&whole);
+            prop_assert!(output.is_empty() || output.ends_with(b"\n\n"));
         }
-        prop_assert_eq!(String::from_utf8(passed).expect("text"), text);
+        prop_assert_eq!(String::from_utf8(output).expect("text"), text);
         prop_assert_eq!(splitter.count(), count);
     }
 }
--- a/crates/gateway/tests/all/main.rs
+++ b/crates/gateway/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway's parts without a network.
+//! Tests of gateway modules without a network.
 
 mod arrival;
 mod difference;
--- a/crates/gateway/tests/all/refusal.rs
+++ b/crates/gateway/tests/all/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway itself generates.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_gateway::refusal::Refusal;
@@ -7,12 +7,12 @@
 
 const NOW: Instant = Instant::from_millis(50_000);
 
-/// A crowd is refused in the same moment. Told one time they would all be back in one
-/// moment; told a time beyond what they have left, they would not come at all.
+/// Many callers are refused at the same time. With the same `Retry-After`, all of them would retry
+/// at the same time; with one beyond their deadline, none would retry.
 #[rstest]
 #[case::short(900)]
 #[case::long(25_000)]
-fn response_return_times_spread_within_the_time_left(#[case] left_ms: u64) {
+fn response_retry_after_is_spread_within_the_deadline(#[case] left_ms: u64) {
     let deadline = NOW.plus_millis(left_ms);
     let mut seconds: Vec<f64> = (0..100_u8)
         .map(|step| {
@@ -33,7 +33,7 @@
     assert!(seconds[99] > 2.0 * seconds[0]);
 }
 
-/// Only what has certainly not run may say so.
+/// Only a request that was certainly not executed may be reported as retryable.
 #[rstest]
 #[case(Refusal::NotExecuted, 503, true)]
 #[case(Refusal::NotReady, 503, true)]
@@ -41,12 +41,15 @@
 #[case(Refusal::DeadlineExceeded, 504, false)]
 #[case(Refusal::NoRoute, 404, false)]
 #[case(Refusal::UnknownKey, 401, false)]
-fn response_status_says_what_is_known(
+fn response_status_and_retry_after_of_each_refusal(
     #[case] refusal: Refusal,
     #[case] status: u16,
-    #[case] says_when: bool,
+    #[case] has_retry_after: bool,
 ) {
     let response = refusal.response(NOW, NOW.plus_millis(1_000), 0.5);
     assert_eq!(response.status().as_u16(), status);
-    assert_eq!(response.headers().contains_key(RETRY_AFTER), says_when);
+    assert_eq!(
+        response.headers().contains_key(RETRY_AFTER),
+        has_retry_after
+    );
 }
--- a/crates/gateway/tests/all/routes.rs
+++ b/crates/gateway/tests/all/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Lookup of the route of a request.
 
 use std::sync::Arc;
 
@@ -58,9 +58,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// The same as comparing all routes one after the other.
+    /// The result is the same as that of a linear scan of all routes.
     #[test]
-    fn find_any_routes(
+    fn find_agrees_with_linear_scan(
         prefixes in proptest::collection::vec("(/[ab]{0,2}){1,4}/?", 0..12),
         path in "(/[ab]{0,2}){0,5}",
     ) {
