--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -186,7 +186,7 @@
     wait.millis(pick.load + work)
 }
 
-/// Adds a sample to the estimate of how long work takes. Samples of a canary are left out, since a
+/// Adds a sample to the estimate of how long work takes. Samples of a canary are excluded, since a
 /// slow canary would raise the expectation for its own responses; so are those of a cold server.
 fn record_wait(node: &Node, pick: &Pick, work: f64, head_ms: f64) {
     if !pick.is_canary && !pick.is_cold {
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -49,7 +49,7 @@
     pub is_canary: bool,
     /// Whether it is warming up.
     pub is_cold: bool,
-    /// Work on it that this node knows of: that of its own requests and that reported by peers.
+    /// Work on it: that of the requests of this node and that reported by peers.
     pub load: f64,
 }
 
