--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -208,7 +208,7 @@
     let head = node
         .platform
         .parse_response_head(status, answered.response.headers(), &job.head.id);
-    if head.is_not_run {
+    if head.is_not_executed {
         if status == StatusCode::MISDIRECTED_REQUEST {
             // Another server has this address now; the entry is that of its predecessor.
             pick::mark_replaced(&node.view, &pick);
@@ -217,7 +217,7 @@
         node.pool.discard(received.answered);
         return AttemptResult::NotExecuted(NotExecuted::Reported);
     }
-    if !head.is_own {
+    if !head.is_for_request {
         record_outcome(
             node,
             job,
@@ -273,7 +273,7 @@
     let left = job.deadline.since(now()).as_millis();
     let order = UpstreamHead {
         server: &pick.id,
-        left_ms: Some(u64::try_from(left).unwrap_or(u64::MAX)),
+        remaining_ms: Some(u64::try_from(left).unwrap_or(u64::MAX)),
         organisation: job.organisation.as_deref(),
         priority: Some(job.priority.unwrap_or(job.route.priority)),
         model,
@@ -337,7 +337,7 @@
         route = &*job.route.name,
         server = &*pick.id,
         version = &*pick.version,
-        near = pick.is_near,
+        near = pick.is_same_zone,
         cold = pick.is_cold,
         running,
         revision,
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -44,7 +44,7 @@
     /// Its service.
     pub service: Arc<str>,
     /// Whether it is in this node's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether its version is a canary.
     pub is_canary: bool,
     /// Whether it is warming up.
@@ -242,7 +242,7 @@
         address: server.entry.address,
         version: server.entry.version.clone(),
         service: service.clone(),
-        is_near: candidates[index].is_near,
+        is_same_zone: candidates[index].is_near,
         is_canary,
         is_cold: server.is_cold(now),
         load: candidates[index].load,
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -29,7 +29,7 @@
     /// Identifier of the request; a caller's retry has its own.
     pub id: String,
     /// Milliseconds that the caller waits for an answer.
-    pub wait_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// API key of the caller.
     pub key: Option<String>,
     /// Whether the gateway chooses the model among those of the route.
@@ -52,7 +52,7 @@
     /// Identifier of the server that the request is meant for.
     pub server: &'a str,
     /// Milliseconds until the deadline.
-    pub left_ms: Option<u64>,
+    pub remaining_ms: Option<u64>,
     /// Organisation of the caller.
     pub organisation: Option<&'a str>,
     /// Priority; zero is the highest.
@@ -67,9 +67,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Whether the server reports that it did not execute the request.
-    pub is_not_run: bool,
+    pub is_not_executed: bool,
     /// Whether the response carries the identifier of the request that was sent.
-    pub is_own: bool,
+    pub is_for_request: bool,
     /// The model's confidence in its answer, in percent.
     pub confidence: Option<u8>,
 }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -20,7 +20,7 @@
     /// Attempts that reached a server.
     pub sent: u32,
     /// Attempts at servers that could not be reached.
-    pub unreached: u32,
+    pub connect_failures: u32,
     /// Whether the request may have been executed.
     pub may_have_run: bool,
     /// Index of the model for the next attempt.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -54,7 +54,7 @@
     node.metrics.in_progress.inc();
     let head = node.platform.parse_request_head(request.headers());
     let id = head.id.clone();
-    let mut deadline = arrived.plus_millis(head.wait_ms.unwrap_or(DEFAULT_TIMEOUT_MS));
+    let mut deadline = arrived.plus_millis(head.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS));
     wait_for_configuration(&node, arrived).await;
     let mut name: Arc<str> = Arc::from("");
     let result = match intake::admit(&node, &request, &head) {
@@ -229,8 +229,8 @@
                 progress.tried.push(pick.id.clone());
                 let may_continue = match reason {
                     NotExecuted::Unreachable => {
-                        progress.unreached += 1;
-                        progress.unreached < MAX_CONNECT_FAILURES
+                        progress.connect_failures += 1;
+                        progress.connect_failures < MAX_CONNECT_FAILURES
                     }
                     NotExecuted::Reported => {
                         progress.sent += 1;
