--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers and to other nodes.
+//! Bodies of responses to callers and to peers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -12,23 +12,23 @@
 
 use crate::places::Place;
 
-/// Why a body ended before its end. The connection is then cut, so that what the
-/// caller has does not look whole.
+/// Why a body was aborted. The connection is then closed without the end of the body, so that the
+/// caller can detect the truncation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Cut {
-    /// The server broke off and nobody could go on.
-    #[error("the backend server broke off")]
-    Broken,
-    /// The request's time is over.
-    #[error("the request's time is over")]
-    Late,
+pub enum AbortReason {
+    /// The backend server failed and no other one could continue.
+    #[error("the backend server failed in the middle of the answer")]
+    UpstreamFailed,
+    /// The deadline of the request has passed.
+    #[error("the deadline of the request has passed")]
+    DeadlineExceeded,
 }
 
-/// Bytes of a [`Paced`] body that are handed over at a time: 13 ms of a link of 10 Mbit/s.
-const PACE: usize = 16_384;
+/// Bytes of a [`Paced`] body in one frame: 13 ms on a link of 10 Mbit/s.
+const CHUNK_BYTES: usize = 16_384;
 
-/// A whole body that is handed over in parts, as fast as its connection takes them, and holds
-/// a place until the last one.
+/// A buffered body that is sent in frames of bounded size, as fast as its connection accepts them.
+/// It holds a place until the last frame.
 #[derive(Debug)]
 pub struct Paced {
     rest: Bytes,
@@ -36,7 +36,7 @@
 }
 
 impl Paced {
-    /// Creates a body from all its bytes.
+    /// Creates a body that consists of `bytes`.
     #[must_use]
     pub const fn new(bytes: Bytes, place: Option<Place>) -> Self {
         Self { rest: bytes, place }
@@ -56,8 +56,8 @@
             body.place = None;
             return Poll::Ready(None);
         }
-        let part = body.rest.split_to(PACE.min(body.rest.len()));
-        Poll::Ready(Some(Ok(Frame::data(part))))
+        let chunk = body.rest.split_to(CHUNK_BYTES.min(body.rest.len()));
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -69,28 +69,28 @@
     }
 }
 
-/// A body that is whole, or one that a task relays.
+/// The body of a response to a caller.
 #[derive(Debug)]
-pub enum Answer {
-    /// All bytes.
-    Whole(Full<Bytes>),
-    /// Bytes as they come.
+pub enum ResponseBody {
+    /// All bytes are in memory.
+    Buffered(Full<Bytes>),
+    /// A task forwards the bytes as they arrive.
     Relayed(Relayed),
 }
 
-/// A body that a task relays. The task ends when the body is dropped, which
-/// happens as soon as the caller has gone; with it ends its connection to the
-/// backend server, so that nobody works for a caller who left.
+/// A body that a task relays. Dropping the body aborts the task, which happens as soon as the
+/// caller disconnects. This closes the connection to the backend server as well, so that the server
+/// does not work for a caller that has disconnected.
 #[derive(Debug)]
 pub struct Relayed {
-    channel: Channel<Bytes, Cut>,
+    channel: Channel<Bytes, AbortReason>,
     task: AbortHandle,
 }
 
 impl Relayed {
-    /// Creates a body from the receiving side of a channel and the task that fills it.
+    /// Creates a body from the receiver of a channel and the task that sends to it.
     #[must_use]
-    pub const fn new(channel: Channel<Bytes, Cut>, task: AbortHandle) -> Self {
+    pub const fn new(channel: Channel<Bytes, AbortReason>, task: AbortHandle) -> Self {
         Self { channel, task }
     }
 }
@@ -101,24 +101,24 @@
     }
 }
 
-impl Answer {
-    /// Creates a body from all its bytes.
+impl ResponseBody {
+    /// Creates a body that consists of `bytes`.
     #[must_use]
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Full::new(bytes))
     }
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = AbortReason;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AbortReason>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body)
+            Self::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
             Self::Relayed(body) => Pin::new(&mut body.channel).poll_frame(context),
@@ -127,14 +127,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Relayed(body) => body.channel.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Relayed(body) => body.channel.size_hint(),
         }
     }
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -1,4 +1,4 @@
-//! What this node may send to backend servers that are warming up; see
+//! Limits on the requests that this node sends to backend servers that are warming up; see
 //! [`warmup`].
 
 use std::collections::HashMap;
@@ -10,47 +10,49 @@
 use crate::server::Server;
 use crate::view::View;
 
-/// Milliseconds for which a node goes by what it found out about being a user. Nodes come and go
-/// less often than servers are picked.
-const BELIEVED_MS: u64 = 500;
+/// Milliseconds for which it is cached whether this node is among the users of a server. Servers are
+/// picked more often than nodes come and go.
+const MEMBERSHIP_TTL_MS: u64 = 500;
 
-/// Turns at the servers that are warming up, by the hash of their identity.
+/// The membership of this node in the users of each server that is warming up, by the hash of the
+/// server's identity.
 #[derive(Debug)]
 pub struct Warming {
     /// From when this node counts itself among the users.
-    settled: Instant,
-    turns: HashMap<u64, Use>,
+    ready_at: Instant,
+    memberships: HashMap<u64, Membership>,
 }
 
-/// What this node is to one server.
+/// Whether this node is a user of one server, and when it may send the next request.
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct Membership {
     is_user: bool,
-    /// Until when that is believed.
+    /// Until when `is_user` is valid.
     until: Instant,
     turn: Pacer,
 }
 
 impl Warming {
-    /// Creates the turns of a node that starts at `now`.
+    /// Creates the state of a node that starts at `now`.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            settled: now.plus_millis(SETTLE_MS),
-            turns: HashMap::new(),
+            ready_at: now.plus_millis(SETTLE_MS),
+            memberships: HashMap::new(),
         }
     }
 
-    /// Drops the turns at servers that are warm or gone.
+    /// Drops the state of servers that are warm or gone.
     pub fn sweep(&mut self, now: Instant, view: &View) {
         let cold = view.servers.values().filter(|server| server.is_cold(now));
         let cold: Vec<u64> = cold.map(|server| server.identity).collect();
-        self.turns.retain(|identity, _| cold.contains(identity));
+        self.memberships
+            .retain(|identity, _| cold.contains(identity));
     }
 }
 
-/// Whether this node may send `server` a request now, as far as warming up goes.
-pub fn is_open(node: &Node, view: &View, server: &Server, now: Instant) -> bool {
+/// Returns whether the warm-up limit allows this node to send `server` a request now.
+pub fn admits(node: &Node, view: &View, server: &Server, now: Instant) -> bool {
     if !server.is_cold(now) {
         return true;
     }
@@ -58,26 +60,29 @@
         return true;
     };
     let mut warming = node.warming.borrow_mut();
-    if now < warming.settled {
+    if now < warming.ready_at {
         return false;
     }
-    let known = warming.turns.get(&server.identity).copied();
-    let known = known.filter(|known| now < known.until);
-    let found = known.unwrap_or_else(|| {
-        let turn = warming.turns.get(&server.identity).map(|known| known.turn);
-        let found = Use {
+    let cached = warming.memberships.get(&server.identity).copied();
+    let cached = cached.filter(|cached| now < cached.until);
+    let membership = cached.unwrap_or_else(|| {
+        let turn = warming
+            .memberships
+            .get(&server.identity)
+            .map(|cached| cached.turn);
+        let membership = Membership {
             is_user: is_user(node, view, server, limit),
-            until: now.plus_millis(BELIEVED_MS),
+            until: now.plus_millis(MEMBERSHIP_TTL_MS),
             turn: turn.unwrap_or_default(),
         };
-        warming.turns.insert(server.identity, found);
-        found
+        warming.memberships.insert(server.identity, membership);
+        membership
     });
-    found.is_user && found.turn.is_due(now)
+    membership.is_user && membership.turn.is_due(now)
 }
 
-/// Notes that a request goes to `server` now.
-pub fn take(node: &Node, view: &View, server: &Server, now: Instant) {
+/// Records that a request is sent to `server` now.
+pub fn record_request(node: &Node, view: &View, server: &Server, now: Instant) {
     if !server.is_cold(now) {
         return;
     }
@@ -85,10 +90,15 @@
         return;
     };
     let spacing_ms = limit.spacing_ms(view.node_count());
-    if let Some(found) = node.warming.borrow_mut().turns.get_mut(&server.identity) {
-        found.turn.record_send(now, spacing_ms);
+    if let Some(membership) = node
+        .warming
+        .borrow_mut()
+        .memberships
+        .get_mut(&server.identity)
+    {
+        membership.turn.take(now, spacing_ms);
     }
-    let service = &*server.listed.service;
+    let service = &*server.entry.service;
     node.metrics
         .cold_requests
         .with_label_values(&[service])
@@ -102,10 +112,10 @@
     warmup::is_sender(&settings.instance, names, server.identity, users)
 }
 
-/// What the server bears while it is cold; `None` if its service states no limit.
+/// Returns the limit of the server while it is cold; `None` if its service states none.
 fn limit(node: &Node, view: &View, server: &Server) -> Option<Limit> {
     let catalog = view.catalog.as_ref()?;
-    let warmup = catalog.services.get(&server.listed.service)?.warmup?;
+    let warmup = catalog.services.get(&server.entry.service)?.warmup?;
     let excess = node.settings.borrow().warmup;
     Some(Limit::new(warmup.per_second, excess.overage, excess.slack))
 }
