--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -120,8 +120,8 @@
 fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
     let trial = trials::trial(node, order);
-    let count = trial.servers(trial.stage(now), new.len());
-    new.sort_by_key(|server| (!is_healthy(node, server), home::mix(server.identity)));
+    let count = trial.server_count(trial.stage(now), new.len());
+    new.sort_by_key(|server| (!is_healthy(node, server), affinity::mix(server.identity)));
     new.truncate(count);
     new
 }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -131,13 +131,13 @@
 /// Returns the hash of the session that a request belongs to. It is the same on all nodes.
 #[must_use]
 pub fn session(head: &RequestHead, organisation: Option<&str>) -> u64 {
-    let base = home::hash(organisation.unwrap_or_default().as_bytes());
+    let base = affinity::hash(organisation.unwrap_or_default().as_bytes());
     if let Some(session) = &head.session {
-        return home::mix(base ^ home::hash(session.as_bytes()));
+        return affinity::mix(base ^ affinity::hash(session.as_bytes()));
     }
     match shared_prefix(head) {
-        Some(part) => home::mix(home::mix(part)),
-        None => home::mix(base ^ home::hash(head.id.as_bytes())),
+        Some(part) => affinity::mix(affinity::mix(part)),
+        None => affinity::mix(base ^ affinity::hash(head.id.as_bytes())),
     }
 }
 
@@ -173,7 +173,7 @@
             .first()
             .map(|destination| destination.service.clone());
     }
-    let mut draw = home::hash(id.as_bytes()) % total;
+    let mut draw = affinity::hash(id.as_bytes()) % total;
     for destination in &route.destinations {
         if draw < u64::from(destination.weight) {
             return Some(destination.service.clone());
@@ -198,7 +198,7 @@
     let settings = node.settings.borrow();
     let others = node.others.borrow();
     let mut servers = eligible::servers(node, &view, job, service, model, tried);
-    servers.sort_by_key(|server| home::mix(server.identity));
+    servers.sort_by_key(|server| affinity::mix(server.identity));
     let rank = route.models.iter().position(|name| Some(&**name) == model);
     let model_rank = rank.map(|rank| (rank, route.models.len()));
     let is_light = prefill_tokens(head, model_rank) < LIGHT_PREFILL_TOKENS;
@@ -209,23 +209,24 @@
         .map(|(rank, server)| Candidate {
             identity: server.identity,
             load: server.work + others.work(now, server.identity),
-            places: server.entry.concurrency,
-            is_near: *server.entry.zone == *settings.zone,
+            slots: server.entry.concurrency,
+            is_same_zone: *server.entry.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
-            is_suited: route.models.len() < 2 || home::suits(rank, count, is_light),
+            is_in_pool: route.models.len() < 2 || affinity::matches_pool(rank, count, is_light),
         })
         .collect();
     let prefix = match route.kind {
-        Kind::Streaming => shared_prefix(head)
-            .map(|prefix| home::mix(prefix ^ home::hash(model.unwrap_or_default().as_bytes()))),
+        Kind::Streaming => shared_prefix(head).map(|prefix| {
+            affinity::mix(prefix ^ affinity::hash(model.unwrap_or_default().as_bytes()))
+        }),
         Kind::Idempotent | Kind::NonIdempotent => None,
     };
-    let draw = home::hash(head.id.as_bytes());
+    let draw = affinity::hash(head.id.as_bytes());
     let index = match prefix {
-        Some(prefix) if home::stays_near(shared_tokens(head)) => {
-            home::choose_near(&candidates, prefix, draw)
+        Some(prefix) if affinity::prefers_local_zone(shared_tokens(head)) => {
+            affinity::choose_in_zone(&candidates, prefix, draw)
         }
-        prefix => home::choose(&candidates, prefix, draw),
+        prefix => affinity::choose(&candidates, prefix, draw),
     }?;
     let server = servers[index];
     let order = view.orders.get(service);
@@ -242,7 +243,7 @@
         address: server.entry.address,
         version: server.entry.version.clone(),
         service: service.clone(),
-        is_same_zone: candidates[index].is_near,
+        is_same_zone: candidates[index].is_same_zone,
         is_canary,
         is_cold: server.is_cold(now),
         load: candidates[index].load,
@@ -258,13 +259,13 @@
     let others = node.others.borrow();
     let models = &job.route.models;
     let mut servers = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
-    servers.sort_by_key(|server| home::mix(server.identity));
+    servers.sort_by_key(|server| affinity::mix(server.identity));
     let is_light = prefill_tokens(&job.head, Some((rank, models.len()))) < LIGHT_PREFILL_TOKENS;
     let count = servers.len();
     let loads: Vec<f64> = servers
         .iter()
         .enumerate()
-        .filter(|(rank, _)| home::suits(*rank, count, is_light))
+        .filter(|(rank, _)| affinity::matches_pool(*rank, count, is_light))
         .map(|(_, server)| server.work + others.work(now, server.identity))
         .collect();
     let server_count = u32::try_from(loads.len()).ok().filter(|count| *count > 0)?;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -145,10 +145,10 @@
             let (started, events) = (now(), self.splitter.count());
             match self.relay_segment(response, sender).await {
                 Segment::Done => {
-                    let pace = Pace {
+                    let pace = Timing {
                         head_ms,
                         expected_ms,
-                        event_ms: self.mean_event_ms(started, events),
+                        event_interval_ms: self.mean_event_ms(started, events),
                     };
                     let ended = Ended::Well(pace);
                     verdict::count_outcome(&self.node, &self.job, &pick, self.model, ended);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -142,7 +142,7 @@
         .count_request(now());
     let mut progress = RequestProgress::default();
     if job.head.any_model {
-        progress.model = tier::first(job.route.models.len());
+        progress.model = escalation::first(job.route.models.len());
     }
     let until = deadline(job.deadline);
     let run_attempts = run_attempts(node, &job, &service, &mut progress);
@@ -248,7 +248,7 @@
                 };
                 verdict::count_outcome(node, job, &pick, progress.model, ended);
                 if matches!(outcome, AttemptResult::Unknown) {
-                    node.suspects.borrow_mut().crashed(now(), job.digest);
+                    node.suspects.borrow_mut().record_crash(now(), job.digest);
                 }
                 progress.tried.push(pick.id.clone());
                 progress.sent += 1;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -122,8 +122,8 @@
 
 /// Returns the hash that identifies one start of a server; it is the same on all nodes.
 fn identity(entry: &ServerEntry) -> u64 {
-    let id = home::hash(entry.id.as_bytes());
-    entry
-        .started_ms
-        .map_or(id, |started_ms| home::mix(id ^ home::mix(started_ms)))
+    let id = affinity::hash(entry.id.as_bytes());
+    entry.started_ms.map_or(id, |started_ms| {
+        affinity::mix(id ^ affinity::mix(started_ms))
+    })
 }
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/share.rs
@@ -147,7 +147,7 @@
     for server in view.servers.values() {
         let listed = &server.entry;
         let servers = alike.entry((&listed.service, &listed.version)).or_default();
-        servers.insert(load::short(server.identity), &server.entry.id);
+        servers.insert(load::short_id(server.identity), &server.entry.id);
     }
     for ((service, version), names) in alike {
         let servers: Vec<u32> = names.keys().copied().collect();
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -52,10 +52,10 @@
             .dropped_answers
             .with_label_values(&[&*job.route.name])
             .inc();
-        let ended = Ended::Well(Pace {
+        let ended = Ended::Well(Timing {
             head_ms: response.head_ms,
             expected_ms: response.expected_head_ms,
-            event_ms: None,
+            event_interval_ms: None,
         });
         count_outcome(node, job, &response.pick, progress.model, ended);
         progress.fallback = Some(Fallback::new(response, rank, job));
@@ -112,10 +112,10 @@
     let ended = match &collected {
         Err(_) => Ended::Broken,
         Ok(_) if head.status.is_server_error() => Ended::Badly,
-        Ok(_) => Ended::Well(Pace {
+        Ok(_) => Ended::Well(Timing {
             head_ms: response.head_ms,
             expected_ms: response.expected_head_ms,
-            event_ms: None,
+            event_interval_ms: None,
         }),
     };
     count_outcome(node, job, &response.pick, progress.model, ended);
@@ -132,7 +132,7 @@
             if head.status.is_server_error() && progress.fallback.is_some() {
                 return Verdict::Refuse(Refusal::OutcomeUnknown);
             }
-            node.suspects.borrow_mut().ended_well(now(), job.digest);
+            node.suspects.borrow_mut().record_success(now(), job.digest);
             headers::strip_hop_by_hop(&mut head.headers);
             Verdict::Answer(Response::from_parts(
                 head,
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -96,7 +96,7 @@
         .memberships
         .get_mut(&server.identity)
     {
-        membership.turn.take(now, spacing_ms);
+        membership.turn.record_send(now, spacing_ms);
     }
     let service = &*server.entry.service;
     node.metrics
