--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,12 +1,12 @@
 //! Points in time.
 //!
-//! State stores deadlines ([`Instant`]); durations appear only in settings and
-//! on the way to computing a deadline.
+//! State stores deadlines as an [`Instant`]; durations appear only in settings and in computations
+//! of deadlines.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// Microseconds since an origin that the process chooses.
+/// A point in time, in microseconds since an origin that the process chooses.
 #[derive(
     Clone,
     Copy,
@@ -32,13 +32,13 @@
         Self(millis * 1000)
     }
 
-    /// Returns the time from `earlier` to `self`, or zero.
+    /// Returns the duration from `earlier` to `self`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the instant `millis` milliseconds earlier, or the origin.
+    /// Returns the instant `millis` milliseconds earlier, at least the origin.
     #[must_use]
     pub const fn minus_millis(self, millis: u64) -> Self {
         Self(self.0.saturating_sub(millis.saturating_mul(1000)))
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions of fescuerack, one module per duty.
+//! Decision logic of fescuerack, one module for each task.
 //!
-//! Nothing here performs I/O. Time, randomness and messages are passed in and
-//! effects are returned as values, so every decision can be driven by a test,
-//! a bench or a recorded trace. Each module holds its own state, messages and
-//! invariants; a broken invariant stops the process.
+//! Nothing in this crate performs I/O. Time, randomness and messages are passed in and effects are
+//! returned as values, so every decision can run in a test, a benchmark or the replay of a recorded
+//! trace. Each module defines its own state, messages and invariants; a violated invariant stops
+//! the process.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/core/src/session/mod.rs
+++ b/crates/core/src/session/mod.rs
@@ -1,21 +1,19 @@
-//! The version of a session.
+//! Choice of the version on which a session runs.
 //!
-//! The start is deterministic: a session's hash is compared with the share of
-//! the roll-out, so all instances agree with no message per request. A session
-//! that started before the share grew would be moved by the hash alone; it
-//! keeps its version by a token, which is handed to the caller with the answer
-//! and comes back with the session's next request ([`Pins`], signed by
-//! `wire::token`). Any instance honours it, also one that has just started
-//! while the store is down. A caller that hands no token back gets the hash:
-//! its session moves at most once in a roll-out.
+//! The starting version is deterministic: the hash of the session is compared with the share of the
+//! roll-out, so all instances agree without a message per request. By the hash alone, a session
+//! that started before the share grew would move to another version. It keeps its version by
+//! a token, which the caller receives with each answer and returns with the session's next request
+//! ([`Pins`], signed by `wire::token`). Every instance accepts the token, also one that has just
+//! started while the store is down. Without a token the hash decides, and the session moves at most
+//! once in a roll-out.
 //!
-//! Memories of the instances were tried in its place and measured: an instance
-//! that remembers and one that does not send a session to and fro, so that it
-//! changes more often than by the hash alone.
+//! State on the instances is no alternative to the token: an instance that has recorded the session
+//! and one that has not move it back and forth, so that it changes its version more often than by
+//! the hash alone.
 //!
-//! A closed version keeps its sessions. A withdrawn one (by operators, or
-//! halted by evidence) loses them: the session moves once, and the answer says
-//! so.
+//! A closed version keeps its sessions. A withdrawn version (by an operator, or halted by evidence)
+//! loses them: each session moves once, and the answer reports the move.
 
 mod pins;
 
@@ -28,8 +26,8 @@
 
 /// Returns the position of `session` in a roll-out of `model`, in `0.0..1.0`.
 ///
-/// The model's name is part of the hash, so that the same sessions are not
-/// the first to meet every new version of every model.
+/// The hash includes the model's name, so that the new versions of all models do not go to the same
+/// sessions first.
 #[must_use]
 pub fn position(model: &str, session: &[u8]) -> f64 {
     let mut hash = Sha256::new();
@@ -42,7 +40,7 @@
     f64::from(u32::from_be_bytes(first)) / (f64::from(u32::MAX) + 1.0)
 }
 
-/// Returns the version with which a session at `position` starts.
+/// Returns the version on which a session at `position` starts.
 #[must_use]
 pub fn starting_version(share: Share, position: f64) -> key::Version {
     match share.candidate {
@@ -51,14 +49,14 @@
     }
 }
 
-/// Which version a request of a session runs on, and why.
+/// Version on which a request of a session runs, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
     /// The session starts.
     Start(key::Version),
     /// The session keeps its version.
     Keep(key::Version),
-    /// The session's version is withdrawn: it moves to this one, once.
+    /// The session's version has been withdrawn, and the session moves to another one, once.
     Move {
         /// The withdrawn version.
         from: key::Version,
@@ -77,25 +75,29 @@
     }
 }
 
-/// Places a request of a session that ran on `pinned`, if it is known to have
-/// run; `fresh` chooses the version that a new session gets.
+/// Chooses the version for a request of a session that has run on `pinned`, if that is known.
+///
+/// `choose_new` chooses the version of a new session.
 ///
 /// # Errors
 ///
-/// Whatever `fresh` refuses with.
+/// Returns the error of `choose_new`.
 ///
 /// # Panics
 ///
-/// When a session would change its version though that is not withdrawn, or
-/// would run on one that is.
+/// Panics if a session would leave a version that is not withdrawn, or would run on a withdrawn
+/// one.
 pub fn place<E>(
     pinned: Option<key::Version>,
     is_withdrawn: impl Fn(key::Version) -> bool,
-    fresh: impl FnOnce() -> Result<key::Version, E>,
+    choose_new: impl FnOnce() -> Result<key::Version, E>,
 ) -> Result<Placement, E> {
     let place = match pinned {
-        None => Placement::Start(fresh()?),
-        Some(from) if is_withdrawn(from) => Placement::Move { from, to: fresh()? },
+        None => Placement::Start(choose_new()?),
+        Some(from) if is_withdrawn(from) => Placement::Move {
+            from,
+            to: choose_new()?,
+        },
         Some(version) => Placement::Keep(version),
     };
     assert!(
--- a/crates/core/src/session/pins.rs
+++ b/crates/core/src/session/pins.rs
@@ -1,26 +1,28 @@
-//! The versions of one session, by what it asked for.
+//! Versions that one session keeps.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The versions that a session keeps: one for each model or class of work
-/// that it named. Written `scope=version;scope=version`.
+/// Versions that a session keeps, by scope.
+///
+/// A scope is a model or class of work that the session has requested. The text form is
+/// `scope=version;scope=version`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pins {
     versions: BTreeMap<String, String>,
 }
 
 impl Pins {
-    /// Most scopes of one session; further ones are not pinned.
+    /// Maximum number of scopes of one session; further ones are not pinned.
     pub const MAX_SCOPES: usize = 8;
 
-    /// Returns no pins.
+    /// Creates an empty set of pins.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Reads pins; `None` when the text is malformed.
+    /// Parses the text form. Returns `None` if it is malformed.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut pins = Self::new();
@@ -31,17 +33,17 @@
         Some(pins)
     }
 
-    /// Returns the version of a scope.
+    /// Returns the pinned version of a scope.
     #[must_use]
     pub fn get(&self, scope: &str) -> Option<&str> {
         self.versions.get(scope).map(String::as_str)
     }
 
-    /// Pins a scope. Names that the text form cannot hold are left out.
+    /// Pins a scope to a version. Names that the text form cannot represent are ignored.
     pub fn set(&mut self, scope: &str, version: &str) {
-        let plain = |name: &str| !name.is_empty() && !name.contains(['=', ';']);
-        let room = self.versions.len() < Self::MAX_SCOPES || self.versions.contains_key(scope);
-        if plain(scope) && !version.is_empty() && !version.contains([';']) && room {
+        let is_plain = |name: &str| !name.is_empty() && !name.contains(['=', ';']);
+        let has_room = self.versions.len() < Self::MAX_SCOPES || self.versions.contains_key(scope);
+        if is_plain(scope) && !version.is_empty() && !version.contains([';']) && has_room {
             self.versions.insert(scope.to_owned(), version.to_owned());
         }
     }
--- a/crates/core/src/store/backoff.rs
+++ b/crates/core/src/store/backoff.rs
@@ -1,20 +1,19 @@
-//! Pauses between tries while the service is out.
+//! Exponential backoff with full jitter, for retries while the key-value service is unavailable.
 //!
-//! Pattern of load: an outage ends and every instance comes back at once.
-//! With a fixed pause all of them, and all their waiting requests, hit the
-//! service in step and push it over its rate again. The pause therefore grows
-//! to a bound and is drawn from its whole width ("full jitter"), so that the
-//! return spreads over the width of the last pause.
+//! At the end of an outage all instances return at the same time. With a fixed pause, all of them
+//! and all their waiting requests would call the service in step and exceed its rate again. The
+//! width of the pause therefore grows up to a bound, and each pause is drawn from the whole width,
+//! so that the calls spread over the width of the last pause.
 
 use crate::clock::Instant;
 
-/// First width of a pause.
-const FIRST_MS: u64 = 20;
-/// Largest width: an outage of any length is noticed to be over within this
-/// time, well under the 2 s in which a change is to be in force.
-const LARGEST_MS: u64 = 1_000;
+/// Width of the first pause, in milliseconds.
+const INITIAL_MS: u64 = 20;
+/// Maximum width, in milliseconds. The end of an outage of any length is detected within this time,
+/// well under the 2 s in which a change must be active.
+const MAX_MS: u64 = 1_000;
 
-/// Grows with every failure in a row.
+/// Backoff whose width doubles with every consecutive failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
     width_ms: u64,
@@ -22,28 +21,28 @@
 }
 
 impl Backoff {
-    /// Creates pauses whose jitter derives from `seed`.
+    /// Creates a backoff whose jitter derives from `seed`.
     #[must_use]
     pub const fn new(seed: u64) -> Self {
         Self {
-            width_ms: FIRST_MS,
+            width_ms: INITIAL_MS,
             state: seed,
         }
     }
 
-    /// Returns when to try again after a failure at `now`.
+    /// Returns when to retry after a failure at `now`.
     pub fn next(&mut self, now: Instant) -> Instant {
         let pause_ms = 1 + self.draw() % self.width_ms;
-        self.width_ms = (self.width_ms * 2).min(LARGEST_MS);
+        self.width_ms = (self.width_ms * 2).min(MAX_MS);
         now.plus_millis(pause_ms)
     }
 
-    /// Starts over after a success.
+    /// Resets the width after a success.
     pub fn reset(&mut self) {
-        self.width_ms = FIRST_MS;
+        self.width_ms = INITIAL_MS;
     }
 
-    /// One step of `SplitMix64`: enough for jitter, and it fits in a copy.
+    /// Performs one step of `SplitMix64`, which is sufficient for jitter and keeps the type `Copy`.
     fn draw(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.state;
--- a/crates/core/src/store/budget.rs
+++ b/crates/core/src/store/budget.rs
@@ -1,19 +1,17 @@
-//! Rate budget of one instance towards the key-value service.
+//! Rate limit of one instance for its calls of the key-value service.
 //!
-//! Pattern of load: the service takes several hundred writes and about 2,000
-//! reads a second from the whole fleet. Without a budget one busy instance
-//! starves the others of claims, and a return from an outage makes the service
-//! refuse everybody. Each instance takes an equal share of the fleet's rate by
-//! the number of live instances it knows; a wrong count costs a call, never a
-//! promise. A bucket lets a short burst through, since load between instances
-//! is uneven.
+//! The service accepts several hundred writes and about 2,000 reads a second from the whole fleet.
+//! Without a limit, the calls of one busy instance would leave the others no rate for claims, and
+//! at the end of an outage the service would refuse the calls of all instances. Each instance gets
+//! an equal share of the fleet's rate, by the number of live instances that it has discovered. A
+//! wrong number may cause a refused call, but breaks no guarantee. Token buckets permit short
+//! bursts, since the load of instances is uneven.
 
 use std::time::Duration;
 
 use crate::clock::Instant;
 
-/// What a call is for; each lane has tokens of its own, so that a busy ledger
-/// cannot starve claims.
+/// Class of a call. Each lane has its own tokens, so that a busy ledger cannot starve claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
     /// Reads, watches and leases.
@@ -36,9 +34,9 @@
 }
 
 impl Rate {
-    /// Most of what the brief names (several hundred writes and about 2,000
-    /// reads); the rest is left to operators' tools. The ledger gathers while
-    /// it waits and a claim does not, so claims get the larger part.
+    /// Rate of the fleet: most of what the service accepts (several hundred writes and about 2,000
+    /// reads a second); the rest is left to operators' tools. The ledger batches entries while it
+    /// waits and a claim does not, so claims get the larger part of the writes.
     pub const FLEET: Self = Self {
         reads: 1_800.0,
         writes: 250.0,
@@ -54,11 +52,11 @@
     }
 }
 
-/// Seconds of an instance's share that may be spent at once.
+/// Capacity of a bucket in seconds of the instance's share.
 const BURST_SECONDS: f64 = 1.0;
-/// Least size of a bucket: a claim with its record must never wait for half a
-/// token.
-const LEAST_BURST: f64 = 4.0;
+/// Minimum capacity of a bucket in tokens: a claim with its record must never wait for a fraction
+/// of a token.
+const MIN_BURST: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Bucket {
@@ -68,12 +66,12 @@
 
 impl Bucket {
     fn take(&mut self, now: Instant, rate: f64) -> Instant {
-        let burst = (rate * BURST_SECONDS).max(LEAST_BURST);
+        let burst = (rate * BURST_SECONDS).max(MIN_BURST);
         let elapsed = now.since(self.at).as_secs_f64();
         self.tokens = (self.tokens + elapsed * rate).min(burst);
         self.at = self.at.max(now);
-        // A token may be owed: callers are then let through one after the
-        // other, in the order in which they asked.
+        // The number of tokens may become negative: callers then proceed one after the other, in
+        // the order of their calls.
         self.tokens -= 1.0;
         if self.tokens >= 0.0 {
             return now;
@@ -97,7 +95,7 @@
     #[must_use]
     pub fn new(fleet: Rate, nodes: u32, now: Instant) -> Self {
         let full = Bucket {
-            tokens: LEAST_BURST,
+            tokens: MIN_BURST,
             at: now,
         };
         Self {
@@ -109,18 +107,18 @@
         }
     }
 
-    /// Takes over a new count of live instances.
+    /// Sets the number of live instances.
     pub fn set_node_count(&mut self, nodes: u32) {
         self.nodes = f64::from(nodes.max(1));
     }
 
-    /// Takes a token and returns when the call may be made.
+    /// Takes a token and returns the time at which the call may be made.
     pub fn take(&mut self, now: Instant, lane: Lane) -> Instant {
         let rate = self.fleet.of(lane) / self.nodes;
         self.bucket(lane).take(now, rate)
     }
 
-    /// Returns a token that was not used.
+    /// Puts back a token that was not used.
     pub fn give_back(&mut self, lane: Lane) {
         self.bucket(lane).tokens += 1.0;
     }
--- a/crates/core/src/store/mod.rs
+++ b/crates/core/src/store/mod.rs
@@ -1,13 +1,12 @@
-//! Protocols over the platform's key-value service, without its network.
+//! Protocols over the platform's key-value service, without network I/O.
 //!
-//! A protocol is a [`Machine`]: it names the next call, is told what came of
-//! it and ends with an output. One driver in the process makes the calls; a
-//! randomised run makes them against a store with faults, in any order and
-//! with kills between any two of them.
+//! A protocol is a state machine ([`Machine`]): it returns the next call, receives the reply and
+//! ends with an output. In the process, one driver makes the calls. Randomised tests make them
+//! against a store with faults, in any order and with crashes between any two calls.
 //!
-//! The failure that every protocol answers: a write takes effect and its
-//! answer is lost. [`Reply::Lost`] therefore never means "failed". Whoever
-//! gets it reads back, and recognises its own value by a nonce.
+//! Every protocol must handle a write that takes effect although its answer is lost.
+//! [`Reply::Lost`] therefore never means "failed": the protocol reads the value back and recognises
+//! its own write by a nonce.
 
 mod backoff;
 mod budget;
@@ -19,18 +18,19 @@
 
 use crate::clock::Instant;
 
-/// Largest value that the service holds, in bytes.
+/// Maximum size of a value in the service, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// A version that no value ever has. A swap that expects it cannot take
-/// effect, and its conflict names the version that stands: a read that is
-/// surely not old, at the price of a write.
+/// A version that no value ever has.
+///
+/// A swap that expects it cannot take effect, and its conflict returns the current version: a read
+/// that is never stale, at the cost of a write.
 pub const NO_VERSION: u64 = u64::MAX;
 
 /// A value with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// Version, to be named in the next swap.
+    /// Version, to be expected by the next swap.
     pub version: u64,
     /// Content.
     pub bytes: Bytes,
@@ -39,12 +39,12 @@
 /// A call of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Reads a value; the answer may be old.
+    /// Reads a value; the answer may be stale.
     Get {
         /// Key.
         key: String,
     },
-    /// Writes a value if the version that stands is the expected one.
+    /// Writes a value if its current version is the expected one (compare-and-swap).
     Swap {
         /// Key.
         key: String,
@@ -52,45 +52,45 @@
         expected: u64,
         /// New content.
         value: Bytes,
-        /// Lease with which the key vanishes.
+        /// Lease with which the key expires.
         lease: Option<u64>,
     },
 }
 
-/// What came of a call.
+/// Result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The value that was read, perhaps an old one.
+    /// The value that was read, which may be stale.
     Value(Option<Value>),
     /// The value was written and has this version.
     Swapped(u64),
-    /// Nothing was written: this version stands.
+    /// Nothing was written: this is the current version.
     Conflict(u64),
-    /// Surely without effect: not sent, or refused for now.
+    /// The call has no effect: it was not sent, or the service refused it for now.
     Refused,
-    /// No answer: the call may have taken effect, or may yet.
+    /// No answer: the call may have taken effect, or may still take effect.
     Lost,
 }
 
-/// What a machine does next.
+/// Next step of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<T> {
-    /// Makes a call; its reply is due in [`Machine::take`].
+    /// Make a call and pass its reply to [`Machine::take`].
     Call(Call),
-    /// Waits until this time.
+    /// Wait until this time.
     Wait(Instant),
-    /// Ends.
+    /// The protocol has ended with this output.
     Done(T),
 }
 
-/// A protocol over the service.
+/// A protocol over the service, as a state machine.
 pub trait Machine {
-    /// What the protocol ends with.
+    /// Output of the protocol.
     type Output;
 
-    /// Says what to do next.
+    /// Returns the next step.
     fn step(&mut self, now: Instant) -> Step<Self::Output>;
 
-    /// Takes the reply to the call that was named last.
+    /// Processes the reply to the call that [`Machine::step`] returned last.
     fn take(&mut self, now: Instant, reply: Reply);
 }
--- a/crates/core/tests/all/main.rs
+++ b/crates/core/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the core's slices, without a network.
+//! Tests of the modules of the core, without a network.
 
 mod admission;
 mod attempt;
