--- a/crates/core/src/routed/crash.rs
+++ b/crates/core/src/routed/crash.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::Instant;
 
-/// Crashes from which a request is refused.
+/// Number of crashes from which a request is refused.
 pub const CRASH_LIMIT: u32 = 3;
 /// Milliseconds for which a crash or a success is remembered.
 pub const MEMORY_MS: u64 = 60_000;
--- a/crates/core/src/routed/escalation.rs
+++ b/crates/core/src/routed/escalation.rs
@@ -40,8 +40,8 @@
     if model >= largest {
         return None;
     }
-    let threshold = f64::from(CONFIDENCE_THRESHOLD) * threshold_share(pressure);
-    let is_too_low = f64::from(confidence?) < threshold;
+    let is_too_low =
+        f64::from(confidence?) < f64::from(CONFIDENCE_THRESHOLD) * threshold_share(pressure);
     is_too_low.then_some(largest)
 }
 
--- a/crates/core/src/routed/load.rs
+++ b/crates/core/src/routed/load.rs
@@ -95,7 +95,7 @@
     match (hub, top.map(|top| top.name)) {
         (Some(hub), _) if hub != local => Duty::Member(hub),
         (Some(_), Some(top)) if top != local => Duty::Hub(top),
-        // A node that is not yet in its local list of nodes reports to nobody.
+        // A node that is not yet in its own list of nodes reports to nobody.
         _ => Duty::Top,
     }
 }
--- a/crates/core/src/routed/outlier.rs
+++ b/crates/core/src/routed/outlier.rs
@@ -172,8 +172,10 @@
     }
 
     fn eject(&mut self, now: Instant, server: u32) {
-        let previous = self.ejections.get(&server);
-        let previous_ms = previous.map_or(0, |ejection| ejection.duration_ms);
+        let previous_ms = self
+            .ejections
+            .get(&server)
+            .map_or(0, |ejection| ejection.duration_ms);
         let duration_ms = (previous_ms * 2).clamp(BASE_EJECTION_MS, MAX_EJECTION_MS);
         let until = now.plus_millis(duration_ms);
         self.ejections
--- a/crates/core/src/routed/watcher.rs
+++ b/crates/core/src/routed/watcher.rs
@@ -19,7 +19,7 @@
 
 /// Number of nodes up to which every node of an availability zone watches the store itself.
 pub const MAX_DIRECT_NODES: usize = 4;
-/// Number of watchers of a region, and of hubs of a zone: the second covers the loss of the highest_ranked.
+/// Number of watchers of a region, and of hubs of a zone: the second covers the loss of the first.
 pub const WATCHER_COUNT: usize = 2;
 /// Milliseconds that a watcher's call waits at the store.
 pub const STORE_WAIT_MS: u64 = 400;
@@ -33,7 +33,7 @@
 pub const PEER_WAIT_MS: u64 = 400;
 /// Maximum age in milliseconds of the store's last answer at which a watcher or hub counts as
 /// fresh: the watcher's call, the hub's poll, and 0.4 s for a slow store. Including the wait of its
-/// local poll, a node detects within 1.7 s that it must poll elsewhere.
+/// own poll, a node detects within 1.7 s that it must poll elsewhere.
 pub const MAX_AGE_MS: u64 = 1_200;
 
 /// How a node receives changes.
--- a/crates/core/tests/all/routed/canary.rs
+++ b/crates/core/tests/all/routed/canary.rs
@@ -143,7 +143,7 @@
 }
 
 /// Guards against completing a version that fails only on busy servers: each canary server must be
-/// at min_factor as busy as after the roll-out.
+/// at least as busy as after the roll-out.
 #[test]
 fn server_count_canary_servers_are_as_busy_as_after_the_rollout() {
     let canary = canary();
--- a/crates/core/tests/all/routed/health.rs
+++ b/crates/core/tests/all/routed/health.rs
@@ -37,7 +37,7 @@
     assert!(ejection_share(0.14) < 0.01, "{}", ejection_share(0.14));
 }
 
-/// Each attempt on an unreachable server costs a time-ejections, so one failure ejects it, and each
+/// Each attempt on an unreachable server costs a time-out, so one failure ejects it, and each
 /// further failure ejects it for longer.
 #[test]
 fn observe_unreachable_server_is_ejected_for_longer_each_time() {
