--- a/crates/core/src/cascade/choose/explore.rs
+++ b/crates/core/src/cascade/choose/explore.rs
@@ -53,8 +53,8 @@
     /// share of requests.
     ///
     /// The answer is rated before it is returned. This detects a version that has become better
-    /// than its estimate. The candidate of a roll-out is never explored, since its unrated answers
-    /// count towards the exposure budget.
+    /// than its estimate. The candidate of a roll-out is never explored, since its answers count
+    /// towards the exposure budget.
     pub(super) fn explore(
         &self,
         class: &Class,
--- a/crates/core/src/cascade/estimate.rs
+++ b/crates/core/src/cascade/estimate.rs
@@ -49,8 +49,7 @@
             estimate.weights[bin] = weight * density(bin) / total;
             estimate.sums[bin] = estimate.weights[bin] * middle(bin);
         }
-        // The prior is truncated to 0 to 1, which moves its mean away from `quality`: shifts it
-        // back.
+        // The prior is truncated at 1, which would leave its mean below `quality`: shifts it back.
         let shift = quality - estimate.mean();
         for bin in 0..BINS {
             estimate.sums[bin] += shift * estimate.weights[bin];
--- a/crates/core/src/cascade/learner.rs
+++ b/crates/core/src/cascade/learner.rs
@@ -52,6 +52,7 @@
 struct MovingAverage {
     mean: f64,
     deviation: f64,
+    #[serde(rename = "seen")]
     has_samples: bool,
 }
 
--- a/crates/core/src/cascade/token_bucket.rs
+++ b/crates/core/src/cascade/token_bucket.rs
@@ -1,9 +1,9 @@
 //! Token bucket that limits the calls of an instance to the rating service, by priority.
 //!
 //! The service is rate-limited and shared by all instances. When it cannot rate everything, a
-//! rating that a caller waits for has priority, then the candidate of a roll-out, whose unrated
-//! answers count towards the exposure budget, then samples of other traffic. All purposes take from
-//! the same bucket; a purpose of lower priority must leave a reserve for those above it.
+//! rating that a caller waits for has priority, then the candidate of a roll-out, whose answers
+//! count towards the exposure budget, then samples of other traffic. All purposes draw from the
+//! same bucket; a purpose of lower priority must leave a reserve for those above it.
 
 use crate::clock::Instant;
 
--- a/crates/core/src/rollout/digest.rs
+++ b/crates/core/src/rollout/digest.rs
@@ -19,12 +19,13 @@
 
 /// A digest that one instance sends to a peer.
 ///
-/// Peers forward the reports that they receive, so that the counters behind a halt reach every
-/// instance in a few rounds even if two instances cannot reach each other or the store is down.
+/// Peers forward the reports that they receive, so that a halt and the counters behind it reach
+/// every instance in a few rounds even if two instances cannot reach each other or the store is
+/// down.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Whether the sender knows the records, from the store or from peers.
+    /// Whether the sender has received the records from the store or from peers.
     pub informed: bool,
     /// Counters of the sender and some that it received from others.
     pub reports: Vec<Report>,
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -20,7 +20,7 @@
 //! answers. After that, new sessions start on the current version until ratings arrive again.
 //!
 //! Without this, a version that degrades at night serves bad answers until somebody intervenes in
-//! the morning; stages that advance on a timer would even increase its share meanwhile.
+//! the morning; stages that advance on a timer, whatever the answers, make this certain.
 
 mod canary;
 pub mod counters;
--- a/crates/core/src/rollout/registry/mod.rs
+++ b/crates/core/src/rollout/registry/mod.rs
@@ -21,7 +21,7 @@
 /// Time without a rating on any instance after which the candidate gets no new session, once this
 /// instance has passed its part of the exposure budget unrated.
 const RATING_STARVATION_MS: u64 = 30_000;
-/// Number of backend servers above which expired entries of the last failures are evicted.
+/// Number of backend servers with a recorded failure at which expired entries are evicted.
 const MAX_FAILED_SERVERS: usize = 4096;
 
 /// An event that an instance observes about an answer.
@@ -85,7 +85,7 @@
 pub struct Registry {
     /// Incarnation of this instance.
     source: String,
-    /// Whether the records are known, from the store or from a peer.
+    /// Whether the records have been received from the store or from a peer.
     informed: bool,
     records: BTreeMap<String, Record>,
     /// Records as the store holds them.
@@ -122,7 +122,7 @@
         self.instances = instances;
     }
 
-    /// Returns whether the records are known, from the store or from a peer.
+    /// Returns whether the records have been received from the store or from a peer.
     #[must_use]
     pub fn is_informed(&self) -> bool {
         self.informed
@@ -135,8 +135,8 @@
 
     /// Returns the version split of new sessions; `None` when the model has no roll-out.
     ///
-    /// The candidate's share is 0 while no record is known, after the candidate has been withdrawn,
-    /// and while too many of its answers are unrated.
+    /// The candidate's share is 0 until the records have been received, after the candidate has been
+    /// withdrawn, and while too many of its answers are unrated.
     #[must_use]
     pub fn share(&self, now: Instant, model: key::Model) -> Option<Share> {
         let entry = self.entries.get(model)?;
