--- a/crates/core/benches/versions/sessions.rs
+++ b/crates/core/benches/versions/sessions.rs
@@ -138,7 +138,7 @@
                         run.fleet.restart(now, index);
                         run.memories[index] = Memory::default();
                         let other = (index + 1) % INSTANCES;
-                        run.fleet.tell(now, other, index);
+                        run.fleet.send(now, other, index);
                     }
                     if means == Means::Peers && count % GOSSIP == 0 {
                         run.gossip();
--- a/crates/core/src/admission/fifo.rs
+++ b/crates/core/src/admission/fifo.rs
@@ -30,7 +30,7 @@
 pub struct Queue {
     places: usize,
     running: usize,
-    queue_length: usize,
+    max_waiting: usize,
     waiting: VecDeque<Waiter>,
     next_ticket: u64,
 }
@@ -45,7 +45,7 @@
         Self {
             places,
             running: 0,
-            queue_length: places * 4,
+            max_waiting: places * 4,
             waiting: VecDeque::new(),
             next_ticket: 0,
         }
@@ -57,7 +57,7 @@
             self.running += 1;
             return Verdict::Run;
         }
-        if self.waiting.len() >= self.queue_length || deadline <= now {
+        if self.waiting.len() >= self.max_waiting || deadline <= now {
             return Verdict::Refuse(now.plus_millis(Self::RETRY_AFTER_MS));
         }
         let ticket = Ticket(self.next_ticket);
--- a/crates/core/src/admission/rate.rs
+++ b/crates/core/src/admission/rate.rs
@@ -1,17 +1,16 @@
 //! Rate limits of organisations that hold across all instances.
 //!
-//! An organisation may send, for example, 100 requests per second, through whichever instances
-//! the load balancer picks. Asking another process per request would add a message before every
-//! answer. A fixed part of `1/n` per instance would refuse requests at one instance while others
-//! have room.
+//! An organisation may send, for example, 100 requests per second, through whichever instances the
+//! load balancer picks. Asking another process per request would add a message before every answer.
+//! A fixed part of `1/n` per instance would refuse requests at one instance while others have room.
 //!
 //! Each instance owns a share of each limit and spends it from a local token bucket. Shares start
 //! at `1/n`. An instance that needs less returns all but a floor. An instance that needs more may
-//! take a part of what is unowned according to its peers' digests: the unowned share divided by
-//! the number of instances that need more.
+//! take a part of what is unowned according to its peers' digests: the unowned share divided by the
+//! number of instances that need more.
 //!
-//! **By how much the limit can be exceeded.** If the digests are no older than the time between
-//! two raises ([`REBALANCE_INTERVAL_MS`]), every raise is visible before the next one and the shares
+//! **By how much the limit can be exceeded.** If the digests are no older than the time between two
+//! raises ([`REBALANCE_INTERVAL_MS`]), every raise is visible before the next one and the shares
 //! sum to at most 1. The exception is that more instances begin to need more at one moment than
 //! were known to: then each raise hands out at most the unowned share per instance that was not
 //! known. Each instance that sees a sum above 1 scales its local share down at once, so an excess
--- a/crates/core/src/attempt/budget.rs
+++ b/crates/core/src/attempt/budget.rs
@@ -19,8 +19,8 @@
     /// Maximum number of further attempts that accumulate. They cover the few failures at times of
     /// low traffic, when the share of the traffic does not amount to one attempt.
     pub max_saved: f64,
-    /// Share of failed attempts from which a pool counts as failing. Below a half, another server is
-    /// still likely to answer.
+    /// Share of failed attempts from which a pool counts as failing. Below a half, another server
+    /// is still likely to answer.
     pub failing_share: f64,
 }
 
--- a/crates/core/src/attempt/hedge.rs
+++ b/crates/core/src/attempt/hedge.rs
@@ -5,8 +5,8 @@
 //! few attempts per hundred.
 //!
 //! A hedge is useful only while there is free capacity: when requests wait for a place, it takes
-//! one from another request. Only idempotent requests are hedged, at most once each, and every hedge
-//! is taken from the retry budget.
+//! one from another request. Only idempotent requests are hedged, at most once each, and every
+//! hedge is taken from the retry budget.
 //!
 //! Hedges are off unless the configuration sets `attempt.hedge-ms`: with one server that is ten
 //! times slower, server selection alone keeps the p99 time to first token at that of a healthy pool
@@ -16,8 +16,8 @@
 
 use crate::num::{Mean, seconds};
 
-/// Number of mean absolute deviations above the mean from which a first token is late; four are about
-/// three standard deviations.
+/// Number of mean absolute deviations above the mean from which a first token is late; four are
+/// about three standard deviations.
 const LATE_DEVIATIONS: f64 = 4.0;
 /// Minimum number of samples before a first token can be judged late.
 const MIN_SAMPLES: u32 = 20;
--- a/crates/core/src/attempt/mod.rs
+++ b/crates/core/src/attempt/mod.rs
@@ -1,16 +1,16 @@
 //! Attempts of a request at backend servers, and when another attempt may follow.
 //!
 //! When a pool fails or slows down, every waiting request is sent again. Three attempts per request
-//! triple the load on a pool that already fails, and keep it failing after the cause is gone. So each
-//! further attempt is taken from the retry budget of its pool ([`budget`]), none is made while the
-//! counts of this instance and its peers show the pool as failing ([`pools`]), and the deadline of
-//! the request bounds all attempts and is never extended.
+//! triple the load on a pool that already fails, and keep it failing after the cause is gone. So
+//! each further attempt is taken from the retry budget of its pool ([`budget`]), none is made while
+//! the counts of this instance and its peers show the pool as failing ([`pools`]), and the deadline
+//! of the request bounds all attempts and is never extended.
 //!
-//! Retries are made only here: the HTTP clients do not retry and instances do not forward requests to
-//! each other, so attempts do not multiply between layers.
+//! Retries are made only here: the HTTP clients do not retry and instances do not forward requests
+//! to each other, so attempts do not multiply between layers.
 //!
-//! A request that is not idempotent gets a further attempt only while it has certainly not run, and is
-//! never hedged ([`hedge`]). [`Attempts::start`] panics rather than run it twice.
+//! A request that is not idempotent gets a further attempt only while it has certainly not run, and
+//! is never hedged ([`hedge`]). [`Attempts::start`] panics rather than run it twice.
 
 pub mod budget;
 pub mod hedge;
@@ -64,7 +64,7 @@
 pub struct Attempts {
     idempotent: bool,
     deadline: Instant,
-    max_attempts: u32,
+    max: u32,
     made: u32,
     may_have_run: bool,
     tried: BTreeSet<key::Server>,
@@ -77,7 +77,7 @@
         Self {
             idempotent,
             deadline,
-            max_attempts,
+            max: max_attempts,
             made: 0,
             may_have_run: false,
             tried: BTreeSet::new(),
@@ -107,7 +107,7 @@
             return Next::Stop(Outcome::Done);
         }
         let repeatable = self.idempotent || !self.may_have_run;
-        if repeatable && !relayed && self.made < self.max_attempts && now < self.deadline {
+        if repeatable && !relayed && self.made < self.max && now < self.deadline {
             return Next::Retry;
         }
         Next::Stop(self.outcome())
@@ -118,9 +118,9 @@
     /// Maximum backoff before any attempt, in milliseconds.
     const BACKOFF_MAX_MS: u64 = 500;
 
-    /// Returns how long to wait before the next attempt: exponential backoff with full jitter, never
-    /// beyond the deadline. The jitter spreads the retries of requests that a failing server dropped
-    /// at the same time.
+    /// Returns how long to wait before the next attempt: exponential backoff with full jitter,
+    /// never beyond the deadline. The jitter spreads the retries of requests that a failing server
+    /// dropped at the same time.
     #[must_use]
     pub fn backoff<R: Rng>(&self, now: Instant, rng: &mut R) -> Duration {
         let doublings = self.made.saturating_sub(1).min(8);
--- a/crates/core/src/attempt/pools.rs
+++ b/crates/core/src/attempt/pools.rs
@@ -1,10 +1,10 @@
 //! Detection of failing pools from the attempts of this instance and its peers.
 //!
-//! An instance that sends 15 requests per second detects a failing pool late: it needs some failures
-//! first, each of which it may retry. Its peers have each seen as many. So the instances exchange
-//! their recent counts of successful and failed attempts, which together stop retries everywhere
-//! within about a second. The counts decay, halving every [`HALF_LIFE_S`] seconds, so a pool that has
-//! recovered gets its retries back without an explicit message.
+//! An instance that sends 15 requests per second detects a failing pool late: it needs some
+//! failures first, each of which it may retry. Its peers have each seen as many. So the instances
+//! exchange their recent counts of successful and failed attempts, which together stop retries
+//! everywhere within about a second. The counts decay, halving every [`HALF_LIFE_S`] seconds, so a
+//! pool that has recovered gets its retries back without an explicit message.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
 pub const HALF_LIFE_S: f64 = 5.0;
 /// Minimum number of recent attempts before a pool counts as failing.
 const MIN_ATTEMPTS: f64 = 10.0;
-/// Further attempts in the budget that hedges leave to retries: a hedge saves time, but a retry saves an
-/// answer.
+/// Further attempts in the budget that hedges leave to retries: a hedge saves time, but a retry
+/// saves an answer.
 const RETRY_RESERVE: f64 = 5.0;
 /// Maximum number of pools in a digest.
 const MAX_DIGEST_POOLS: usize = 64;
@@ -119,19 +119,20 @@
         }
     }
 
-    /// Takes a retry from the budget of a pool; returns `false` if the pool fails or the budget is used
-    /// up.
+    /// Takes a retry from the budget of a pool; returns `false` if the pool fails or the budget is
+    /// used up.
     pub fn try_take_retry(&mut self, now: Instant, fleet: key::Fleet) -> bool {
         !self.is_failing(now, fleet) && self.pool_mut(now, fleet).budget.withdraw(0.0)
     }
 
-    /// Takes a hedge from the budget of a pool; returns `false` if the pool fails or the budget has no
-    /// more than its reserve for retries.
+    /// Takes a hedge from the budget of a pool; returns `false` if the pool fails or the budget has
+    /// no more than its reserve for retries.
     pub fn try_take_hedge(&mut self, now: Instant, fleet: key::Fleet) -> bool {
         !self.is_failing(now, fleet) && self.pool_mut(now, fleet).budget.withdraw(RETRY_RESERVE)
     }
 
-    /// Returns whether a pool fails, according to the recent attempts of this instance and its peers.
+    /// Returns whether a pool fails, according to the recent attempts of this instance and its
+    /// peers.
     #[must_use]
     pub fn is_failing(&self, now: Instant, fleet: key::Fleet) -> bool {
         let local = self.local.get(fleet);
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Merges a digest from a peer. A digest that is not newer than the last one is ignored. After a
-    /// restart the peer's clock starts again; a digest that is older by more than
+    /// Merges a digest from a peer. A digest that is not newer than the last one is ignored. After
+    /// a restart the peer's clock starts again; a digest that is older by more than
     /// [`Self::PEER_EXPIRY_MS`] therefore counts as newer.
     pub fn merge(&mut self, names: &Names, now: Instant, from: &str, digest: &Digest) {
         if let Some(known) = self.peers.get(from) {
--- a/crates/core/src/poison/mod.rs
+++ b/crates/core/src/poison/mod.rs
@@ -1,27 +1,26 @@
-//! Requests that crash the backend servers that run them.
+//! Poison requests: requests that crash the backend servers that run them.
 //!
-//! The pattern: one request kills its server, is retried on the next, kills
-//! that too, and its caller sends it again under a new identifier through
-//! another instance. Three retries and a caller's patience empty a fleet.
+//! Without protection, one request crashes its server, is retried on the next one, crashes that
+//! too, and its caller sends it again under a new identifier through another instance. Three
+//! retries and a caller that keeps sending are enough to bring down a whole fleet.
 //!
-//! A request is known by its [`Fingerprint`], a digest of organisation and
-//! body, whatever its identifier. When its server crashes under it, every
-//! request that ran there is suspected, since nobody can tell yet which one
-//! did it. Each gets one more run, on a server where no other suspect runs:
+//! A request is identified by its [`Fingerprint`], a digest of organisation and body, regardless of
+//! its request identifier. When a server crashes, every request that ran there is suspected, since
+//! it is not yet known which one caused the crash. Each suspect may run once more, on a server
+//! where no other suspect runs:
 //!
-//! - an innocent neighbour survives it and is cleared;
-//! - the guilty one kills a second server and is refused from then on.
+//! - a harmless request completes and is cleared;
+//! - the poison request crashes a second server and is refused from then on.
 //!
-//! So the second run is what tells them apart, and keeping suspects away from
-//! each other is why an innocent one is not condemned with a guilty one twice.
+//! So the second run distinguishes them. Suspects never share a server, so that a harmless request
+//! is not suspected a second time because of the poison request.
 //!
-//! The second run is for the instance that saw the crash; all others refuse
-//! the request until they hear that it survived. It needs a permit besides, a
-//! swap of the fingerprint's [`Record`] in the store, so that two instances
-//! that both saw a crash cannot each run it again; with the store out the
-//! permit is taken for granted. Suspicions are pushed to peers at once and repeated
-//! in digests; until they arrive, another instance may still run a copy that
-//! was sent at the same time.
+//! Only the instance that saw the crash may make the second run; all others refuse the request
+//! until they learn that it has completed. The second run also needs a permit, a compare-and-swap
+//! of the fingerprint's [`Record`] in the store, so that two instances that both saw a crash cannot
+//! each run the request again. While the store is unavailable, the permit counts as granted.
+//! Suspicions are pushed to peers at once and repeated in digests. Until they arrive, another
+//! instance may still run a copy that was sent at the same time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,20 +30,20 @@
 
 use crate::clock::Instant;
 
-/// Servers that a fingerprint may cost, fleet-wide.
+/// Number of crashed servers, over all instances, from which a fingerprint is refused.
 pub const MAX_CRASHED_SERVERS: usize = 2;
-/// Milliseconds for which a suspicion is remembered.
+/// Milliseconds for which a suspicion is kept.
 pub const RETENTION_MS: u64 = 86_400_000;
-/// Milliseconds for which a single crash keeps a request from running where
-/// the crash was not seen; an instance that was to try it again may be gone.
+/// Milliseconds for which instances that did not see a single crash refuse the request. The time is
+/// limited because the instance that may run it again may be gone.
 pub const REMOTE_REFUSAL_MS: u64 = 3_600_000;
-/// Milliseconds that the second run of a suspect may take: it has surely ended
+/// Maximum duration of the second run of a suspect, in milliseconds: the run has certainly ended
 /// when another instance may run the request again.
 pub const MAX_RERUN_MS: u64 = REMOTE_REFUSAL_MS / 2;
-/// Suspicions that one instance remembers.
-const MOST: usize = 4096;
-/// Suspicions that are told to a peer at a time.
-const TOLD: usize = 8;
+/// Maximum number of suspicions that one instance keeps.
+const MAX_SUSPICIONS: usize = 4096;
+/// Maximum number of suspicions in a digest.
+const MAX_DIGEST_REPORTS: usize = 8;
 
 /// Prefix of the keys in the store.
 pub const PREFIX: &str = "poison/";
@@ -66,31 +65,31 @@
         Self(u64::from_be_bytes(first))
     }
 
-    /// Returns its key in the store.
+    /// Returns the key of the fingerprint in the store.
     #[must_use]
     pub fn key(self) -> String {
         format!("{PREFIX}{:016x}", self.0)
     }
 }
 
-/// What the store holds of a fingerprint.
+/// The record of a fingerprint in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Record {
-    /// Servers that crashed under it.
+    /// Servers that crashed while they ran the request.
     pub lost: BTreeSet<String>,
-    /// Whether the second run has been given out.
+    /// Holder of the permit for the second run, if it has been granted.
     pub permit: Option<String>,
 }
 
 impl Record {
-    /// Takes the permit of the second run for `holder`, who keeps it if that run
-    /// ended without a crash; `None` when the fingerprint may not run.
+    /// Grants the permit for the second run to `holder`, which keeps it if the run ends without a
+    /// crash. Returns `None` if the fingerprint may not run.
     #[must_use]
     pub fn take_permit(mut self, holder: &str, lost: &BTreeSet<String>) -> Option<Self> {
         self.lost.extend(lost.iter().cloned());
-        let other = self.permit.as_ref().is_some_and(|known| known != holder);
-        if self.lost.len() >= MAX_CRASHED_SERVERS || other {
+        let held_by_other = self.permit.as_ref().is_some_and(|known| known != holder);
+        if self.lost.len() >= MAX_CRASHED_SERVERS || held_by_other {
             return None;
         }
         self.permit = Some(holder.to_owned());
@@ -98,34 +97,34 @@
     }
 }
 
-/// One suspicion as peers are told of it.
+/// A suspicion as sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Whom it concerns.
+    /// Fingerprint of the suspect.
     pub fingerprint: Fingerprint,
-    /// Servers that crashed under it.
+    /// Servers that crashed while they ran the request.
     pub lost: BTreeSet<String>,
-    /// Whether it has ended well after a crash.
+    /// Whether the request has completed without a crash since.
     pub survived: bool,
 }
 
-/// What one instance tells a peer of suspicions.
+/// The message to peers: suspicions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Suspicions, the latest first.
+    /// Suspicions, those with the most crashed servers first, then the latest first.
     pub reports: Vec<Report>,
 }
 
-/// What a request may do.
+/// Decision about running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Run.
+    /// The request may run.
     Run,
-    /// Run once more, with the permit from the store: the crash was seen here.
-    /// While the store is out this instance holds the permit.
+    /// The request may run once more, with the permit from the store, because this instance saw the
+    /// crash. While the store is unavailable, the permit counts as granted.
     Permit,
-    /// Not run.
+    /// The request is refused.
     Refuse,
 }
 
@@ -133,12 +132,14 @@
 struct Suspicion {
     lost: BTreeSet<String>,
     survived: bool,
-    own: bool,
-    doubt_until: Instant,
+    #[serde(rename = "own")]
+    seen_locally: bool,
+    #[serde(rename = "doubt_until")]
+    refused_remotely_until: Instant,
     until: Instant,
 }
 
-/// The suspicions that an instance knows.
+/// The suspicions at one instance.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Suspects {
     known: BTreeMap<Fingerprint, Suspicion>,
@@ -147,23 +148,26 @@
 }
 
 impl Suspects {
-    /// Returns no suspicions.
+    /// Creates an empty set of suspicions.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Says what a request may do.
+    /// Decides whether a request may run.
     #[must_use]
     pub fn verdict(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         match self.known.get(&fingerprint) {
             Some(known) if now >= known.until => Verdict::Run,
             Some(known) if known.lost.len() >= MAX_CRASHED_SERVERS => Verdict::Refuse,
-            // The permit is for one run at a time.
+            // The permit covers one run at a time.
             Some(_) if self.running.contains_key(&fingerprint) => Verdict::Refuse,
-            Some(known) if known.survived || now >= known.doubt_until => Verdict::Run,
-            // Not so late that it could still run when others may.
-            Some(known) if known.own && now.plus_millis(MAX_RERUN_MS) <= known.doubt_until => {
+            Some(known) if known.survived || now >= known.refused_remotely_until => Verdict::Run,
+            // Not so late that the run could overlap with a run at another instance.
+            Some(known)
+                if known.seen_locally
+                    && now.plus_millis(MAX_RERUN_MS) <= known.refused_remotely_until =>
+            {
                 Verdict::Permit
             }
             Some(_) => Verdict::Refuse,
@@ -171,14 +175,14 @@
         }
     }
 
-    /// Returns the servers on which suspects run: another suspect avoids them.
+    /// Returns the servers on which suspects run; other suspects must avoid them.
     #[must_use]
     pub fn occupied(&self) -> BTreeSet<key::Server> {
         self.running.values().copied().collect()
     }
 
-    /// Notes that a request is about to run on `server`; `false` when it may
-    /// not, since word of another crash has come meanwhile.
+    /// Records that a request is about to run on `server`. Returns `false` if it may not run,
+    /// because another crash was reported in the meantime.
     #[must_use]
     pub fn start(&mut self, now: Instant, fingerprint: Fingerprint, server: key::Server) -> bool {
         let verdict = self.verdict(now, fingerprint);
@@ -188,20 +192,19 @@
         verdict != Verdict::Refuse
     }
 
-    /// Notes that `server` crashed under a request.
+    /// Records that `server` crashed while it ran a request.
     pub fn record_crash(&mut self, now: Instant, fingerprint: Fingerprint, server: &str) {
         self.running.remove(&fingerprint);
         let lost = BTreeSet::from([server.to_owned()]);
         self.suspect(now, fingerprint, &lost, false, true);
     }
 
-    /// Notes that a request no longer runs, and nothing else of it.
+    /// Records that a request no longer runs, without any outcome.
     pub fn release(&mut self, fingerprint: Fingerprint) {
         self.running.remove(&fingerprint);
     }
 
-    /// Notes that a request ended without a crash; returns whether it was
-    /// suspected.
+    /// Records that a request ended without a crash; returns whether it was suspected.
     pub fn record_survival(&mut self, fingerprint: Fingerprint) -> bool {
         self.running.remove(&fingerprint);
         match self.known.get_mut(&fingerprint) {
@@ -213,14 +216,14 @@
         }
     }
 
-    /// Returns the servers that are known to have crashed under a request.
+    /// Returns the servers that are recorded to have crashed while they ran a request.
     #[must_use]
     pub fn lost(&self, fingerprint: Fingerprint) -> BTreeSet<String> {
         let known = self.known.get(&fingerprint);
         known.map(|known| known.lost.clone()).unwrap_or_default()
     }
 
-    /// Takes over what the store holds.
+    /// Merges the record from the store.
     pub fn merge_record(&mut self, now: Instant, fingerprint: Fingerprint, record: &Record) {
         self.suspect(now, fingerprint, &record.lost, false, false);
     }
@@ -231,18 +234,18 @@
         fingerprint: Fingerprint,
         lost: &BTreeSet<String>,
         survived: bool,
-        own: bool,
+        seen_locally: bool,
     ) {
         if lost.is_empty() {
             return;
         }
         let until = now.plus_millis(RETENTION_MS);
-        let doubt_until = now.plus_millis(REMOTE_REFUSAL_MS);
+        let refused_remotely_until = now.plus_millis(REMOTE_REFUSAL_MS);
         let known = self.known.entry(fingerprint).or_insert(Suspicion {
             lost: BTreeSet::new(),
             survived: false,
-            own: false,
-            doubt_until,
+            seen_locally: false,
+            refused_remotely_until,
             until,
         });
         let before = known.lost.len();
@@ -250,24 +253,24 @@
             .lost
             .extend(lost.iter().take(MAX_CRASHED_SERVERS).cloned());
         if known.lost.len() > before {
-            // A crash after an end that was well counts like the first one.
+            // A crash after a run without a crash counts like the first one.
             known.survived = false;
             known.until = until;
-            known.doubt_until = doubt_until;
+            known.refused_remotely_until = refused_remotely_until;
         }
         known.survived |= survived;
-        known.own |= own;
-        self.forget(now);
+        known.seen_locally |= seen_locally;
+        self.evict(now);
     }
 
-    /// Forgets what is old; with too many, those that are cleared go first and
-    /// the condemned last.
-    fn forget(&mut self, now: Instant) {
-        if self.known.len() <= MOST {
+    /// Evicts suspicions if there are too many: expired ones first, then cleared ones, and those
+    /// that are refused for good last.
+    fn evict(&mut self, now: Instant) {
+        if self.known.len() <= MAX_SUSPICIONS {
             return;
         }
         self.known.retain(|_, known| now < known.until);
-        while self.known.len() > MOST {
+        while self.known.len() > MAX_SUSPICIONS {
             let rank = |known: &Suspicion| (known.lost.len(), !known.survived, known.until);
             let first = self.known.iter().min_by_key(|(_, known)| rank(known));
             let Some(fingerprint) = first.map(|(fingerprint, _)| *fingerprint) else {
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Returns what peers are told.
+    /// Returns the digest for peers.
     #[must_use]
     pub fn digest(&self, now: Instant) -> Digest {
         let mut latest: Vec<_> = self
@@ -286,7 +289,7 @@
             .filter(|(_, known)| now < known.until)
             .collect();
         latest.sort_by_key(|(_, known)| std::cmp::Reverse((known.lost.len(), known.until)));
-        let reports = latest.into_iter().take(TOLD);
+        let reports = latest.into_iter().take(MAX_DIGEST_REPORTS);
         Digest {
             reports: reports
                 .map(|(fingerprint, known)| Report {
@@ -298,8 +301,7 @@
         }
     }
 
-    /// Takes over what a peer tells; repeated, reordered and old messages
-    /// change nothing.
+    /// Merges a digest from a peer; repeated, reordered and old digests change nothing.
     pub fn merge(&mut self, now: Instant, digest: &Digest) {
         for report in &digest.reports {
             let known = self.known.get(&report.fingerprint);
--- a/crates/core/src/route/baseline.rs
+++ b/crates/core/src/route/baseline.rs
@@ -1,22 +1,22 @@
-//! Choices that benches compare [`super::Table`] with.
+//! Baseline load-balancing policies, for comparison with [`super::Table`] in benches.
 
 use fescuerack_config::key;
 use rand::{Rng, RngExt as _};
 
-/// Each server in turn.
+/// Round robin: each server in turn.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
 impl RoundRobin {
-    /// Starts with the `first` server.
+    /// Creates a policy that starts with the server at index `first`.
     #[must_use]
     pub fn new(first: usize) -> Self {
         Self { next: first }
     }
 
-    /// Chooses a server.
+    /// Chooses the next server.
     pub fn choose(&mut self, servers: &[key::Server]) -> Option<key::Server> {
         let index = self.next % servers.len().max(1);
         self.next = self.next.wrapping_add(1);
@@ -24,7 +24,7 @@
     }
 }
 
-/// The less loaded of two servers drawn at random.
+/// Chooses the less loaded of two servers drawn at random (power of two choices).
 pub fn two_choices<R: Rng>(
     servers: &[key::Server],
     load: impl Fn(key::Server) -> u64,
--- a/crates/core/src/route/health.rs
+++ b/crates/core/src/route/health.rs
@@ -1,27 +1,26 @@
-//! Whether one server is trusted with work.
+//! Health of one server: trusted, ejected or on probation.
 //!
-//! A server that fails a few times in a row, or that is an outlier in speed
-//! (found by the sweep over its pool), is ejected for a while, then on
-//! probation: one attempt at a time until a few went well. Each further
-//! ejection lasts twice as long, so a sick server costs fewer and fewer
-//! requests; a server that stays well for long starts over.
+//! A server that fails several times in a row, or that the sweep over its pool finds to be slow, is
+//! ejected for some time. Then it is on probation: it gets one attempt at a time until several have
+//! succeeded. Each further ejection lasts twice as long, so a server that stays faulty costs fewer
+//! and fewer requests. The ejection time is reset after a long time without trouble.
 
 use super::Outcome;
 use crate::clock::Instant;
 
-/// Thresholds of ejection; every one may be set in the configuration.
+/// Thresholds of ejection; each can be set in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Failures in a row that eject. One or two happen to healthy servers,
-    /// when a request is at fault.
+    /// Number of consecutive failures that ejects a server. One or two also happen to healthy
+    /// servers, when the request is the cause.
     pub consecutive_failures: u32,
-    /// Times slower than the pool's median that ejects. Under three, batches
-    /// of long prompts look like sickness.
+    /// Multiple of the pool's median time to first token that ejects a server. Below three, batches
+    /// of long prompts would eject healthy servers.
     pub slow_factor: f64,
-    /// Largest share of a pool that is ejected at a time. More than a third at
-    /// once has a common cause, which ejection would only make worse.
+    /// Maximum share of a pool that is ejected at a time. If more than a third fails at once there
+    /// is a common cause, which ejection would only make worse.
     pub max_ejected_share: f64,
-    /// Milliseconds of the first ejection.
+    /// Duration of the first ejection, in milliseconds.
     pub ejection_ms: u64,
 }
 
@@ -36,27 +35,27 @@
     }
 }
 
-/// Attempts that must go well on probation.
-const PROOF: u32 = 3;
-/// Doublings of the time of ejection at most: 5 s to 80 s.
-const DOUBLINGS: u32 = 4;
-/// Milliseconds without trouble after which ejections start over.
-const FORGIVEN_MS: u64 = 300_000;
+/// Successful attempts that end a probation.
+const PROBATION_SUCCESSES: u32 = 3;
+/// Maximum number of doublings of the ejection time: from 5 s to 80 s.
+const MAX_DOUBLINGS: u32 = 4;
+/// Milliseconds without an ejection after which the ejection time is reset.
+const EJECTION_RESET_MS: u64 = 300_000;
 
-/// Whether a server is trusted.
+/// Whether a server is trusted with work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case", tag = "trust")]
 enum Trust {
-    /// It takes its share.
+    /// It gets its share of the work.
     Trusted,
-    /// It takes no work until then.
+    /// It gets no work.
     Ejected {
         /// When probation begins.
         until: Instant,
     },
-    /// It takes one attempt at a time.
+    /// It gets one attempt at a time.
     Probation {
-        /// Attempts that went well.
+        /// Attempts that succeeded.
         proofs: u32,
     },
 }
@@ -71,14 +70,14 @@
     ejected: Instant,
 }
 
-/// What the end of an attempt changes.
+/// How the end of an attempt changes the health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// It has proved itself and joins like a new server.
+    /// The server has passed its probation and joins like a new server.
     Recovered,
-    /// It is to be ejected if the pool allows it.
+    /// The server is to be ejected if the pool allows it.
     Failing,
 }
 
@@ -89,7 +88,7 @@
 }
 
 impl Health {
-    /// Returns the health of a server that is trusted.
+    /// Creates the health of a trusted server.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -100,38 +99,38 @@
         }
     }
 
-    /// Returns whether it takes no work.
+    /// Returns whether the server is ejected.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
         matches!(self.trust, Trust::Ejected { .. })
     }
 
-    /// Returns whether it takes its share.
+    /// Returns whether the server is neither ejected nor on probation.
     #[must_use]
     pub fn is_trusted(&self) -> bool {
         self.trust == Trust::Trusted
     }
 
-    /// Returns whether it takes another attempt beside those in flight.
+    /// Returns whether the server may get another attempt in addition to those in flight.
     #[must_use]
-    pub fn takes(&self, in_flight: u32) -> bool {
-        // An ejected server is asked only when the pool has no other.
+    pub fn accepts(&self, in_flight: u32) -> bool {
+        // An ejected server is considered only when the pool has no other.
         !matches!(self.trust, Trust::Probation { .. }) || in_flight == 0
     }
 
-    /// Takes in how an attempt ended.
-    pub fn ended(&mut self, now: Instant, thresholds: &Thresholds, ended: Outcome) -> Change {
-        match (ended, self.trust) {
+    /// Records the outcome of an attempt.
+    pub fn record(&mut self, now: Instant, thresholds: &Thresholds, outcome: Outcome) -> Change {
+        match (outcome, self.trust) {
             (Outcome::Ignored, _) | (_, Trust::Ejected { .. }) => Change::None,
             (Outcome::Success, Trust::Trusted) => {
                 self.failures = 0;
-                if now >= self.ejected.plus_millis(FORGIVEN_MS) {
+                if now >= self.ejected.plus_millis(EJECTION_RESET_MS) {
                     self.ejections = 0;
                 }
                 Change::None
             }
             (Outcome::Success, Trust::Probation { proofs }) => {
-                if proofs + 1 < PROOF {
+                if proofs + 1 < PROBATION_SUCCESSES {
                     self.trust = Trust::Probation { proofs: proofs + 1 };
                     return Change::None;
                 }
@@ -148,17 +147,17 @@
                 }
             }
             (Outcome::Failure, Trust::Probation { .. }) => {
-                // It was not counted as trusted before, so the floor of the
-                // pool does not suffer.
+                // A server on probation already counts towards the ejected share of the pool, so
+                // that share does not grow.
                 self.eject(now, thresholds);
                 Change::None
             }
         }
     }
 
-    /// Ejects it.
+    /// Ejects the server.
     pub fn eject(&mut self, now: Instant, thresholds: &Thresholds) {
-        let factor = 1 << self.ejections.min(DOUBLINGS);
+        let factor = 1 << self.ejections.min(MAX_DOUBLINGS);
         let until = now.plus_millis(thresholds.ejection_ms * factor);
         self.trust = Trust::Ejected { until };
         self.ejections += 1;
@@ -166,9 +165,8 @@
         self.failures = 0;
     }
 
-    /// Begins probation when the time of ejection is over; returns whether it
-    /// did.
-    pub fn review(&mut self, now: Instant) -> bool {
+    /// Starts the probation if the ejection time is over; returns whether it did.
+    pub fn start_due_probation(&mut self, now: Instant) -> bool {
         match self.trust {
             Trust::Ejected { until } if until <= now => {
                 self.trust = Trust::Probation { proofs: 0 };
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,34 +1,31 @@
-//! Choice of the backend server that runs an attempt.
+//! Selection of the backend server that runs an attempt.
 //!
-//! [`Table`] holds what one instance knows of the backend servers. The patterns
-//! of load it answers, and what goes wrong without it:
+//! [`Table`] holds the backend servers and their state at one instance. The load patterns that it
+//! handles, and what goes wrong without it:
 //!
-//! * **A slow server.** Counting only attempts in flight still gives a server
-//!   that is ten times slower its turn whenever its few attempts end, and each
-//!   of them is in the p99. Its measured slowness is part of [`score`], and
-//!   [`health`] ejects it.
-//! * **Lagging reports and a herd.** Instances that all follow the same report
-//!   all choose the same idle server. Own attempts count in full and at once;
-//!   a report only adds what *others* had there, with a weight that halves
-//!   every [`score::REPORT_HALF_S`]; and in a large pool only a few servers,
-//!   drawn at random, are compared.
-//! * **Few prefixes with most of the load.** Sending each prefix to its home
-//!   makes the prefix cache work and a popular prefix's home hot; its ring
-//!   passes on what exceeds a bounded load.
-//! * **Servers that join.** A server with nothing in flight looks best to
-//!   everyone and is flooded before its caches are warm; its share rises over
-//!   [`score::RAMP_S`]. The same ramp paces an availability zone that comes
-//!   back and the day's 260 restarts.
-//! * **Servers that leave.** The instance list lags; the server's own word and
-//!   peers' digests ([`word`]) count at once.
-//! * **A fleet of 910 servers.** Each instance sees a subset ([`subset`]), and
-//!   a decision compares a bounded number of servers, so its cost grows only
-//!   with the logarithm of the prefix ring.
+//! * **A slow server.** If only attempts in flight are compared, a server that is ten times slower
+//!   still gets a new attempt whenever its few attempts end, and each of them is in the p99. The
+//!   measured slowness of a server is part of its [`score`], and [`health`] ejects the server.
+//! * **Stale reports and herding.** Instances that all follow the same report all choose the same
+//!   idle server. So local attempts count in full and at once. A report only adds the work of
+//!   *other* instances, with a weight that halves every [`score::REPORT_HALF_LIFE_S`] seconds. In a
+//!   large pool only a few servers, drawn at random, are compared.
+//! * **Most of the load on few prefixes.** Sending each prefix to its home server makes the prefix
+//!   cache effective, but overloads the home of a popular prefix. The ring moves on to the next
+//!   server when the home is full.
+//! * **Servers that join.** A server with nothing in flight looks best to every instance and would
+//!   be flooded before its caches are warm. Its share rises over [`score::RAMP_S`] seconds. The
+//!   same ramp limits the load on an availability zone that returns and on servers after their 260
+//!   restarts per day.
+//! * **Servers that leave.** The instance list lags. A notice of the server itself or a peer's
+//!   digest ([`leaving`]) counts at once.
+//! * **A fleet of 910 servers.** Each instance uses a [`subset`], and a decision compares a bounded
+//!   number of servers, so its cost grows only with the logarithm of the ring's size.
 //!
-//! Plain services are chosen by the same code; they have no prefix and no
-//! tokens, so each call counts as one.
+//! Plain services use the same code. They have no prefix and no tokens, so each call counts as one
+//! token.
 //!
-//! [`baseline`] holds the choices that benches compare with.
+//! [`baseline`] holds the policies that benches compare with.
 
 pub mod baseline;
 mod ejection;
@@ -54,18 +51,18 @@
 use leaving::LeavingServers;
 use ring::Ring;
 use score::{Pool, Report};
-use server::Best;
+use server::Cheapest;
 
-/// The backend servers that this instance knows.
+/// The backend servers at one instance, from which it chooses.
 #[derive(Clone, Debug)]
 pub struct Table {
     zone: String,
-    place: subset::Position,
+    position: subset::Position,
     thresholds: Thresholds,
     servers: SecondaryMap<key::Server, Server>,
     pools: SecondaryMap<key::Fleet, Pool>,
-    words: LeavingServers,
-    filled: bool,
+    leaving: LeavingServers,
+    has_had_servers: bool,
 }
 
 impl Default for Table {
@@ -75,71 +72,71 @@
 }
 
 impl Table {
-    /// Pools up to this size are compared whole: a decision stays under 1 µs
-    /// and no good server is missed by chance.
-    const SMALL: usize = 16;
-    /// Servers drawn at random in a larger pool.
-    const DRAWN: usize = 4;
+    /// Maximum size of a pool whose servers are all compared: a decision stays below 1 µs, and no
+    /// good server is missed by chance.
+    const MAX_FULLY_COMPARED: usize = 16;
+    /// Number of servers drawn at random from a larger pool.
+    const DRAWN_SERVERS: usize = 4;
 
-    /// Returns an empty table of an instance in `zone`.
+    /// Creates an empty table for an instance in availability zone `zone`.
     #[must_use]
     pub fn new(zone: &str) -> Self {
         Self {
             zone: zone.to_owned(),
-            place: subset::Position::default(),
+            position: subset::Position::default(),
             thresholds: Thresholds::default(),
             servers: SecondaryMap::new(),
             pools: SecondaryMap::new(),
-            words: LeavingServers::new(),
-            filled: false,
+            leaving: LeavingServers::new(),
+            has_had_servers: false,
         }
     }
 
-    /// Takes over thresholds that a new configuration brings.
+    /// Applies the thresholds of a new configuration.
     pub fn set_thresholds(&mut self, thresholds: Thresholds) {
         self.thresholds = thresholds;
     }
 
-    /// Takes over this instance's place among all instances, from which its
-    /// subset of each fleet follows.
-    pub fn set_position(&mut self, place: subset::Position) {
-        if self.place != place {
-            self.place = place;
+    /// Sets the position of this instance among all instances, which determines its subset of each
+    /// fleet.
+    pub fn set_position(&mut self, position: subset::Position) {
+        if self.position != position {
+            self.position = position;
             self.rebuild();
         }
     }
 
-    /// Takes over the instance list. Servers that it no longer shows are
-    /// forgotten once their work has ended and get none until then.
+    /// Applies an instance list. Servers that are no longer listed get no new work and are removed
+    /// once their attempts have ended.
     pub fn apply_list(&mut self, now: Instant, listed: Vec<(key::Server, Listed)>) {
-        let shown: BTreeSet<_> = listed.iter().map(|(key, _)| *key).collect();
+        let listed_keys: BTreeSet<_> = listed.iter().map(|(key, _)| *key).collect();
         for (key, server) in listed {
             self.observe(now, key, server);
         }
         for (key, server) in &mut self.servers {
-            if !shown.contains(&key) {
+            if !listed_keys.contains(&key) {
                 server.state = State::Leaving;
             }
         }
         self.servers
-            .retain(|key, server| shown.contains(&key) || server.in_flight > 0);
-        self.filled |= !self.servers.is_empty();
+            .retain(|key, server| listed_keys.contains(&key) || server.in_flight > 0);
+        self.has_had_servers |= !self.servers.is_empty();
         self.rebuild();
     }
 
     fn observe(&mut self, now: Instant, key: key::Server, listed: Listed) {
-        let near = listed.zone == self.zone;
+        let is_local_zone = listed.zone == self.zone;
         if let Some(known) = self.servers.get_mut(key) {
-            known.update(now, listed, near);
+            known.update(now, listed, is_local_zone);
             return;
         }
-        // Servers of the first list have not just joined: this instance has.
-        let joined = self.filled.then_some(now);
-        let server = Server::new(now, listed, near, joined);
+        // Servers of the first list have not just joined; this instance has.
+        let joined_at = self.has_had_servers.then_some(now);
+        let server = Server::new(now, listed, is_local_zone, joined_at);
         self.servers.insert(key, server);
     }
 
-    /// Takes over a server's own report of its load.
+    /// Applies a server's report of its load.
     pub fn apply_report(&mut self, now: Instant, key: key::Server, mut report: Report) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
@@ -147,40 +144,40 @@
         report.local_work = server.work;
         report.local_requests = server.in_flight;
         let leaving = report.leaving;
-        server.recent.forget(report.at);
+        server.recent.remove_reported(report.at);
         server.report = Some(report);
         if leaving {
             self.mark_leaving(now, key);
         }
     }
 
-    /// Takes a server's own word that it leaves: no new work from now on.
+    /// Records a server's notice that it is leaving; it gets no new work from now on.
     pub fn mark_leaving(&mut self, now: Instant, key: key::Server) {
         if let Some(server) = self.servers.get(key)
-            && self.words.tell(now, &server.id)
+            && self.leaving.record(now, &server.id)
         {
             self.rebuild();
         }
     }
 
-    /// Returns what to tell peers.
+    /// Returns the digest for peers.
     #[must_use]
     pub fn digest(&self, now: Instant) -> leaving::Digest {
-        self.words.digest(now)
+        self.leaving.digest(now)
     }
 
-    /// Takes over a peer's digest.
+    /// Merges a digest from a peer.
     pub fn merge(&mut self, now: Instant, digest: &leaving::Digest) {
-        if self.words.merge(now, digest) {
+        if self.leaving.merge(now, digest) {
             self.rebuild();
         }
     }
 
-    /// Ejects outliers, lets ejected servers prove themselves and forgets old
-    /// words; call it a few times a second.
+    /// Ejects outliers, starts due probations and removes expired leaving notices. Must be called a
+    /// few times a second.
     pub fn tick(&mut self, now: Instant) {
-        let forgot = self.words.forget(now);
-        let mut changed = forgot;
+        let expired = self.leaving.remove_expired(now);
+        let mut changed = expired;
         for (_, pool) in &self.pools {
             changed |= ejection::sweep(now, &self.thresholds, pool, &mut self.servers);
         }
@@ -189,11 +186,11 @@
         }
     }
 
-    /// Works out which servers of each fleet may be chosen.
+    /// Recomputes which servers of each fleet may be chosen.
     fn rebuild(&mut self) {
         let mut fleets: BTreeMap<key::Fleet, Vec<key::Server>> = BTreeMap::new();
         for (key, server) in &self.servers {
-            if server.state == State::Live && !self.words.is_leaving(&server.id) {
+            if server.state == State::Live && !self.leaving.is_leaving(&server.id) {
                 fleets.entry(server.fleet).or_default().push(key);
             }
         }
@@ -204,7 +201,7 @@
         for (fleet, mut live) in fleets {
             let servers = &self.servers;
             let all = live.len();
-            subset::retain_subset(&self.place, &mut live, |key| servers[key].id.as_str());
+            subset::retain_subset(&self.position, &mut live, |key| servers[key].id.as_str());
             if !self.pools.contains_key(fleet) {
                 self.pools.insert(fleet, Pool::default());
             }
@@ -214,8 +211,7 @@
                 .filter(|key| !servers[**key].health.is_ejected());
             pool.usable = trusted.copied().collect();
             if pool.usable.is_empty() {
-                // A common cause must not empty the pool: a doubtful server is
-                // better than none.
+                // A common cause must not empty the pool: an ejected server is better than none.
                 pool.usable.clone_from(&live);
             }
             let ids = pool
@@ -223,64 +219,66 @@
                 .iter()
                 .map(|key| (servers[*key].id.as_str(), *key));
             pool.ring = Ring::new(ids);
-            pool.others = self.place.others(all, live.len());
+            pool.others = self.position.others(all, live.len());
             pool.live = live;
         }
     }
 
-    /// Chooses the server that an attempt goes to.
+    /// Chooses a server for an attempt.
     pub fn choose<R: Rng>(
         &mut self,
         now: Instant,
-        ask: &Request<'_>,
+        request: &Request<'_>,
         rng: &mut R,
     ) -> Option<key::Server> {
-        let mut best = Best::default();
-        for fleet in ask.fleets {
+        let mut cheapest = Cheapest::default();
+        for fleet in request.fleets {
             let Some(pool) = self.pools.get(*fleet) else {
                 continue;
             };
-            self.compare(now, ask, pool, rng, &mut best);
+            self.compare(now, request, pool, rng, &mut cheapest);
         }
-        if best.server.is_none() {
-            // Every server that was drawn is to be avoided or on probation.
-            for fleet in ask.fleets {
+        if cheapest.server.is_none() {
+            // Every server that was drawn is to be avoided or busy on probation.
+            for fleet in request.fleets {
                 let pool = self.pools.get(*fleet);
                 for key in pool.iter().flat_map(|pool| &pool.usable) {
-                    if !ask.avoid.contains(key) {
-                        let rank = rng.random::<f64>();
-                        best.offer(*key, f64::from(self.servers[*key].in_flight), rank);
+                    if !request.avoid.contains(key) {
+                        let tie_break = rng.random::<f64>();
+                        cheapest.offer(*key, f64::from(self.servers[*key].in_flight), tie_break);
                     }
                 }
             }
         }
-        best.server
+        cheapest.server
     }
 
     fn compare<R: Rng>(
         &self,
         now: Instant,
-        ask: &Request<'_>,
+        request: &Request<'_>,
         pool: &Pool,
         rng: &mut R,
-        best: &mut Best,
+        cheapest: &mut Cheapest,
     ) {
-        let home = ask.prefix.and_then(|prefix| self.home(now, pool, prefix));
+        let home = request
+            .prefix
+            .and_then(|prefix| self.home(now, pool, prefix));
         let mut consider = |key: key::Server, rng: &mut R| {
             let server = &self.servers[key];
-            if ask.avoid.contains(&key) || !server.health.takes(server.in_flight) {
+            if request.avoid.contains(&key) || !server.health.accepts(server.in_flight) {
                 return;
             }
-            let cost = score::cost(now, ask, pool, server, home == Some(key));
-            best.offer(key, cost, rng.random::<f64>());
+            let cost = score::cost(now, request, pool, server, home == Some(key));
+            cheapest.offer(key, cost, rng.random::<f64>());
         };
-        if pool.usable.len() <= Self::SMALL {
+        if pool.usable.len() <= Self::MAX_FULLY_COMPARED {
             for key in &pool.usable {
                 consider(*key, rng);
             }
             return;
         }
-        for _ in 0..Self::DRAWN {
+        for _ in 0..Self::DRAWN_SERVERS {
             let index = rng.random_range(0..pool.usable.len());
             consider(pool.usable[index], rng);
         }
@@ -289,74 +287,74 @@
         }
     }
 
-    /// Returns the server whose cache should hold a prefix: the first after
-    /// its place on the ring that has a slot free, by estimate.
+    /// Returns the server whose cache should hold a prefix: the first server after its hash on the
+    /// ring that has a free slot, by estimate.
     fn home(&self, now: Instant, pool: &Pool, prefix: u64) -> Option<key::Server> {
-        let mut homes = pool.ring.after(prefix).take(ring::TRIES);
-        homes.find(|key| score::finds_slot(now, pool, &self.servers[*key]))
+        let mut homes = pool.ring.after(prefix).take(ring::MAX_HOME_TRIES);
+        homes.find(|key| score::has_free_slot(now, pool, &self.servers[*key]))
     }
 
-    /// Records that an attempt of `work` tokens starts on a server; returns
-    /// whether it finds a slot there, by estimate.
+    /// Records that an attempt of `work` tokens starts on a server; returns whether the server has
+    /// a free slot for it, by estimate.
     pub fn start_attempt(&mut self, now: Instant, key: key::Server, work: u32) -> bool {
         let Some(server) = self.servers.get_mut(key) else {
             return false;
         };
         let pool = self.pools.get(server.fleet);
-        let clear = pool.is_some_and(|pool| score::finds_slot(now, pool, server));
+        let has_free_slot = pool.is_some_and(|pool| score::has_free_slot(now, pool, server));
         server.in_flight += 1;
         server.work += u64::from(work);
         server.recent.add(now, work);
         if server.unanswered == 0 {
-            server.progress = now;
+            server.progress_at = now;
         }
         server.unanswered += 1;
-        clear
+        has_free_slot
     }
 
-    /// Records that the first part of an answer came, `seconds` after the
-    /// attempt started; `clear` is what [`Self::start_attempt`] returned for it.
+    /// Records the first part of an answer, `seconds` after the attempt started. `had_free_slot` is
+    /// the value that [`Self::start_attempt`] returned for the attempt.
     ///
-    /// A first token that waited for a slot tells of the load, not of the
-    /// server: taken as slowness, it ejects whichever servers are busiest and
-    /// leaves their work to the others.
+    /// The time to a first token that waited for a slot reflects the load and not the speed of the
+    /// server. Counted as slowness, it would eject the busiest servers and move their work to the
+    /// others.
     pub fn record_first_token(
         &mut self,
         now: Instant,
         key: key::Server,
         seconds: f64,
-        clear: bool,
+        had_free_slot: bool,
     ) {
         let Some(server) = self.servers.get_mut(key) else {
             return;
         };
         server.unanswered = server.unanswered.saturating_sub(1);
-        server.progress = now;
-        if !clear {
+        server.progress_at = now;
+        if !had_free_slot {
             return;
         }
-        if now.since(server.sampled).as_secs_f64() > score::FORGET_S {
+        if now.since(server.sampled_at).as_secs_f64() > score::SAMPLE_EXPIRY_S {
             server.first_token = Mean::default();
         }
         server.first_token.add(seconds);
-        server.sampled = now;
+        server.sampled_at = now;
         if let Some(pool) = self.pools.get_mut(server.fleet) {
             pool.first_token.add(seconds);
         }
     }
 
-    /// Records that an attempt has ended on a server; `answered` says that
-    /// [`Self::record_first_token`] was told of it.
+    /// Records that an attempt has ended on a server. `answered` is whether
+    /// [`Self::record_first_token`] was called for it.
     ///
     /// # Panics
     ///
-    /// When more attempts end than were started.
+    /// Panics if more attempts end than were started.
     pub fn end_attempt(
         &mut self,
         now: Instant,
         key: key::Server,
         work: u32,
-        ended: Outcome,
+        outcome: Outcome,
         answered: bool,
     ) {
         let Some(server) = self.servers.get_mut(key) else {
@@ -369,17 +367,17 @@
             server.unanswered = server.unanswered.saturating_sub(1);
         }
         let fleet = server.fleet;
-        let changed = server.health.ended(now, &self.thresholds, ended);
+        let changed = server.health.record(now, &self.thresholds, outcome);
         match changed {
             health::Change::None => {}
             health::Change::Recovered => {
-                server.joined = Some(now);
+                server.joined_at = Some(now);
                 server.first_token = Mean::default();
                 self.rebuild();
             }
             health::Change::Failing => {
                 if let Some(pool) = self.pools.get(fleet)
-                    && ejection::has_room(&self.thresholds, pool, &self.servers)
+                    && ejection::may_eject(&self.thresholds, pool, &self.servers)
                 {
                     self.servers[key].health.eject(now, &self.thresholds);
                     self.rebuild();
@@ -399,7 +397,7 @@
         self.servers.iter()
     }
 
-    /// Returns the time to the first token of a fleet.
+    /// Returns the mean time to first token of a fleet, in seconds.
     #[must_use]
     pub fn first_token_mean(&self, fleet: key::Fleet) -> Option<&Mean> {
         self.pools.get(fleet).map(|pool| &pool.first_token)
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -1,4 +1,4 @@
-//! A backend server, what is to be placed on one, and the best so far.
+//! A backend server, a request for one, and the selection of the cheapest.
 
 use std::collections::BTreeSet;
 
@@ -13,9 +13,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes new work.
+    /// The server takes new work.
     Live,
-    /// Finishes its work and takes no more.
+    /// The server finishes its work and takes no more.
     Leaving,
 }
 
@@ -36,7 +36,7 @@
     pub slots: u32,
 }
 
-/// A backend server and what this instance knows of it.
+/// A backend server and its state at this instance.
 #[derive(Clone, Debug)]
 pub struct Server {
     /// Identifier in the instance list.
@@ -51,27 +51,32 @@
     pub state: State,
     /// Requests that it runs at a time.
     pub slots: u32,
-    /// Attempts of this instance that run on it.
+    /// Attempts of this instance that run on the server.
     pub in_flight: u32,
     /// Work of these attempts, in tokens.
     pub work: u64,
-    /// Whether it is trusted with work.
+    /// Whether the server is trusted, ejected or on probation.
     pub health: Health,
     /// Seconds to the first token, or to the answer of a plain service.
     pub first_token: Mean,
-    pub(super) near: bool,
-    pub(super) joined: Option<Instant>,
+    pub(super) is_local_zone: bool,
+    pub(super) joined_at: Option<Instant>,
     pub(super) unanswered: u32,
-    pub(super) progress: Instant,
-    pub(super) sampled: Instant,
+    pub(super) progress_at: Instant,
+    pub(super) sampled_at: Instant,
     pub(super) report: Option<Report>,
     pub(super) recent: Recent,
 }
 
 impl Server {
-    /// Creates a server that was listed for the first time; `joined` is when
-    /// it joined a pool that this instance already knew.
-    pub(super) fn new(now: Instant, listed: Listed, near: bool, joined: Option<Instant>) -> Self {
+    /// Creates a server that is listed for the first time. `joined` is when it joined, if this
+    /// instance already had servers then.
+    pub(super) fn new(
+        now: Instant,
+        listed: Listed,
+        is_local_zone: bool,
+        joined_at: Option<Instant>,
+    ) -> Self {
         Self {
             id: listed.id,
             fleet: listed.fleet,
@@ -83,22 +88,22 @@
             work: 0,
             health: Health::new(),
             first_token: Mean::default(),
-            near,
-            joined,
+            is_local_zone,
+            joined_at,
             unanswered: 0,
-            progress: now,
-            sampled: now,
+            progress_at: now,
+            sampled_at: now,
             report: None,
             recent: Recent::default(),
         }
     }
 
-    /// Takes over a later line of the list.
-    pub(super) fn update(&mut self, now: Instant, listed: Listed, near: bool) {
+    /// Applies a later entry of the instance list.
+    pub(super) fn update(&mut self, now: Instant, listed: Listed, is_local_zone: bool) {
         if self.state == State::Leaving && listed.state == State::Live {
-            self.joined = Some(now);
+            self.joined_at = Some(now);
         }
-        self.near = near;
+        self.is_local_zone = is_local_zone;
         self.address = listed.address;
         self.zone = listed.zone;
         self.fleet = listed.fleet;
@@ -107,52 +112,52 @@
     }
 }
 
-/// What is to be placed.
+/// A request for which a server is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Fleets that can run it.
+    /// Fleets that can run the request.
     pub fleets: &'a [key::Fleet],
-    /// Servers that it must not run on.
+    /// Servers that the request must not run on.
     pub avoid: &'a BTreeSet<key::Server>,
-    /// Its work in tokens; 1 for a call of a plain service.
+    /// Work in tokens; 1 for a call of a plain service.
     pub work: u32,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Hash of the prompt's beginning, when it is long enough to be cached.
+    /// Hash of the start of the prompt, if it is long enough to be cached.
     pub prefix: Option<u64>,
-    /// Hash of the adapter that it needs.
+    /// Hash of the adapter that the request needs.
     pub adapter: Option<u64>,
 }
 
-/// How an attempt ended, as far as the choice of servers is concerned.
+/// Outcome of an attempt, as evidence about the health of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The server did its part.
+    /// The server answered.
     Success,
-    /// The server failed, broke off or refused.
+    /// The server failed, broke the connection or refused.
     Failure,
-    /// It says nothing about the server.
+    /// The outcome says nothing about the server.
     Ignored,
 }
 
-/// The server of least cost so far; equal costs are decided at random, so that
-/// instances do not agree on the same server.
+/// The server with the lowest cost so far. Ties are broken at random, so that instances do not all
+/// choose the same server.
 #[derive(Debug, Default)]
-pub(super) struct Best {
+pub(super) struct Cheapest {
     pub(super) server: Option<key::Server>,
     cost: f64,
-    rank: f64,
+    tie_break: f64,
 }
 
-impl Best {
+impl Cheapest {
     /// Considers a server.
-    pub(super) fn offer(&mut self, server: key::Server, cost: f64, rank: f64) {
-        let better = self.server.is_none() || (cost, rank) < (self.cost, self.rank);
-        if better {
+    pub(super) fn offer(&mut self, server: key::Server, cost: f64, tie_break: f64) {
+        let cheaper = self.server.is_none() || (cost, tie_break) < (self.cost, self.tie_break);
+        if cheaper {
             *self = Self {
                 server: Some(server),
                 cost,
-                rank,
+                tie_break,
             };
         }
     }
--- a/crates/core/tests/all/attempt.rs
+++ b/crates/core/tests/all/attempt.rs
@@ -83,8 +83,8 @@
     }
 }
 
-// The connection breaks after a non-idempotent request, such as a booking, has been sent: it may have
-// run. It must not be sent again, whatever budget and time remain.
+// The connection breaks after a non-idempotent request, such as a booking, has been sent: it may
+// have run. It must not be sent again, whatever budget and time remain.
 #[test]
 fn end_never_repeats_a_non_idempotent_request() {
     let (_, _, _, servers) = names();
@@ -141,8 +141,8 @@
 }
 
 /// Runs `count` instances for 60 s under a shared limit of 100 requests per second, each receiving
-/// `requests` per second, with digests up to `lag_ms` old. Returns the maximum number that passed in
-/// any second after the first, and the number that passed in the last ten.
+/// `requests` per second, with digests up to `lag_ms` old. Returns the maximum number that passed
+/// in any second after the first, and the number that passed in the last ten.
 fn max_and_last_passed(
     count: usize,
     requests: impl Fn(usize, u64) -> u64,
--- a/crates/core/tests/all/fleet.rs
+++ b/crates/core/tests/all/fleet.rs
@@ -1,5 +1,5 @@
-//! Several instances' roll-out boards, a store that can be down and peers that
-//! can be cut off; shared by the tests and by `benches/versions.rs`.
+//! Simulated fleet: the roll-out state of several instances, a store that can be down, and peers
+//! that can be partitioned. Shared by the tests and the benches in `benches/versions`.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 /// Name of the model under roll-out.
 pub const MODEL: &str = "m";
 
-/// Returns a configuration file with a roll-out of `m@2` over `m@1`.
+/// Returns a configuration file with a roll-out of `m@2` to replace `m@1`.
 pub fn file(word: u64, start: usize, exposure: u32, more: &str, state: &str) -> String {
     format!(
         "models: {{m: {{}}, strong: {{}}}}\n\
@@ -26,14 +26,14 @@
     )
 }
 
-/// Compiles one file.
+/// Compiles a catalog from one file.
 pub fn compile(revision: u64, file: &str, names: &mut Names) -> Catalog {
     let folder = Folder::new().with_file("10.yaml", file.to_owned());
     let merged = Merged::new(&folder).expect("the file is well formed");
     Catalog::new(revision, &merged, names).expect("the file is consistent")
 }
 
-/// A store with compare-and-swap.
+/// Store with compare-and-swap.
 #[derive(Debug, Default)]
 pub struct Store {
     pub down: bool,
@@ -67,7 +67,7 @@
     pub candidate: key::Version,
     pub server: key::Server,
     starts: u32,
-    told: Vec<(BTreeMap<String, Record>, Digest)>,
+    sent: Vec<(BTreeMap<String, Record>, Digest)>,
 }
 
 impl Fleet {
@@ -86,7 +86,7 @@
             store: Store::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             starts: 0,
-            told: Vec::new(),
+            sent: Vec::new(),
         };
         for _ in 0..count {
             let board = fleet.board(Instant::ORIGIN);
@@ -106,12 +106,12 @@
         board
     }
 
-    /// Replaces an instance; it has forgotten everything.
+    /// Replaces an instance by one with empty state.
     pub fn restart(&mut self, now: Instant, index: usize) {
         self.boards[index] = self.board(now);
     }
 
-    /// Puts another file in force on all instances.
+    /// Activates another configuration file on all instances.
     pub fn accept(&mut self, now: Instant, file: &str) {
         self.catalog = compile(self.catalog.revision + 1, file, &mut self.names);
         for board in &mut self.boards {
@@ -126,13 +126,13 @@
         session::start(share, session::position(MODEL, session))
     }
 
-    /// Tells an instance of an answer.
+    /// Records an event of a version at an instance.
     pub fn observe(&mut self, now: Instant, index: usize, version: key::Version, event: Event) {
         self.boards[index].observe(now, version, event);
     }
 
-    /// One instance reads the store, judges and writes what is to last.
-    /// Returns whether it made a step.
+    /// Lets one instance read the store, decide and write what must persist. Returns whether it
+    /// made a roll-out step.
     pub fn sync(&mut self, now: Instant, index: usize) -> bool {
         let board = &mut self.boards[index];
         if let Some((_, record)) = self.store.get(MODEL) {
@@ -165,55 +165,55 @@
         stepped
     }
 
-    /// Each instance hears one other; every tenth message is an old one.
+    /// Sends each instance a digest of one random other instance.
     pub fn gossip(&mut self, now: Instant) {
         let count = self.boards.len();
         for index in 0..count {
             let other = self.rng.random_range(0..count);
             if other != index {
-                self.tell(now, other, index);
+                self.send(now, other, index);
             }
         }
     }
 
-    /// One instance hears another.
-    pub fn tell(&mut self, now: Instant, from: usize, to: usize) {
+    /// Sends the digest of one instance to another; about one message in ten is an old one.
+    pub fn send(&mut self, now: Instant, from: usize, to: usize) {
         let mut digest = (self.boards[from].records(), self.boards[from].digest());
-        if !self.told.is_empty() && self.rng.random_bool(0.1) {
-            let old = self.rng.random_range(0..self.told.len());
-            digest = std::mem::replace(&mut self.told[old], digest);
-        } else if self.told.len() < 64 {
-            self.told.push(digest.clone());
+        if !self.sent.is_empty() && self.rng.random_bool(0.1) {
+            let old = self.rng.random_range(0..self.sent.len());
+            digest = std::mem::replace(&mut self.sent[old], digest);
+        } else if self.sent.len() < 64 {
+            self.sent.push(digest.clone());
         }
         let (records, digest) = digest;
-        let mut news = false;
+        let mut changed = false;
         for (model, record) in &records {
-            news |= self.boards[to].merge_record(now, model, record);
+            changed |= self.boards[to].merge_record(now, model, record);
         }
         self.boards[to].merge(now, &digest);
-        if news {
+        if changed {
             self.boards[to].configure(now, &self.catalog, &self.names);
         }
     }
 
-    /// Returns whether an instance takes the candidate for withdrawn.
+    /// Returns whether an instance treats the candidate as withdrawn.
     pub fn is_halted(&self, index: usize) -> bool {
         self.boards[index].is_withdrawn(self.candidate)
     }
 
-    /// Returns whether all instances do.
+    /// Returns whether all instances treat the candidate as withdrawn.
     pub fn is_halted_everywhere(&self) -> bool {
         (0..self.boards.len()).all(|index| self.is_halted(index))
     }
 
-    /// Returns the stage in force at an instance.
+    /// Returns the active stage at an instance.
     pub fn stage(&self, index: usize) -> usize {
         self.boards[index]
             .trial(self.model)
             .map_or(0, |trial| trial.stage)
     }
 
-    /// Returns what an instance's evidence says.
+    /// Returns the verdict from the evidence of an instance.
     pub fn verdict(&self, now: Instant, index: usize) -> Verdict {
         self.boards[index]
             .verdict_of(now, self.model)
--- a/crates/core/tests/all/poison.rs
+++ b/crates/core/tests/all/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers, sent again through random instances.
+//! Test of poison requests that are sent again through random instances.
 
 use std::collections::BTreeMap;
 
@@ -17,11 +17,11 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// An instance is sent a request.
+    /// An instance receives a request.
     Send(usize, u64),
-    /// A run ends, perhaps with the crash of its server.
+    /// A run ends, possibly with the crash of its server.
     End(usize, bool),
-    /// An old message comes again.
+    /// An instance receives an old digest again.
     Old(usize, usize),
     Restart(usize),
     Store(bool),
@@ -53,8 +53,8 @@
     now: Instant,
     suspects: Vec<Suspects>,
     store: BTreeMap<Fingerprint, Record>,
-    down: bool,
-    told: Vec<Digest>,
+    store_is_down: bool,
+    sent: Vec<Digest>,
     lost: BTreeMap<Fingerprint, usize>,
     servers: u32,
     runs: Vec<Running>,
@@ -65,7 +65,7 @@
         match self.suspects[index].verdict(self.now, request) {
             Verdict::Run => true,
             Verdict::Refuse => false,
-            Verdict::Permit if self.down => true,
+            Verdict::Permit if self.store_is_down => true,
             Verdict::Permit => {
                 let record = self.store.get(&request).cloned().unwrap_or_default();
                 let lost = self.suspects[index].lost(request);
@@ -77,21 +77,21 @@
         }
     }
 
-    /// A suspicion is pushed to every peer at once.
-    fn tell(&mut self, from: usize) {
+    /// Sends the suspicions of an instance to every peer at once.
+    fn push(&mut self, from: usize) {
         let digest = self.suspects[from].digest(self.now);
         for (index, suspects) in self.suspects.iter_mut().enumerate() {
             if index != from {
                 suspects.merge(self.now, &digest);
             }
         }
-        self.told.push(digest);
+        self.sent.push(digest);
     }
 
     fn send(&mut self, index: usize, request: Fingerprint) {
         let suspected = self.suspects[index].verdict(self.now, request) != Verdict::Run;
-        // Copies that run before anybody suspects them are not bounded: a
-        // caller sends the next one after the answer, or after a crash.
+        // The number of copies that run before the request is suspected is not bounded, so a caller
+        // sends the next one only after the answer, or after a crash.
         let first = |run: &Running| run.request == request && !run.suspected;
         if !suspected && self.runs.iter().any(first) {
             return;
@@ -121,7 +121,7 @@
         *self.lost.entry(request).or_default() += 1;
         let server = format!("server-{}", self.servers);
         self.suspects[index].record_crash(self.now, request, &server);
-        self.tell(index);
+        self.push(index);
         let lost = self.lost[&request];
         assert!(
             lost <= MAX_CRASHED_SERVERS,
@@ -139,26 +139,28 @@
             Op::Send(index, request) => self.send(index, Fingerprint(request)),
             Op::End(run, crash) => self.end(run, crash),
             Op::Old(index, old) => {
-                if let Some(digest) = self.told.get(old) {
+                if let Some(digest) = self.sent.get(old) {
                     self.suspects[index].merge(self.now, digest);
                 }
             }
             Op::Restart(index) => {
                 self.suspects[index] = Suspects::new();
                 self.runs.retain(|run| run.index != index);
-                // It hears a peer before it takes callers.
+                // It receives the digest of a peer before it accepts requests.
                 let peer = self.suspects[(index + 1) % INSTANCES].digest(self.now);
                 self.suspects[index].merge(self.now, &peer);
             }
-            Op::Store(down) => self.down = down,
+            Op::Store(store_is_down) => self.store_is_down = store_is_down,
             Op::Wait(seconds) => self.now = self.now.plus_millis(seconds * 1000),
         }
     }
 }
 
+// A poison request is sent through several instances, with restarts, store outages and old digests
+// in random order. It must not crash more than two servers.
 #[test]
 fn suspects_random_faults_lose_at_most_two_servers() {
-    // Under a day in all, which is how long a suspicion is remembered.
+    // The steps take less than a day in total, the time for which a suspicion is kept.
     let ops = prop::collection::vec(op(), 1..150);
     let mut runner = TestRunner::new(config());
     let result = runner.run(&ops, |ops| {
@@ -166,8 +168,8 @@
             now: Instant::ORIGIN,
             suspects: vec![Suspects::new(); INSTANCES],
             store: BTreeMap::new(),
-            down: false,
-            told: Vec::new(),
+            store_is_down: false,
+            sent: Vec::new(),
             lost: BTreeMap::new(),
             servers: 0,
             runs: Vec::new(),
--- a/crates/core/tests/all/route.rs
+++ b/crates/core/tests/all/route.rs
@@ -1,4 +1,4 @@
-//! Choice of servers under the patterns that it answers.
+//! Tests of server selection under the load patterns that it handles.
 
 use std::collections::BTreeSet;
 
@@ -35,9 +35,9 @@
         fixture
     }
 
-    fn list(&mut self, now_ms: u64, shown: &[key::Server]) {
+    fn list(&mut self, now_ms: u64, listed_keys: &[key::Server]) {
         let listed = self.keys.iter().enumerate();
-        let listed = listed.filter(|(_, key)| shown.contains(key));
+        let listed = listed.filter(|(_, key)| listed_keys.contains(key));
         let listed = listed.map(|(index, key)| {
             let server = Listed {
                 id: format!("s{index}"),
@@ -55,7 +55,7 @@
 
     fn choose(&mut self, now_ms: u64, prefix: Option<u64>) -> Option<usize> {
         let fleets = [self.fleet];
-        let ask = Request {
+        let request = Request {
             fleets: &fleets,
             avoid: &self.avoid,
             work: 100,
@@ -64,28 +64,29 @@
             adapter: None,
         };
         let now = Instant::from_millis(now_ms);
-        let chosen = self.table.choose(now, &ask, &mut self.rng)?;
+        let chosen = self.table.choose(now, &request, &mut self.rng)?;
         self.keys.iter().position(|key| *key == chosen)
     }
 
     /// Runs one attempt to its end and returns its server.
-    fn attempt(&mut self, now_ms: u64, ended: impl Fn(usize) -> (f64, Outcome)) -> usize {
+    fn attempt(&mut self, now_ms: u64, outcome: impl Fn(usize) -> (f64, Outcome)) -> usize {
         let index = self.choose(now_ms, None).expect("a server");
         let (key, now) = (self.keys[index], Instant::from_millis(now_ms));
-        let clear = self.table.start_attempt(now, key, 100);
-        let (seconds, ended) = ended(index);
-        let answered = ended == Outcome::Success;
+        let has_free_slot = self.table.start_attempt(now, key, 100);
+        let (seconds, outcome) = outcome(index);
+        let answered = outcome == Outcome::Success;
         if answered {
-            self.table.record_first_token(now, key, seconds, clear);
+            self.table
+                .record_first_token(now, key, seconds, has_free_slot);
         }
-        self.table.end_attempt(now, key, 100, ended, answered);
+        self.table.end_attempt(now, key, 100, outcome, answered);
         index
     }
 }
 
-// A server is retired and says so in a refusal; the instance list shows it as
-// live for many seconds more. It gets nothing from that moment, nor from peers
-// that are told, and what runs there still ends.
+// A server reports in a refusal that it is leaving, while the instance list shows it as live for
+// many more seconds. It must get no new attempts, from this instance or from peers that received
+// the digest, and the attempts that run there must still be able to end.
 #[test]
 fn choose_never_takes_a_server_that_said_it_leaves() {
     let mut fixture = Fixture::new(3);
@@ -102,7 +103,7 @@
     fixture
         .table
         .end_attempt(now, leaving, 100, Outcome::Success, false);
-    // Two peers that tell each other do not keep the word alive for ever.
+    // Two peers that exchange digests must not keep the notice alive for ever.
     let later = Instant::from_millis(130_000);
     peer.table.merge(later, &fixture.table.digest(later));
     peer.table.tick(later);
@@ -112,14 +113,14 @@
 #[test]
 fn choose_skips_a_server_gone_from_the_list() {
     let mut fixture = Fixture::new(3);
-    let shown = [fixture.keys[0], fixture.keys[2]];
-    fixture.list(500, &shown);
+    let listed_keys = [fixture.keys[0], fixture.keys[2]];
+    fixture.list(500, &listed_keys);
     assert!((0..100).all(|_| fixture.choose(600, None) != Some(1)));
 }
 
-// One server becomes ten times slower while its peers are well. It is found by
-// comparison and ejected, comes back on probation one attempt at a time, is
-// ejected again while it is slow, and gets its share once it is well.
+// One server becomes ten times slower than the others. It must be ejected, return on probation with
+// one attempt at a time, be ejected again while it is slow, and get its share again once it has
+// recovered.
 #[test]
 fn tick_ejects_a_slow_server_and_takes_it_back() {
     let mut fixture = Fixture::new(6);
@@ -128,22 +129,25 @@
         for step in 0..2_000 {
             let now = from_ms + step * 10;
             let seconds = move |index| if index == 0 { slow } else { 0.1 };
-            let ended = move |index| (seconds(index), Outcome::Success);
-            taken += usize::from(fixture.attempt(now, ended) == 0);
+            let outcome = move |index| (seconds(index), Outcome::Success);
+            taken += usize::from(fixture.attempt(now, outcome) == 0);
             if step % 50 == 0 {
                 fixture.table.tick(Instant::from_millis(now));
             }
         }
         taken
     };
-    assert!(share(&mut fixture, 0, 0.1) > 200, "it is well");
-    assert!(share(&mut fixture, 20_000, 1.0) < 100, "it is slow");
+    assert!(share(&mut fixture, 0, 0.1) > 200, "the server is healthy");
+    assert!(share(&mut fixture, 20_000, 1.0) < 100, "the server is slow");
     share(&mut fixture, 200_000, 0.1);
-    assert!(share(&mut fixture, 220_000, 0.1) > 200, "it is well again");
+    assert!(
+        share(&mut fixture, 220_000, 0.1) > 200,
+        "the server has recovered"
+    );
 }
 
-// Every server fails: the cause is common (a bad network, a bad version).
-// Ejecting them all would leave none for the first that recovers.
+// Every server fails from a common cause, such as the network or a bad version. If all were
+// ejected, the first server that recovers would get no work.
 #[test]
 fn end_attempt_keeps_the_floor_when_all_fail() {
     let mut fixture = Fixture::new(6);
@@ -159,10 +163,10 @@
     assert!(fixture.table.usable(fixture.fleet).len() >= 4);
 }
 
-// Nine instances read the same report, in which one server stands idle. If each
-// sends everything there until the next report, it is flooded.
+// Nine instances read the same report, in which one server is idle. If each of them sent all
+// requests there until the next report, the server would be flooded.
 #[test]
-fn choose_with_one_stale_report_makes_no_herd() {
+fn choose_with_one_stale_report_does_not_herd() {
     let mut sent = [0_u32; 6];
     for instance in 0..9 {
         let mut fixture = Fixture::new(6);
@@ -192,9 +196,9 @@
             sent[index] += 1;
         }
     }
-    // Level would be 22 more on the idle one; all 90 would be the herd.
+    // An even load would be 22 more on the idle server; herding would send it all 90.
     assert!(sent[0] >= 15, "the idle server gets more: {sent:?}");
-    assert!(sent[0] <= 36, "but not all: {sent:?}");
+    assert!(sent[0] <= 36, "but not all requests: {sent:?}");
 }
 
 #[test]
@@ -214,12 +218,12 @@
     }
     assert!(
         early[3] > 0 && early[3] < 30,
-        "a fair share would be 75: {early:?}"
+        "an equal share would be 75: {early:?}"
     );
 }
 
-// One prefix has most of the load. Its home keeps it while it can; what exceeds
-// the bound goes elsewhere.
+// One prefix has most of the load. Its home server must get it up to the load bound, and other
+// servers what exceeds the bound.
 #[test]
 fn choose_keeps_a_prefix_home_within_its_bound() {
     let mut fixture = Fixture::new(6);
@@ -251,23 +255,25 @@
             match fixture.rng.random_range(0..10) {
                 0..5 => {
                     let index = fixture.choose(step * 20, Some(step % 7)).expect("a server");
-                    let clear = fixture.table.start_attempt(now, fixture.keys[index], 100);
-                    running.push((index, clear));
+                    let has_free_slot = fixture.table.start_attempt(now, fixture.keys[index], 100);
+                    running.push((index, has_free_slot));
                 }
                 5..9 if !running.is_empty() => {
                     let at = fixture.rng.random_range(0..running.len());
-                    let (index, clear) = running.swap_remove(at);
-                    let well = fixture.rng.random::<f64>() < 0.6;
+                    let (index, has_free_slot) = running.swap_remove(at);
+                    let success = fixture.rng.random::<f64>() < 0.6;
                     let key = fixture.keys[index];
-                    if well {
-                        fixture.table.record_first_token(now, key, 0.1, clear);
+                    if success {
+                        fixture
+                            .table
+                            .record_first_token(now, key, 0.1, has_free_slot);
                     }
-                    let ended = if well {
+                    let outcome = if success {
                         Outcome::Success
                     } else {
                         Outcome::Failure
                     };
-                    fixture.table.end_attempt(now, key, 100, ended, well);
+                    fixture.table.end_attempt(now, key, 100, outcome, success);
                 }
                 _ => fixture.table.tick(now),
             }
