--- a/crates/core/src/admission/rate.rs
+++ b/crates/core/src/admission/rate.rs
@@ -184,7 +184,7 @@
 
     /// Merges a digest from a peer. A digest that is not newer than the last one is ignored, so
     /// repeated and reordered messages change nothing. After a restart the peer's clock starts
-    /// again; a digest that is older by more than [`PEER_EXPIRY_MS`] therefore counts as newer.
+    /// again; a digest that is older by more than `PEER_EXPIRY_MS` therefore counts as newer.
     pub fn merge(&mut self, names: &Names, now: Instant, from: &str, digest: &Digest) {
         if let Some(known) = self.peers.get(from) {
             let restarted = digest.at.saturating_add(PEER_EXPIRY_MS) < known.at;
--- a/crates/core/src/attempt/pools.rs
+++ b/crates/core/src/attempt/pools.rs
@@ -171,7 +171,7 @@
 
     /// Merges a digest from a peer. A digest that is not newer than the last one is ignored. After
     /// a restart the peer's clock starts again; a digest that is older by more than
-    /// [`Self::PEER_EXPIRY_MS`] therefore counts as newer.
+    /// `PEER_EXPIRY_MS` therefore counts as newer.
     pub fn merge(&mut self, names: &Names, now: Instant, from: &str, digest: &Digest) {
         if let Some(known) = self.peers.get(from) {
             let restarted = digest.at.saturating_add(Self::PEER_EXPIRY_MS) < known.at;
