--- a/crates/core/benches/load/main.rs
+++ b/crates/core/benches/load/main.rs
@@ -1,9 +1,10 @@
-//! What callers get under load, against the baselines, over several seeds.
+//! Service that callers get under load, compared with baselines over several
+//! seeds.
 //!
 //! `cargo bench -p fescuerack-core --bench load [-- <part of a name>]` prints
-//! tables of means with the least and greatest value over the seeds; baseline
-//! and product run in the same process on the same load. The queue model is
-//! that of `fescuerack-replay`; time is simulated, so figures repeat exactly.
+//! tables of means with the minimum and maximum over the seeds. Baseline and
+//! product run in the same process on the same load. The queue model is that of
+//! `fescuerack-replay`. Time is simulated, so the figures are reproducible.
 
 mod pacing;
 mod store;
@@ -18,17 +19,17 @@
     Admission, Choice, Crowd, Fault, Figures, Kind, Policy, Retry, Scenario, Stream, run,
 };
 
-/// Seeds of every measurement.
+/// Seeds of each measurement.
 const SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
-/// Mean milliseconds for which a chat request of [`chat`] holds a slot: 80 to
-/// the first token, 50 of prompt, 60 tokens of 58 ms (the mean of the
-/// lognormal is 1.083 of its median).
+/// Mean milliseconds for which a request of [`chat`] holds a slot: 80 ms to the
+/// first token, 50 ms for the prompt and 60 tokens of 58 ms each (the mean of
+/// the lognormal distribution is 1.083 times its median).
 const CHAT_MS: f64 = 80.0 + 50.0 + 60.0 * 1.083 * 58.0;
-/// The same for a request of [`long`].
+/// Mean milliseconds for which a request of [`long`] holds a slot.
 const LONG_MS: f64 = 80.0 + 300.0 + 600.0 * 1.083 * 58.0;
 
 fn main() {
-    let wanted = std::env::args().skip(1).find(|word| !word.starts_with('-'));
+    let filter = std::env::args().skip(1).find(|arg| !arg.starts_with('-'));
     let parts: [(&str, fn()); 11] = [
         ("saturation", saturation),
         ("long", long_among_short),
@@ -40,20 +41,21 @@
         ("crowd", crowd),
         ("fleet", fleet),
         ("rates", rates),
-        ("store", store::back),
+        ("store", store::recovery),
     ];
     for (name, part) in parts {
-        if wanted
+        if filter
             .as_ref()
-            .is_none_or(|wanted| name.contains(wanted.as_str()))
+            .is_none_or(|filter| name.contains(filter.as_str()))
         {
             part();
         }
     }
 }
 
-/// Twelve servers of today's matching fleet before nine instances.
-fn today() -> Scenario {
+/// Returns the base scenario: the matching fleet of twelve servers behind nine
+/// instances.
+fn base_scenario() -> Scenario {
     Scenario {
         seconds: 150,
         warm_s: 50,
@@ -62,7 +64,7 @@
     }
 }
 
-/// Chat that takes a share of the capacity of `scenario`.
+/// Returns chat requests that use a share of the capacity of `scenario`.
 fn chat(scenario: &Scenario, share: f64) -> Stream {
     let slots = float(scenario.servers) * f64::from(scenario.slots);
     Stream {
@@ -72,7 +74,7 @@
     }
 }
 
-/// Long work that takes a share of the capacity.
+/// Returns long requests that use a share of the capacity of `scenario`.
 fn long(scenario: &Scenario, share: f64) -> Stream {
     let slots = float(scenario.servers) * f64::from(scenario.slots);
     Stream {
@@ -94,7 +96,7 @@
     }
 }
 
-/// Figures over seeds.
+/// Figures of one scenario over all seeds.
 #[derive(Default)]
 struct Spread {
     values: BTreeMap<&'static str, Vec<f64>>,
@@ -119,53 +121,53 @@
         spread
     }
 
-    fn heading(&self, first: &str) {
+    fn print_heading(&self, first: &str) {
         println!("| {first} | {} |", self.order.join(" | "));
         println!("|---|{}", "---:|".repeat(self.order.len()));
     }
 
-    fn line(&self, label: &str) {
+    fn print_row(&self, label: &str) {
         let cell = |name: &&str| {
             let values = &self.values[*name];
             let mean = values.iter().sum::<f64>() / float(values.len());
-            let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-            let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-            let digits = if most >= 100.0 { 0 } else { 3 };
-            format!("{mean:.digits$} ({least:.digits$}–{most:.digits$})")
+            let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+            let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+            let digits = if max >= 100.0 { 0 } else { 3 };
+            format!("{mean:.digits$} ({min:.digits$}–{max:.digits$})")
         };
         let cells: Vec<_> = self.order.iter().map(cell).collect();
         println!("| {label} | {} |", cells.join(" | "));
     }
 }
 
-/// Prints one table; each line is a scenario with its label.
+/// Prints one table with a row for each labelled scenario.
 fn report(
     title: &str,
     first: &str,
-    lines: &[(String, Scenario)],
+    rows: &[(String, Scenario)],
     measure: impl Fn(&Figures) -> Vec<(&'static str, f64)> + Copy,
 ) {
     println!("\n### {title}\n");
-    for (index, (label, scenario)) in lines.iter().enumerate() {
+    for (index, (label, scenario)) in rows.iter().enumerate() {
         let spread = Spread::of(scenario, measure);
         if index == 0 {
-            spread.heading(first);
+            spread.print_heading(first);
         }
-        spread.line(label);
+        spread.print_row(label);
     }
 }
 
 fn saturation() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for times in [0.8, 1.2, 2.0, 5.0] {
         for (name, policy) in [("fifo", fifo()), ("fair", Policy::default())] {
-            let mut scenario = today();
+            let mut scenario = base_scenario();
             scenario.streams = vec![chat(&scenario, times)];
             scenario.policy = policy;
-            lines.push((format!("{times} × capacity, {name}"), scenario));
+            rows.push((format!("{times} × capacity, {name}"), scenario));
         }
     }
-    report("Saturation", "load", &lines, |figures| {
+    report("Saturation", "load", &rows, |figures| {
         let row = &figures.rows[0];
         let late = float(usize::try_from(row.late).unwrap_or(0));
         let offered = float(usize::try_from(row.offered).unwrap_or(1));
@@ -179,8 +181,8 @@
     });
 }
 
-/// Sum of the instances' limits over the slots of [`today`], in the counted
-/// time.
+/// Returns the sum of the instances' concurrency limits, divided by the slots of
+/// [`base_scenario`], averaged over the time that is counted.
 fn limits(figures: &Figures) -> f64 {
     let counted = figures.limits.iter().skip(50);
     let counted: Vec<_> = counted
@@ -190,10 +192,10 @@
 }
 
 fn long_among_short() {
-    let mut lines = Vec::new();
-    let mut alone = today();
+    let mut rows = Vec::new();
+    let mut alone = base_scenario();
     alone.streams = vec![chat(&alone, 0.4)];
-    lines.push(("chat alone, fair".to_owned(), alone.clone()));
+    rows.push(("chat alone, fair".to_owned(), alone.clone()));
     for times in [1.0, 3.0] {
         for (name, policy) in [("fifo", fifo()), ("fair", Policy::default())] {
             let mut scenario = alone.clone();
@@ -201,13 +203,13 @@
             scenario.warm_s = 200;
             scenario.streams.push(long(&alone, times));
             scenario.policy = policy;
-            lines.push((
+            rows.push((
                 format!("with long work of {times} × capacity, {name}"),
                 scenario,
             ));
         }
     }
-    report("Long work among short", "load", &lines, |figures| {
+    report("Long work among short", "load", &rows, |figures| {
         let row = figures.row("chat");
         let other = figures.rows.get(1);
         vec![
@@ -225,14 +227,14 @@
 }
 
 fn slow_server() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (name, choice) in [
         ("round robin", Choice::Round),
         ("two choices", Choice::Two),
         ("scored", Choice::Scored),
     ] {
         for slow in [1.0, 10.0] {
-            let mut scenario = today();
+            let mut scenario = base_scenario();
             scenario.streams = vec![chat(&scenario, 0.6)];
             scenario.streams[0].deadline_ms = 60_000;
             scenario.policy.choice = choice;
@@ -242,10 +244,10 @@
                 from_s: 40.0,
                 to_s: 150.0,
             }];
-            lines.push((format!("{name}, one server {slow} × slower"), scenario));
+            rows.push((format!("{name}, one server {slow} × slower"), scenario));
         }
     }
-    report("One slow server", "choice", &lines, |figures| {
+    report("One slow server", "choice", &rows, |figures| {
         let row = &figures.rows[0];
         vec![
             ("first p95 ms", row.first_ms(0.95)),
@@ -257,9 +259,9 @@
 }
 
 fn greedy() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (name, policy) in [("fifo", fifo()), ("fair", Policy::default())] {
-        let mut scenario = today();
+        let mut scenario = base_scenario();
         let base = chat(&scenario, 1.0);
         scenario.streams = (0..10)
             .map(|index| Stream {
@@ -270,12 +272,12 @@
             })
             .collect();
         scenario.policy = policy;
-        lines.push((
+        rows.push((
             format!("one organisation of ten sends 4 of 5, {name}"),
             scenario,
         ));
     }
-    report("A greedy organisation", "load", &lines, |figures| {
+    report("A greedy organisation", "load", &rows, |figures| {
         let shares = figures.shares();
         let worst = shares.values().copied().fold(f64::INFINITY, f64::min);
         let others = &figures.rows[1];
@@ -287,9 +289,9 @@
             ("small: first p99 ms", others.first_ms(0.99)),
         ]
     });
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (name, policy) in [("fifo", fifo()), ("fair", Policy::default())] {
-        let mut scenario = today();
+        let mut scenario = base_scenario();
         let base = chat(&scenario, 1.0);
         let greedy = Stream {
             name: "script".to_owned(),
@@ -304,12 +306,12 @@
         };
         scenario.streams = vec![greedy, parents];
         scenario.policy = policy;
-        lines.push((format!("one session sends 10 of 11, {name}"), scenario));
+        rows.push((format!("one session sends 10 of 11, {name}"), scenario));
     }
     report(
         "A greedy caller of one organisation",
         "load",
-        &lines,
+        &rows,
         |figures| {
             let parents = figures.row("parents");
             vec![
@@ -322,14 +324,14 @@
 }
 
 fn prefix() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (name, choice) in [
         ("round robin", Choice::Round),
         ("two choices", Choice::Two),
         ("scored, no homes", Choice::Blind),
         ("scored", Choice::Scored),
     ] {
-        let mut scenario = today();
+        let mut scenario = base_scenario();
         scenario.cached = 60;
         scenario.streams = vec![chat(&scenario, 0.6)];
         let stream = &mut scenario.streams[0];
@@ -337,9 +339,9 @@
         stream.skew = 1.5;
         stream.prompt = 2_000;
         scenario.policy.choice = choice;
-        lines.push((name.to_owned(), scenario));
+        rows.push((name.to_owned(), scenario));
     }
-    report("Prefix homes", "choice", &lines, |figures| {
+    report("Prefix homes", "choice", &rows, |figures| {
         let row = &figures.rows[0];
         let computed = 1.0 - 0.9 * row.hit_rate();
         vec![
@@ -355,15 +357,15 @@
 fn busiest(figures: &Figures) -> f64 {
     let sum: f64 = figures.servers.iter().sum();
     let mean = sum / float(figures.servers.len());
-    let most = figures.servers.iter().copied().fold(0.0, f64::max);
-    most / mean.max(1e-9)
+    let max = figures.servers.iter().copied().fold(0.0, f64::max);
+    max / mean.max(1e-9)
 }
 
 fn failing() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for share in [0.02, 0.3, 1.0] {
         for (name, retry) in [("three retries", Retry::Three), ("budget", Retry::Budget)] {
-            let mut scenario = today();
+            let mut scenario = base_scenario();
             scenario.streams = vec![chat(&scenario, 0.7)];
             scenario.policy.retry = retry;
             scenario.faults = vec![Fault {
@@ -372,13 +374,13 @@
                 from_s: 60.0,
                 to_s: 90.0,
             }];
-            lines.push((
+            rows.push((
                 format!("{share} of attempts fail for 30 s, {name}"),
                 scenario,
             ));
         }
     }
-    report("A failing pool", "load", &lines, |figures| {
+    report("A failing pool", "load", &rows, |figures| {
         let row = &figures.rows[0];
         let failed = float(usize::try_from(row.failed).unwrap_or(0));
         let offered = float(usize::try_from(row.offered).unwrap_or(1));
@@ -391,7 +393,7 @@
 }
 
 fn lost_third() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (name, policy) in [
         (
             "fifo, two choices, three retries",
@@ -404,7 +406,7 @@
         ),
         ("product", Policy::default()),
     ] {
-        let mut scenario = today();
+        let mut scenario = base_scenario();
         scenario.streams = vec![chat(&scenario, 0.8)];
         scenario.policy = policy;
         scenario.faults = vec![Fault {
@@ -413,12 +415,12 @@
             from_s: 60.0,
             to_s: 100.0,
         }];
-        lines.push((name.to_owned(), scenario));
+        rows.push((name.to_owned(), scenario));
     }
     report(
         "A third of the pool lost for 40 s at 0.8 of capacity",
         "policy",
-        &lines,
+        &rows,
         |figures| {
             let row = &figures.rows[0];
             let failed = float(usize::try_from(row.failed).unwrap_or(0));
@@ -434,21 +436,21 @@
 }
 
 fn crowd() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (name, policy) in [("fifo", fifo()), ("fair", Policy::default())] {
-        let mut scenario = today();
+        let mut scenario = base_scenario();
         scenario.streams = vec![chat(&scenario, 0.7), chat(&scenario, 2.0)];
         "burst".clone_into(&mut scenario.streams[1].name);
         scenario.streams[1].from_s = 60.0;
         scenario.streams[1].to_s = 80.0;
         scenario.crowd = Crowd { returns: 10 };
         scenario.policy = policy;
-        lines.push((
+        rows.push((
             format!("burst of 20 s whose callers come back, {name}"),
             scenario,
         ));
     }
-    report("A retrying crowd", "load", &lines, |figures| {
+    report("A retrying crowd", "load", &rows, |figures| {
         let row = figures.row("burst");
         let refusals = float(usize::try_from(row.refusals).unwrap_or(0));
         let offered = float(usize::try_from(row.offered).unwrap_or(1));
@@ -462,35 +464,29 @@
 }
 
 fn fleet() {
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for (nodes, servers) in [(9, 12), (340, 910)] {
         for lag_ms in [1_000, 5_000] {
             for (name, choice) in [("two choices", Choice::Two), ("scored", Choice::Scored)] {
-                lines.push(fleet_line(nodes, servers, lag_ms, name, choice, 12.0));
+                rows.push(fleet_row(nodes, servers, lag_ms, name, choice, 12.0));
             }
         }
     }
     for subset in [8.0, 16.0, 32.0, 64.0, 910.0] {
-        lines.push(fleet_line(
-            340,
-            910,
-            1_000,
-            "scored",
-            Choice::Scored,
-            subset,
-        ));
+        rows.push(fleet_row(340, 910, 1_000, "scored", Choice::Scored, subset));
     }
-    // As the instances read them: one engine a second, twelve in turn.
+    // The interval of real instances: each reads one engine a second, twelve in
+    // turn.
     for (nodes, servers) in [(9, 12), (340, 910)] {
         let (label, mut scenario) =
-            fleet_line(nodes, servers, 1_000, "scored", Choice::Scored, 12.0);
+            fleet_row(nodes, servers, 1_000, "scored", Choice::Scored, 12.0);
         scenario.report_ms = 12_000;
-        lines.push((format!("{label}, read every 12 s"), scenario));
+        rows.push((format!("{label}, read every 12 s"), scenario));
     }
     report(
         "Stale views and subsets at 0.7 of capacity",
         "fleet",
-        &lines,
+        &rows,
         |figures| {
             let row = &figures.rows[0];
             vec![
@@ -502,7 +498,7 @@
     );
 }
 
-fn fleet_line(
+fn fleet_row(
     nodes: usize,
     servers: usize,
     lag_ms: u64,
@@ -517,7 +513,7 @@
         slots: if servers > 100 { 8 } else { 32 },
         seconds: if servers > 100 { 40 } else { 100 },
         warm_s: 20,
-        ..today()
+        ..base_scenario()
     };
     scenario.streams = vec![chat(&scenario, 0.7)];
     scenario.policy.choice = choice;
@@ -529,8 +525,8 @@
     (label, scenario)
 }
 
-/// An organisation sends three times its limit of 1,000 a second through all
-/// instances, then through a tenth of them.
+/// Measures a rate limit: an organisation sends three times its limit of 1,000
+/// requests a second through all instances, and then through a tenth of them.
 fn rates() {
     println!("\n### A limit of 1,000 requests a second across instances\n");
     println!(
@@ -542,9 +538,9 @@
             let passed = rate_run(instances, lag_s);
             let mean =
                 |from: usize, to: usize| passed[from..to].iter().sum::<usize>() / (to - from);
-            let most = passed.iter().max().copied().unwrap_or(0);
+            let max = passed.iter().max().copied().unwrap_or(0);
             println!(
-                "| {instances}, {lag_s} s | {most} | {} | {} |",
+                "| {instances}, {lag_s} s | {max} | {} | {} |",
                 mean(20, 60),
                 mean(90, 120)
             );
@@ -560,14 +556,14 @@
     for instance in &mut instances {
         instance.track(Instant::ORIGIN, organisation, LIMIT, count);
     }
-    let mut told = VecDeque::new();
+    let mut in_transit = VecDeque::new();
     let mut passed = Vec::new();
     for second in 0..120_u64 {
         let now = Instant::from_millis(second * 1_000 + 1);
         let digests: Vec<_> = instances.iter().map(|it| it.digest(&names, now)).collect();
-        told.push_back(digests);
-        if told.len() > usize::try_from(lag_s).unwrap_or(0) {
-            for (from, digest) in told.pop_front().into_iter().flatten().enumerate() {
+        in_transit.push_back(digests);
+        if in_transit.len() > usize::try_from(lag_s).unwrap_or(0) {
+            for (from, digest) in in_transit.pop_front().into_iter().flatten().enumerate() {
                 for (index, instance) in instances.iter_mut().enumerate() {
                     if index != from {
                         instance.merge(&names, now, &from.to_string(), &digest);
--- a/crates/core/benches/load/pacing.rs
+++ b/crates/core/benches/load/pacing.rs
@@ -1,19 +1,19 @@
-//! Pacing of recovery: how fast waiting work goes on when something is back.
+//! Pacing of recovery: the rate at which a backlog is sent after an outage.
 //!
-//! The pattern: the store was out for a minute, and every instance holds
-//! writes that it tries again and again. The moment the store is back all of
-//! them arrive together; at several hundred writes a second the store answers
-//! late, clients time out and send again, and the outage goes on by itself.
+//! The store was unavailable for a minute, and every instance holds writes that
+//! it retries. When the store returns, all of them arrive together. At several
+//! hundred writes a second the store answers late, clients time out and send
+//! again, and the overload sustains itself.
 //!
-//! [`Backoff`] spreads the tries while it is out. [`Drain`] lets the backlog go
-//! in bounded batches and stops while earlier ones are unanswered. Both ideas
-//! are those of the Relier paper ("bounded scan batch", "recovery-queue
-//! backpressure"). The first is supported where the batches of all instances
-//! together stay under what the other side serves; the second shortens the
-//! recovery from a batch twice too large and does not save one twenty times
-//! too large (docs/BENCHMARKS.md). The product bounds the rate of each instance
-//! in its store client (`core::store`), which comes to the same as the bounded
-//! batch; the brake is not in the product.
+//! [`Backoff`] spreads the attempts during the outage. [`Drain`] sends the
+//! backlog in bounded batches and pauses while earlier ones are unanswered. Both
+//! ideas are from the Relier paper ("bounded scan batch", "recovery-queue
+//! backpressure"). The results support the bounded batch where the batches of
+//! all instances together stay below the capacity of the store. Backpressure
+//! shortens the recovery from a batch that is twice too large and does not save
+//! one that is twenty times too large (docs/BENCHMARKS.md). The product bounds
+//! the rate of each instance in its store client (`core::store`), which is
+//! equivalent to the bounded batch. It does not use backpressure.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 
 use fescuerack_core::clock::Instant;
 
-/// When to try something again that is out.
+/// Exponential backoff with jitter for calls to an unavailable service.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     pause_ms: u64,
@@ -35,34 +35,35 @@
 
 impl Backoff {
     /// Milliseconds of the first pause.
-    const LEAST_MS: u64 = 100;
-    /// Milliseconds of the longest pause: the time by which recovery may be
-    /// noticed late.
-    const MOST_MS: u64 = 2_000;
+    const MIN_MS: u64 = 100;
+    /// Milliseconds of the longest pause, which is also the maximum delay until
+    /// a recovery is noticed.
+    const MAX_MS: u64 = 2_000;
 
     /// Returns a backoff before its first pause.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            pause_ms: Self::LEAST_MS,
+            pause_ms: Self::MIN_MS,
         }
     }
 
-    /// Returns the pause before the next try: random between the least and
-    /// three times the last, so that those who failed together spread apart.
+    /// Returns the pause before the next attempt, random between the minimum and
+    /// three times the last pause, so that clients that failed together spread
+    /// out.
     pub fn next<R: Rng>(&mut self, rng: &mut R) -> Duration {
-        let upper = (self.pause_ms * 3).min(Self::MOST_MS);
-        self.pause_ms = rng.random_range(Self::LEAST_MS..=upper);
+        let upper = (self.pause_ms * 3).min(Self::MAX_MS);
+        self.pause_ms = rng.random_range(Self::MIN_MS..=upper);
         Duration::from_millis(self.pause_ms)
     }
 
     /// Starts over after a success.
     pub fn reset(&mut self) {
-        self.pause_ms = Self::LEAST_MS;
+        self.pause_ms = Self::MIN_MS;
     }
 }
 
-/// Lets a backlog go in bounded batches.
+/// Sends a backlog in bounded batches.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     batch: usize,
@@ -74,7 +75,7 @@
     /// Milliseconds between two batches.
     const PERIOD_MS: u64 = 1_000;
 
-    /// Creates a drain of at most `batch` pieces a second.
+    /// Creates a drain of at most `batch` items a second.
     #[must_use]
     pub fn new(batch: usize) -> Self {
         Self {
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Returns how many of `waiting` pieces may go now. While pieces of the
-    /// last batch are unanswered, only the remainder of a batch may: the other
-    /// side is slower than expected and more would queue there.
+    /// Returns how many of `waiting` items may be sent now. While items of
+    /// earlier batches are unanswered, only the rest of a batch may be sent: the
+    /// store is slower than expected, and more would queue there.
     pub fn take(&mut self, now: Instant, waiting: usize) -> usize {
         if now < self.due {
             return 0;
@@ -100,13 +101,16 @@
         taken
     }
 
-    /// Counts a piece that was answered or given up.
+    /// Records that an item was answered or abandoned.
     ///
     /// # Panics
     ///
-    /// When more pieces are answered than were taken.
+    /// When more items are answered than were sent.
     pub fn answered(&mut self) {
-        assert!(self.unanswered > 0, "a piece was answered that never left");
+        assert!(
+            self.unanswered > 0,
+            "an item was answered that was never sent"
+        );
         self.unanswered -= 1;
     }
 }
--- a/crates/core/benches/load/store.rs
+++ b/crates/core/benches/load/store.rs
@@ -1,4 +1,4 @@
-//! The store's return to writes that gathered while it was out.
+//! Recovery of the store with a backlog of writes from an outage.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,10 +10,11 @@
 
 use crate::pacing::{Backoff, Drain};
 
-/// The store returns after an outage in which 340 instances have gathered 60
-/// writes each. It serves 500 a second; a write that is not answered within a
-/// second is sent again, and the store serves both.
-pub fn back() {
+/// Measures the recovery of the store after an outage in which 340 instances
+/// have collected 60 writes each. The store serves 500 writes a second. A write
+/// that is not answered within a second is sent again, and the store serves
+/// both.
+pub fn recovery() {
     println!("\n### The store returns to 340 × 60 writes at 500 a second\n");
     println!("| policy | s until all are kept | served per write | longest wait s |");
     println!("|---|---:|---:|---:|");
@@ -31,27 +32,27 @@
 
 fn drive(batch: Option<(usize, bool)>) -> (f64, f64, f64) {
     const STEP_MS: u64 = 10;
-    const SERVED: usize = 5;
+    const SERVED_PER_STEP: usize = 5;
     let mut clients: Vec<Client> = (0..340).map(|seed| Client::new(batch, seed)).collect();
-    // Each entry: client, piece, when it was sent.
+    // Client, item and time of sending of each request.
     let mut queue: VecDeque<(usize, usize, Instant)> = VecDeque::new();
     let (mut served, mut wait, mut now) = (0, 0.0_f64, Instant::ORIGIN);
     while clients.iter().any(|client| !client.is_done()) && now < Instant::from_millis(600_000) {
         now = now.plus_millis(STEP_MS);
         for (index, client) in clients.iter_mut().enumerate() {
-            for piece in client.send(now) {
-                queue.push_back((index, piece, now));
+            for item in client.send(now) {
+                queue.push_back((index, item, now));
             }
         }
-        for _ in 0..SERVED {
-            let Some((client, piece, sent)) = queue.pop_front() else {
+        for _ in 0..SERVED_PER_STEP {
+            let Some((client, item, sent)) = queue.pop_front() else {
                 break;
             };
             served += 1;
             wait = wait.max(now.since(sent).as_secs_f64());
-            // An answer after the time-out finds nobody.
+            // The client ignores an answer after its time-out.
             if now.since(sent).as_secs_f64() < 1.0 {
-                clients[client].answered(piece);
+                clients[client].answered(item);
             }
         }
     }
@@ -62,11 +63,11 @@
 /// An instance with a backlog of writes.
 struct Client {
     drain: Option<Drain>,
-    brake: bool,
+    has_backpressure: bool,
     unsent: Vec<usize>,
     sent: BTreeMap<usize, Instant>,
     backoff: Backoff,
-    resend: Instant,
+    resend_at: Instant,
     rng: Pcg64Mcg,
 }
 
@@ -74,11 +75,11 @@
     fn new(batch: Option<(usize, bool)>, seed: u64) -> Self {
         Self {
             drain: batch.map(|(size, _)| Drain::new(size)),
-            brake: batch.is_some_and(|(_, brake)| brake),
+            has_backpressure: batch.is_some_and(|(_, has_backpressure)| has_backpressure),
             unsent: (0..60).collect(),
             sent: BTreeMap::new(),
             backoff: Backoff::new(),
-            resend: Instant::ORIGIN,
+            resend_at: Instant::ORIGIN,
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
@@ -88,42 +89,42 @@
     }
 
     fn send(&mut self, now: Instant) -> Vec<usize> {
-        let late = |sent: &Instant| now >= sent.plus_millis(1_000);
-        if self.brake && self.sent.values().any(late) {
-            // One pause for all of them, growing while they stay unanswered.
-            if now < self.resend {
+        let is_late = |sent: &Instant| now >= sent.plus_millis(1_000);
+        if self.has_backpressure && self.sent.values().any(is_late) {
+            // One pause for all items, which grows while they stay unanswered.
+            if now < self.resend_at {
                 return Vec::new();
             }
-            self.resend = now + Duration::from_secs(1) + self.backoff.next(&mut self.rng);
+            self.resend_at = now + Duration::from_secs(1) + self.backoff.next(&mut self.rng);
         } else if self.sent.is_empty() {
             self.backoff.reset();
         }
-        let mut pieces: Vec<usize> = self
+        let mut items: Vec<usize> = self
             .sent
             .iter()
-            .filter(|(_, sent)| late(sent))
-            .map(|(piece, _)| *piece)
+            .filter(|(_, sent)| is_late(sent))
+            .map(|(item, _)| *item)
             .collect();
         let waiting = self.unsent.len();
         let more = match &mut self.drain {
             None => waiting,
             Some(drain) => drain.take(now, waiting),
         };
-        if !self.brake
+        if !self.has_backpressure
             && let Some(drain) = &mut self.drain
         {
             (0..more).for_each(|_| drain.answered());
         }
-        pieces.extend(self.unsent.split_off(waiting - more));
-        for piece in &pieces {
-            self.sent.insert(*piece, now);
+        items.extend(self.unsent.split_off(waiting - more));
+        for item in &items {
+            self.sent.insert(*item, now);
         }
-        pieces
+        items
     }
 
-    fn answered(&mut self, piece: usize) {
-        if self.sent.remove(&piece).is_some()
-            && self.brake
+    fn answered(&mut self, item: usize) {
+        if self.sent.remove(&item).is_some()
+            && self.has_backpressure
             && let Some(drain) = &mut self.drain
         {
             drain.answered();
