--- a/crates/core/tests/all/fleet.rs
+++ b/crates/core/tests/all/fleet.rs
@@ -5,7 +5,7 @@
 
 use fescuerack_config::{Catalog, Folder, Merged, Names, key};
 use fescuerack_core::clock::Instant;
-use fescuerack_core::rollout::{Act, Board, Digest, Event, Record, Verdict};
+use fescuerack_core::rollout::{Digest, Event, Record, Registry, StoreWrite, Verdict};
 use fescuerack_core::session;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
@@ -59,7 +59,7 @@
 pub struct Fleet {
     pub names: Names,
     pub catalog: Catalog,
-    pub boards: Vec<Board>,
+    pub boards: Vec<Registry>,
     pub store: Store,
     pub rng: Pcg64Mcg,
     pub model: key::Model,
@@ -98,10 +98,10 @@
         fleet
     }
 
-    fn board(&mut self, now: Instant) -> Board {
+    fn board(&mut self, now: Instant) -> Registry {
         self.starts += 1;
-        let mut board = Board::new(&format!("instance-{}", self.starts));
-        board.with_peers(u32::try_from(self.boards.len().max(1)).expect("a small fleet"));
+        let mut board = Registry::new(&format!("instance-{}", self.starts));
+        board.set_instances(u32::try_from(self.boards.len().max(1)).expect("a small fleet"));
         board.configure(now, &self.catalog, &self.names);
         board
     }
@@ -123,7 +123,7 @@
     pub fn start(&self, now: Instant, index: usize, session: &[u8]) -> key::Version {
         let share = self.boards[index].share(now, self.model);
         let share = share.expect("a roll-out");
-        session::start(share, session::position(MODEL, session))
+        session::starting_version(share, session::position(MODEL, session))
     }
 
     /// Records an event of a version at an instance.
@@ -136,19 +136,19 @@
     pub fn sync(&mut self, now: Instant, index: usize) -> bool {
         let board = &mut self.boards[index];
         if let Some((_, record)) = self.store.get(MODEL) {
-            board.kept(MODEL, &record);
-            if board.adopt(now, MODEL, &record) {
+            board.set_stored_record(MODEL, &record);
+            if board.merge_stored_record(now, MODEL, &record) {
                 board.configure(now, &self.catalog, &self.names);
             }
         }
         let mut stepped = false;
         for act in board.decide(now) {
-            let (Act::Keep(model) | Act::Step(model, ..)) = &act;
+            let (StoreWrite::Halts(model) | StoreWrite::Step(model, ..)) = &act;
             let Some((version, mut record)) = self.store.get(model) else {
                 continue;
             };
             record.merge(&board.record(model));
-            if let Act::Step(_, candidate, step) = &act {
+            if let StoreWrite::Step(_, candidate, step) = &act {
                 if record.halted(candidate, step.word).is_some() {
                     continue;
                 }
@@ -156,8 +156,8 @@
                 stepped = true;
             }
             if self.store.swap(model, version, record.clone()) {
-                board.kept(model, &record);
-                if board.adopt(now, model, &record) {
+                board.set_stored_record(model, &record);
+                if board.merge_stored_record(now, model, &record) {
                     board.configure(now, &self.catalog, &self.names);
                 }
             }
@@ -209,14 +209,14 @@
     /// Returns the active stage at an instance.
     pub fn stage(&self, index: usize) -> usize {
         self.boards[index]
-            .trial(self.model)
+            .canary(self.model)
             .map_or(0, |trial| trial.stage)
     }
 
     /// Returns the verdict from the evidence of an instance.
     pub fn verdict(&self, now: Instant, index: usize) -> Verdict {
         self.boards[index]
-            .verdict_of(now, self.model)
+            .verdict(now, self.model)
             .expect("a trial")
     }
 }
--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -120,11 +120,7 @@
                 self.fleet
                     .observe(self.now, index, self.fleet.candidate, event);
             }
-<<<<<<< HEAD
-            Op::Gossip(from, to) => self.fleet.tell(self.now, from, to),
-=======
-            Op::Tell(from, to) => self.fleet.send(self.now, from, to),
->>>>>>> admission
+            Op::Gossip(from, to) => self.fleet.send(self.now, from, to),
             Op::Sync(index) => {
                 let stepped = self.fleet.sync(self.now, index);
                 assert!(
