--- a/crates/core/src/rollout/registry/mod.rs
+++ b/crates/core/src/rollout/registry/mod.rs
@@ -135,7 +135,7 @@
 
     /// Returns the version split of new sessions; `None` when the model has no roll-out.
     ///
-    /// The candidate's share is 0 until the records have been received, after the candidate has been
+    /// The candidate's share is 0 until the records have been received, after it has been
     /// withdrawn, and while too many of its answers are unrated.
     #[must_use]
     pub fn share(&self, now: Instant, model: key::Model) -> Option<Share> {
