--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,12 +5,12 @@
 //! trace. Each module defines its own state, messages and invariants; a violated invariant stops
 //! the process.
 
+pub mod activation;
 pub mod admission;
 pub mod attempt;
 pub mod cascade;
 pub mod claim;
 pub mod clock;
-pub mod force;
 pub mod ledger;
 pub mod member;
 pub mod num;
