--- a/crates/core/src/attempt/mod.rs
+++ b/crates/core/src/attempt/mod.rs
@@ -10,7 +10,8 @@
 //! to each other, so attempts do not multiply between layers.
 //!
 //! A request that is not idempotent gets a further attempt only while it has certainly not run, and
-//! is never hedged ([`hedge`]). [`Attempts::start`] panics rather than run it twice.
+//! is never hedged ([`hedge`]). [`Attempts::start`] stops the process by a panic rather than run it
+//! twice.
 
 pub mod budget;
 pub mod hedge;
--- a/crates/core/src/route/server.rs
+++ b/crates/core/src/route/server.rs
@@ -69,7 +69,7 @@
 }
 
 impl Server {
-    /// Creates a server that is listed for the first time. `joined` is when it joined, if this
+    /// Creates a server that is listed for the first time. `joined_at` is when it joined, if this
     /// instance already had servers then.
     pub(super) fn new(
         now: Instant,
