--- a/crates/core/benches/versions/sessions.rs
+++ b/crates/core/benches/versions/sessions.rs
@@ -92,7 +92,7 @@
             Means::Memory | Means::Peers => self.memories[index].known.get(&session).copied(),
             Means::Token => self.tokens.get(&session).copied(),
         };
-        let board = &self.fleet.boards[index];
+        let board = &self.fleet.registries[index];
         let withdrawn = |version| board.is_withdrawn(version);
         let place = session::place(pinned, withdrawn, || Ok::<_, ()>(fresh));
         let version = place.expect("an open version").version();
--- a/crates/core/tests/all/fleet.rs
+++ b/crates/core/tests/all/fleet.rs
@@ -59,7 +59,7 @@
 pub struct Fleet {
     pub names: Names,
     pub catalog: Catalog,
-    pub boards: Vec<Registry>,
+    pub registries: Vec<Registry>,
     pub store: Store,
     pub rng: Pcg64Mcg,
     pub model: key::Model,
@@ -82,15 +82,15 @@
             server: names.servers.intern("server-0"),
             names,
             catalog,
-            boards: Vec::new(),
+            registries: Vec::new(),
             store: Store::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             starts: 0,
             sent: Vec::new(),
         };
         for _ in 0..count {
-            let board = fleet.board(Instant::ORIGIN);
-            fleet.boards.push(board);
+            let registry = fleet.registry(Instant::ORIGIN);
+            fleet.registries.push(registry);
         }
         for index in 0..count {
             fleet.sync(Instant::ORIGIN, index);
@@ -98,56 +98,56 @@
         fleet
     }
 
-    fn board(&mut self, now: Instant) -> Registry {
+    fn registry(&mut self, now: Instant) -> Registry {
         self.starts += 1;
-        let mut board = Registry::new(&format!("instance-{}", self.starts));
-        board.set_instances(u32::try_from(self.boards.len().max(1)).expect("a small fleet"));
-        board.configure(now, &self.catalog, &self.names);
-        board
+        let mut registry = Registry::new(&format!("instance-{}", self.starts));
+        registry.set_instances(u32::try_from(self.registries.len().max(1)).expect("a small fleet"));
+        registry.configure(now, &self.catalog, &self.names);
+        registry
     }
 
     /// Replaces an instance by one with empty state.
     pub fn restart(&mut self, now: Instant, index: usize) {
-        self.boards[index] = self.board(now);
+        self.registries[index] = self.registry(now);
     }
 
     /// Activates another configuration file on all instances.
     pub fn accept(&mut self, now: Instant, file: &str) {
         self.catalog = compile(self.catalog.revision + 1, file, &mut self.names);
-        for board in &mut self.boards {
-            board.configure(now, &self.catalog, &self.names);
+        for registry in &mut self.registries {
+            registry.configure(now, &self.catalog, &self.names);
         }
     }
 
     /// Returns the version that a new session starts on at an instance.
     pub fn start(&self, now: Instant, index: usize, session: &[u8]) -> key::Version {
-        let share = self.boards[index].share(now, self.model);
+        let share = self.registries[index].share(now, self.model);
         let share = share.expect("a roll-out");
         session::start(share, session::position(MODEL, session))
     }
 
     /// Records an event of a version at an instance.
     pub fn observe(&mut self, now: Instant, index: usize, version: key::Version, event: Event) {
-        self.boards[index].observe(now, version, event);
+        self.registries[index].observe(now, version, event);
     }
 
     /// Lets one instance read the store, decide and write what must persist. Returns whether it
     /// made a roll-out step.
     pub fn sync(&mut self, now: Instant, index: usize) -> bool {
-        let board = &mut self.boards[index];
+        let registry = &mut self.registries[index];
         if let Some((_, record)) = self.store.get(MODEL) {
-            board.set_stored_record(MODEL, &record);
-            if board.merge_stored_record(now, MODEL, &record) {
-                board.configure(now, &self.catalog, &self.names);
+            registry.set_stored_record(MODEL, &record);
+            if registry.merge_stored_record(now, MODEL, &record) {
+                registry.configure(now, &self.catalog, &self.names);
             }
         }
         let mut stepped = false;
-        for act in board.decide(now) {
+        for act in registry.decide(now) {
             let (StoreWrite::Halts(model) | StoreWrite::Step(model, ..)) = &act;
             let Some((version, mut record)) = self.store.get(model) else {
                 continue;
             };
-            record.merge(&board.record(model));
+            record.merge(&registry.record(model));
             if let StoreWrite::Step(_, candidate, step) = &act {
                 if record.halted(candidate, step.word).is_some() {
                     continue;
@@ -156,9 +156,9 @@
                 stepped = true;
             }
             if self.store.swap(model, version, record.clone()) {
-                board.set_stored_record(model, &record);
-                if board.merge_stored_record(now, model, &record) {
-                    board.configure(now, &self.catalog, &self.names);
+                registry.set_stored_record(model, &record);
+                if registry.merge_stored_record(now, model, &record) {
+                    registry.configure(now, &self.catalog, &self.names);
                 }
             }
         }
@@ -167,7 +167,7 @@
 
     /// Sends each instance a digest of one random other instance.
     pub fn gossip(&mut self, now: Instant) {
-        let count = self.boards.len();
+        let count = self.registries.len();
         for index in 0..count {
             let other = self.rng.random_range(0..count);
             if other != index {
@@ -178,7 +178,10 @@
 
     /// Sends the digest of one instance to another; about one message in ten is an old one.
     pub fn send(&mut self, now: Instant, from: usize, to: usize) {
-        let mut digest = (self.boards[from].records(), self.boards[from].digest());
+        let mut digest = (
+            self.registries[from].records(),
+            self.registries[from].digest(),
+        );
         if !self.sent.is_empty() && self.rng.random_bool(0.1) {
             let old = self.rng.random_range(0..self.sent.len());
             digest = std::mem::replace(&mut self.sent[old], digest);
@@ -188,34 +191,34 @@
         let (records, digest) = digest;
         let mut changed = false;
         for (model, record) in &records {
-            changed |= self.boards[to].merge_peer_record(now, model, record);
+            changed |= self.registries[to].merge_peer_record(now, model, record);
         }
-        self.boards[to].merge(now, &digest);
+        self.registries[to].merge(now, &digest);
         if changed {
-            self.boards[to].configure(now, &self.catalog, &self.names);
+            self.registries[to].configure(now, &self.catalog, &self.names);
         }
     }
 
     /// Returns whether an instance treats the candidate as withdrawn.
     pub fn is_halted(&self, index: usize) -> bool {
-        self.boards[index].is_withdrawn(self.candidate)
+        self.registries[index].is_withdrawn(self.candidate)
     }
 
     /// Returns whether all instances treat the candidate as withdrawn.
     pub fn is_halted_everywhere(&self) -> bool {
-        (0..self.boards.len()).all(|index| self.is_halted(index))
+        (0..self.registries.len()).all(|index| self.is_halted(index))
     }
 
     /// Returns the active stage at an instance.
     pub fn stage(&self, index: usize) -> usize {
-        self.boards[index]
+        self.registries[index]
             .canary(self.model)
             .map_or(0, |canary| canary.stage)
     }
 
     /// Returns the verdict from the evidence of an instance.
     pub fn verdict(&self, now: Instant, index: usize) -> Verdict {
-        self.boards[index]
+        self.registries[index]
             .verdict(now, self.model)
             .expect("a canary")
     }
--- a/crates/core/tests/all/replay.rs
+++ b/crates/core/tests/all/replay.rs
@@ -166,7 +166,7 @@
                 self.fleet.gossip(self.now);
             }
             if second % 5 == 0 {
-                for index in 0..self.fleet.boards.len() {
+                for index in 0..self.fleet.registries.len() {
                     self.fleet.sync(self.now, index);
                 }
             }
@@ -185,7 +185,7 @@
         if traffic.sessions == 0 {
             return fresh;
         }
-        let board = &self.fleet.boards[index];
+        let board = &self.fleet.registries[index];
         let pinned = self.pins.get(&session).copied();
         let place = session::place(
             pinned,
@@ -212,7 +212,8 @@
     }
 
     fn request(&mut self, traffic: &Traffic) {
-        let index = usize::try_from(self.requests).expect("few requests") % self.fleet.boards.len();
+        let index =
+            usize::try_from(self.requests).expect("few requests") % self.fleet.registries.len();
         self.requests += 1;
         let version = self.place(traffic, index);
         let mut quality = traffic.current;
@@ -246,7 +247,7 @@
     }
 
     fn expect(&self, expect: &Expect) {
-        let all = 0..self.fleet.boards.len();
+        let all = 0..self.fleet.registries.len();
         if let Some(halted) = expect.halted {
             assert_eq!(self.fleet.is_halted_everywhere(), halted);
             for index in all.clone() {
@@ -254,7 +255,7 @@
             }
         }
         if let Some(cause) = expect.cause {
-            let record = self.fleet.boards[0].record(MODEL);
+            let record = self.fleet.registries[0].record(MODEL);
             assert_eq!(record.halts["m@2"].cause, cause);
         }
         if let Some(stage) = expect.stage {
@@ -280,7 +281,7 @@
             assert_eq!(u64::try_from(found), Ok(twice));
         }
         if let Some(share) = expect.share_of_candidate {
-            let found = self.fleet.boards[0].share(self.now, self.fleet.model);
+            let found = self.fleet.registries[0].share(self.now, self.fleet.model);
             let found = found
                 .expect("a roll-out")
                 .candidate
--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -138,14 +138,14 @@
 
     fn check(&mut self, before: Option<&fescuerack_core::rollout::Record>) {
         for index in 0..INSTANCES {
-            let record = self.fleet.boards[index].record(MODEL);
+            let record = self.fleet.registries[index].record(MODEL);
             let halted = record.halts.get("m@2").map_or(0, |halt| halt.word);
             assert!(
                 halted >= self.known[index],
                 "instance {index} forgot a halt"
             );
             self.known[index] = halted;
-            let share = self.fleet.boards[index].share(self.now, self.fleet.model);
+            let share = self.fleet.registries[index].share(self.now, self.fleet.model);
             let part = share
                 .expect("a roll-out")
                 .candidate
@@ -170,9 +170,9 @@
                 self.fleet.sync(self.now, index);
             }
         }
-        let first = self.fleet.boards[0].record(MODEL);
+        let first = self.fleet.registries[0].record(MODEL);
         for index in 1..INSTANCES {
-            let record = self.fleet.boards[index].record(MODEL);
+            let record = self.fleet.registries[index].record(MODEL);
             assert_eq!(record, first, "instance {index} disagrees");
             assert_eq!(self.fleet.stage(index), self.fleet.stage(0));
         }
