--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::tier;
+use fescuerack_core::routed::escalation;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use rand::RngExt as _;
@@ -142,7 +142,7 @@
         .count_request(now());
     let mut progress = RequestProgress::default();
     if job.head.any_model {
-        progress.model = tier::first(job.route.models.len());
+        progress.model = escalation::first(job.route.models.len());
     }
     let until = deadline(job.deadline);
     let run_attempts = run_attempts(node, &job, &service, &mut progress);
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use fescuerack_core::routed::pace::Pace;
-use fescuerack_core::routed::{home, tier};
+use fescuerack_core::routed::slowness::Pace;
+use fescuerack_core::routed::{affinity, escalation};
 use http_body_util::{BodyExt as _, Limited};
 use hyper::{HeaderMap, Response, StatusCode};
 
@@ -87,7 +87,7 @@
 ) -> Option<usize> {
     let models = job.route.models.len();
     let pressure = pick::pressure(node, job, service, models.checked_sub(1)?).unwrap_or_default();
-    let next = tier::next(models, rank, confidence, pressure);
+    let next = escalation::next(models, rank, confidence, pressure);
     tracing::info!(
         event = "judged-answer",
         id = job.head.id,
@@ -166,7 +166,7 @@
 #[must_use]
 pub fn latency_class(job: &Job, model: Option<usize>) -> u64 {
     let model = u64::try_from(model.unwrap_or_default()).unwrap_or_default();
-    home::mix(home::hash(job.route.name.as_bytes()) ^ model)
+    affinity::mix(affinity::hash(job.route.name.as_bytes()) ^ model)
 }
 
 /// Returns a response with the status and headers of the backend server's response and `body`.
