--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -209,7 +209,7 @@
         .map(|(rank, server)| Candidate {
             identity: server.identity,
             load: server.work + others.work(now, server.identity),
-            places: server.entry.concurrency,
+            places: server.entry.slots,
             is_near: *server.entry.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
             is_suited: route.models.len() < 2 || affinity::suits(rank, count, is_light),
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -219,7 +219,7 @@
     /// Version of its software.
     pub version: Arc<str>,
     /// Number of requests that it runs concurrently.
-    pub concurrency: u32,
+    pub slots: u32,
     /// State.
     pub state: ServerState,
     /// Models that it has loaded; empty if the entry does not state them.
