--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -209,7 +209,7 @@
         .map(|(rank, server)| Candidate {
             identity: server.identity,
             load: server.work + others.work(now, server.identity),
-            slots: server.entry.concurrency,
+            slots: server.entry.slots,
             is_same_zone: *server.entry.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
             is_in_pool: route.models.len() < 2 || affinity::matches_pool(rank, count, is_light),
