--- a/crates/core/benches/versions/cascade.rs
+++ b/crates/core/benches/versions/cascade.rs
@@ -1,4 +1,4 @@
-//! Cost at the quality target on the users' mixes.
+//! Cost of meeting the quality target on the request mixes of the users.
 
 use std::path::Path;
 
@@ -13,15 +13,15 @@
 
 const REQUESTS: u32 = 40_000;
 /// Share of direct answers that are rated.
-const SAMPLED: f64 = 0.1;
-/// Standard deviation of the rating service's own error.
+const RATED_SHARE: f64 = 0.1;
+/// Standard deviation of the error of the rating service.
 const RATING_ERROR: f64 = 0.03;
-/// Standard deviation of answers' quality about their mean.
-const SPREAD: f64 = 0.09;
-/// By how much the configuration's expectation may be wrong.
-const WRONG: f64 = 0.03;
-/// Threshold of the static cascade.
-const STATIC: f64 = 0.8;
+/// Standard deviation of the quality of answers about their mean.
+const QUALITY_DEVIATION: f64 = 0.09;
+/// Maximum error of the quality that the configuration states.
+const MAX_PRIOR_ERROR: f64 = 0.03;
+/// Acceptance threshold of the static cascade.
+const STATIC_THRESHOLD: f64 = 0.8;
 
 /// Class, share of requests, input and output tokens.
 type Mix = [(&'static str, f64, u64, u64); 3];
@@ -44,12 +44,13 @@
     target: f64,
     cascades: bool,
     cheap: key::Version,
-    dear: key::Version,
-    /// True mean quality of both.
-    truth: [f64; 2],
+    expensive: key::Version,
+    /// True mean quality of the cheap and the expensive version.
+    true_quality: [f64; 2],
 }
 
-struct Market {
+/// A deployment with its request mix.
+struct Workload {
     names: Names,
     catalog: Catalog,
     jobs: Vec<Job>,
@@ -59,13 +60,13 @@
     (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0
 }
 
-fn draw(rng: &mut Pcg64Mcg, mean: f64) -> f64 {
-    // Narrow enough that the cut at 1 does not lower the mean.
-    let spread = SPREAD.min((1.0 - mean) / 2.5);
-    (mean + spread * normal(rng)).clamp(0.0, 1.0)
+fn sample_quality(rng: &mut Pcg64Mcg, mean: f64) -> f64 {
+    // Narrow enough that clamping at 1 does not lower the mean.
+    let deviation = QUALITY_DEVIATION.min((1.0 - mean) / 2.5);
+    (mean + deviation * normal(rng)).clamp(0.0, 1.0)
 }
 
-impl Market {
+impl Workload {
     fn new(folder: &str, mix: &Mix, models: [&str; 2], rng: &mut Pcg64Mcg) -> Self {
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../examples")
@@ -80,20 +81,20 @@
                 .get(&format!("{model}@1"))
                 .expect("a version")
         };
-        let [cheap, dear] = models.map(version);
+        let [cheap, expensive] = models.map(version);
         let mut jobs = Vec::new();
         for (name, share, input, output) in *mix {
             let class = names.classes.get(name).expect("a class");
             let entry = &catalog.classes[class];
-            let truth = [cheap, dear].map(|version| {
-                let wrong = rng.random_range(-WRONG..WRONG);
-                // A world in which no version meets the target has no best.
-                let least = if version == dear {
+            let true_quality = [cheap, expensive].map(|version| {
+                let error = rng.random_range(-MAX_PRIOR_ERROR..MAX_PRIOR_ERROR);
+                // If no version met the target, there would be no best plan.
+                let min = if version == expensive {
                     entry.quality + 0.01
                 } else {
                     0.0
                 };
-                (catalog.quality(version, class) + wrong).max(least)
+                (catalog.quality(version, class) + error).max(min)
             });
             jobs.push(Job {
                 class,
@@ -103,8 +104,8 @@
                 target: entry.quality,
                 cascades: entry.cascade,
                 cheap,
-                dear,
-                truth,
+                expensive,
+                true_quality,
             });
         }
         Self {
@@ -122,16 +123,16 @@
     }
 
     fn job(&self, rng: &mut Pcg64Mcg) -> &Job {
-        let mut dice = rng.random::<f64>();
+        let mut remaining = rng.random::<f64>();
         let found = self.jobs.iter().find(|job| {
-            dice -= job.share;
-            dice < 0.0
+            remaining -= job.share;
+            remaining < 0.0
         });
         found.unwrap_or(&self.jobs[0])
     }
 
-    /// Mean cost of the cheapest plan that meets the target, for who knows the
-    /// true qualities and each answer's.
+    /// Returns the mean cost of the cheapest plan that meets the target, given
+    /// the true quality of the versions and of each answer.
     fn best(&self, rng: &mut Pcg64Mcg) -> f64 {
         self.jobs
             .iter()
@@ -140,23 +141,25 @@
     }
 
     fn best_of(&self, job: &Job, rng: &mut Pcg64Mcg) -> f64 {
-        let mut best = self.cost(job.dear, job);
-        if job.truth[0] >= job.target {
+        let mut best = self.cost(job.expensive, job);
+        if job.true_quality[0] >= job.target {
             return self.cost(job.cheap, job);
         }
         if !job.cascades {
             return best;
         }
-        let mut draws: Vec<f64> = (0..20_000).map(|_| draw(rng, job.truth[0])).collect();
-        draws.sort_by(f64::total_cmp);
-        let count = f64::from(u32::try_from(draws.len()).expect("few"));
-        let total: f64 = draws.iter().sum();
+        let mut samples: Vec<f64> = (0..20_000)
+            .map(|_| sample_quality(rng, job.true_quality[0]))
+            .collect();
+        samples.sort_by(f64::total_cmp);
+        let count = f64::from(u32::try_from(samples.len()).expect("few"));
+        let total: f64 = samples.iter().sum();
         let mut below = 0.0;
-        for (position, quality) in draws.iter().enumerate() {
+        for (position, quality) in samples.iter().enumerate() {
             let escalated = f64::from(u32::try_from(position).expect("few")) / count;
-            let mean = (total - below) / count + escalated * job.truth[1];
+            let mean = (total - below) / count + escalated * job.true_quality[1];
             if mean >= job.target {
-                let cost = self.cost(job.cheap, job) + escalated * self.cost(job.dear, job);
+                let cost = self.cost(job.cheap, job) + escalated * self.cost(job.expensive, job);
                 best = best.min(cost);
                 break;
             }
@@ -176,11 +179,11 @@
 }
 
 impl Totals {
-    fn add(&mut self, place: usize, job: &Job, cost: f64, quality: f64) {
+    fn add(&mut self, job_index: usize, job: &Job, cost: f64, quality: f64) {
         self.cost += cost;
         self.below += f64::from(u8::from(quality < job.target));
-        self.quality[place] += quality;
-        self.count[place] += 1.0;
+        self.quality[job_index] += quality;
+        self.count[job_index] += 1.0;
     }
 
     fn per_request(&self) -> f64 {
@@ -191,35 +194,36 @@
         100.0 * self.below / self.count.iter().sum::<f64>()
     }
 
-    /// By how much the worst class's mean lies above its target.
-    fn margin(&self, market: &Market) -> f64 {
-        let classes = market.jobs.iter().enumerate();
-        let above =
-            classes.map(|(place, job)| self.quality[place] / self.count[place] - job.target);
+    /// Returns how far the mean of the worst class lies above its target.
+    fn margin(&self, workload: &Workload) -> f64 {
+        let classes = workload.jobs.iter().enumerate();
+        let above = classes
+            .map(|(job_index, job)| self.quality[job_index] / self.count[job_index] - job.target);
         above.fold(f64::INFINITY, f64::min)
     }
 }
 
-/// Which third of the run has no ratings.
-fn learned(market: &Market, rng: &mut Pcg64Mcg, gone: bool) -> Totals {
-    let mut board = Registry::new("one");
-    board.configure(Instant::ORIGIN, &market.catalog, &market.names);
+/// Runs the learned policy. With `has_outage`, there are no ratings in the middle
+/// third of the run.
+fn learned(workload: &Workload, rng: &mut Pcg64Mcg, has_outage: bool) -> Totals {
+    let mut registry = Registry::new("one");
+    registry.configure(Instant::ORIGIN, &workload.catalog, &workload.names);
     let mut learner = Learner::new("one");
-    let dear = market.jobs[0].dear;
-    let mut organisations = market.catalog.organisations.iter();
+    let expensive = workload.jobs[0].expensive;
+    let mut organisations = workload.catalog.organisations.iter();
     let (organisation, _) = organisations
-        .find(|(_, entry)| entry.allowed.contains(&dear))
+        .find(|(_, entry)| entry.allowed.contains(&expensive))
         .expect("an organisation that may use all");
     let mut totals = Totals::default();
     for count in 0..REQUESTS {
         let now = Instant::from_millis(u64::from(count) * 100);
-        let down = gone && count > REQUESTS / 3 && count < 2 * REQUESTS / 3;
-        let job = market.job(rng);
-        let place = market
+        let is_down = has_outage && count > REQUESTS / 3 && count < 2 * REQUESTS / 3;
+        let job = workload.job(rng);
+        let job_index = workload
             .jobs
             .iter()
             .position(|other| other.class == job.class)
-            .expect("its place");
+            .expect("the job is in the workload");
         let session = count.to_be_bytes();
         let request = Request {
             organisation,
@@ -231,134 +235,139 @@
             input_tokens: job.input,
             random: rng.random(),
         };
-        let world = Context {
-            catalog: &market.catalog,
-            names: &market.names,
-            rollouts: &board,
+        let context = Context {
+            catalog: &workload.catalog,
+            names: &workload.names,
+            rollouts: &registry,
             learner: &learner,
             now,
         };
-        let Ok(choice) = choose(world, request) else {
+        let Ok(choice) = choose(context, request) else {
             totals.refused += 1.0;
             continue;
         };
         let plan = choice.plans[0];
         let rate = |learner: &mut Learner, version, quality: f64, rng: &mut Pcg64Mcg| {
-            if down {
+            if is_down {
                 learner.record_rating_failure(now);
                 return None;
             }
             let rating = (quality + RATING_ERROR * normal(rng)).clamp(0.0, 1.0);
             learner.record_rating_ms(100.0);
-            learner.record_rating(&market.catalog, job.class, version, rating);
+            learner.record_rating(&workload.catalog, job.class, version, rating);
             Some(rating)
         };
-        let truth = |version| {
-            if version == job.dear {
-                job.truth[1]
+        let true_quality = |version| {
+            if version == job.expensive {
+                job.true_quality[1]
             } else {
-                job.truth[0]
+                job.true_quality[0]
             }
         };
         let (cost, quality) = match plan.steps {
             Steps::Direct(version) => {
-                let quality = draw(rng, truth(version));
-                if rng.random_bool(SAMPLED) {
+                let quality = sample_quality(rng, true_quality(version));
+                if rng.random_bool(RATED_SHARE) {
                     rate(&mut learner, version, quality, rng);
                 }
-                (market.cost(version, job), quality)
+                (workload.cost(version, job), quality)
             }
             Steps::Cascade {
                 first,
                 second,
                 accept,
             } => {
-                let quality = draw(rng, truth(first));
+                let quality = sample_quality(rng, true_quality(first));
                 let rating = rate(&mut learner, first, quality, rng);
-                let cost = market.cost(first, job);
+                let cost = workload.cost(first, job);
                 if rating.is_some_and(|rating| rating >= accept) {
                     (cost, quality)
                 } else {
-                    let instead = draw(rng, truth(second));
-                    if rng.random_bool(SAMPLED) {
-                        rate(&mut learner, second, instead, rng);
+                    let escalated = sample_quality(rng, true_quality(second));
+                    if rng.random_bool(RATED_SHARE) {
+                        rate(&mut learner, second, escalated, rng);
                     }
-                    (cost + market.cost(second, job), instead)
+                    (cost + workload.cost(second, job), escalated)
                 }
             }
         };
         let tokens = u32::try_from(job.output).expect("few");
         learner.record_answer(job.class, plan.first(), 500.0, tokens);
-        totals.add(place, job, cost, quality);
+        totals.add(job_index, job, cost, quality);
     }
     totals
 }
 
-fn strongest(market: &Market, rng: &mut Pcg64Mcg) -> Totals {
+fn strongest(workload: &Workload, rng: &mut Pcg64Mcg) -> Totals {
     let mut totals = Totals::default();
     for _ in 0..REQUESTS {
-        let job = market.job(rng);
-        let place = market
+        let job = workload.job(rng);
+        let job_index = workload
             .jobs
             .iter()
             .position(|other| other.class == job.class)
-            .expect("its place");
+            .expect("the job is in the workload");
         totals.add(
-            place,
+            job_index,
             job,
-            market.cost(job.dear, job),
-            draw(rng, job.truth[1]),
+            workload.cost(job.expensive, job),
+            sample_quality(rng, job.true_quality[1]),
         );
     }
     totals
 }
 
-fn cheap_first(market: &Market, rng: &mut Pcg64Mcg) -> Totals {
+fn cheap_first(workload: &Workload, rng: &mut Pcg64Mcg) -> Totals {
     let mut totals = Totals::default();
     for _ in 0..REQUESTS {
-        let job = market.job(rng);
-        let place = market
+        let job = workload.job(rng);
+        let job_index = workload
             .jobs
             .iter()
             .position(|other| other.class == job.class)
-            .expect("its place");
-        let quality = draw(rng, job.truth[0]);
-        let cost = market.cost(job.cheap, job);
+            .expect("the job is in the workload");
+        let quality = sample_quality(rng, job.true_quality[0]);
+        let cost = workload.cost(job.cheap, job);
         let rating = quality + RATING_ERROR * normal(rng);
-        if !job.cascades || rating >= STATIC {
-            totals.add(place, job, cost, quality);
+        if !job.cascades || rating >= STATIC_THRESHOLD {
+            totals.add(job_index, job, cost, quality);
         } else {
-            let cost = cost + market.cost(job.dear, job);
-            totals.add(place, job, cost, draw(rng, job.truth[1]));
+            let cost = cost + workload.cost(job.expensive, job);
+            totals.add(
+                job_index,
+                job,
+                cost,
+                sample_quality(rng, job.true_quality[1]),
+            );
         }
     }
     totals
 }
 
 pub fn run() {
-    let worlds: [(&str, &Mix, [&str; 2]); 2] = [
+    let workloads: [(&str, &Mix, [&str; 2]); 2] = [
         ("hoivapolku", &HOIVAPOLKU, ["kaisla-mini", "kaisla-max"]),
         ("opozivnik", &OPOZIVNIK, ["skica", "dosje"]),
     ];
     println!(
         "mix | policy | cost per request over the offline best | over always-strongest | worst class's mean above its target | answers below target | refused"
     );
-    for (name, mix, models) in worlds {
+    for (name, mix, models) in workloads {
         let mut rows: [[Vec<f64>; 5]; 4] = Default::default();
         for seed in SEEDS {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
-            let market = Market::new(name, mix, models, &mut rng);
-            let best = market.best(&mut rng);
-            let dear = strongest(&market, &mut rng);
+            let workload = Workload::new(name, mix, models, &mut rng);
+            let best = workload.best(&mut rng);
+            let expensive = strongest(&workload, &mut rng);
             let runs = [
-                learned(&market, &mut rng, false),
-                learned(&market, &mut rng, true),
-                cheap_first(&market, &mut rng),
+                learned(&workload, &mut rng, false),
+                learned(&workload, &mut rng, true),
+                cheap_first(&workload, &mut rng),
             ];
-            for (row, totals) in rows.iter_mut().zip(runs.iter().chain([&dear])) {
+            for (row, totals) in rows.iter_mut().zip(runs.iter().chain([&expensive])) {
                 row[0].push(totals.per_request() / best);
-                row[1].push(totals.per_request() / dear.per_request());
-                row[2].push(totals.margin(&market));
+                row[1].push(totals.per_request() / expensive.per_request());
+                row[2].push(totals.margin(&workload));
                 row[3].push(totals.share_below());
                 row[4].push(100.0 * totals.refused / f64::from(REQUESTS));
             }
--- a/crates/core/benches/versions/cost.rs
+++ b/crates/core/benches/versions/cost.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost an instance.
+//! Processor time of an instance's decisions about versions.
 
 use std::fmt::Write as _;
 use std::hint::black_box;
@@ -14,7 +14,7 @@
 
 const MODELS: usize = 10;
 const INSTANCES: usize = 340;
-const TURNS: u32 = 20_000;
+const CALLS_PER_RUN: u32 = 20_000;
 
 fn setup() -> (Names, Catalog) {
     let mut file = String::from("models:\n");
@@ -51,15 +51,15 @@
     (names, catalog)
 }
 
-/// Microseconds of one call, over five runs.
+/// Returns the microseconds of one call, over five runs.
 fn time(mut call: impl FnMut(u32)) -> String {
     let runs: Vec<f64> = (0..5)
         .map(|_| {
             let start = Clock::now();
-            for turn in 0..TURNS {
-                call(turn);
+            for index in 0..CALLS_PER_RUN {
+                call(index);
             }
-            start.elapsed().as_secs_f64() * 1e6 / f64::from(TURNS)
+            start.elapsed().as_secs_f64() * 1e6 / f64::from(CALLS_PER_RUN)
         })
         .collect();
     spread(&runs)
@@ -68,24 +68,24 @@
 pub fn run() {
     let (names, catalog) = setup();
     let now = Instant::ORIGIN;
-    let mut boards: Vec<Registry> = (0..INSTANCES)
+    let mut registries: Vec<Registry> = (0..INSTANCES)
         .map(|index| Registry::new(&format!("{index:016x}")))
         .collect();
-    for board in &mut boards {
-        board.configure(now, &catalog, &names);
-        board.mark_informed();
+    for registry in &mut registries {
+        registry.configure(now, &catalog, &names);
+        registry.mark_informed();
         for (version, _) in names.versions.iter() {
-            board.observe(now, version, Event::Answered { late: false });
+            registry.observe(now, version, Event::Answered { late: false });
         }
     }
-    let mut board = boards.remove(0);
-    for peer in &mut boards {
+    let mut registry = registries.remove(0);
+    for peer in &mut registries {
         for _ in 0..MODELS {
-            board.merge(now, &peer.digest());
+            registry.merge(now, &peer.digest());
         }
     }
     let version = names.versions.get("m0@2").expect("a version");
-    let bytes = serde_json::to_string(&board.digest()).map_or(0, |text| text.len());
+    let bytes = serde_json::to_string(&registry.digest()).map_or(0, |text| text.len());
     println!("{MODELS} roll-outs, counts of {INSTANCES} instances; microseconds");
     println!("digest: {bytes} bytes");
     let rated = Event::Rated {
@@ -94,26 +94,26 @@
     };
     println!(
         "observe an answer: {}",
-        time(|_| board.observe(now, version, rated))
+        time(|_| registry.observe(now, version, rated))
     );
     println!(
         "judge all roll-outs: {}",
-        time(|_| drop(black_box(board.decide(now))))
+        time(|_| drop(black_box(registry.decide(now))))
     );
-    let digest = boards[7].digest();
-    println!("merge a digest: {}", time(|_| board.merge(now, &digest)));
+    let digest = registries[7].digest();
+    println!("merge a digest: {}", time(|_| registry.merge(now, &digest)));
     let learner = Learner::new("one");
-    let world = Context {
+    let context = Context {
         catalog: &catalog,
         names: &names,
-        rollouts: &board,
+        rollouts: &registry,
         learner: &learner,
         now,
     };
     let organisation = names.organisations.get("o").expect("an organisation");
     let class = names.classes.get("work").expect("a class");
-    let choice = time(|turn| {
-        let session = turn.to_be_bytes();
+    let choice = time(|index| {
+        let session = index.to_be_bytes();
         let request = Request {
             organisation,
             selector: Selector::Class(class),
@@ -124,7 +124,7 @@
             input_tokens: 500,
             random: 0.5,
         };
-        let _ = black_box(choose(world, request));
+        let _ = black_box(choose(context, request));
     });
     println!("choose among {MODELS} models with cascades: {choice}");
 }
--- a/crates/core/benches/versions/main.rs
+++ b/crates/core/benches/versions/main.rs
@@ -1,5 +1,5 @@
-//! Figures of the choice of versions, each against its baselines in the same
-//! run, over several seeds with their spread:
+//! Figures for the choice of versions, each compared with its baselines in the
+//! same run, with their range over several seeds:
 //! `cargo bench -p fescuerack-core --bench versions [-- rollouts|cascade|sessions|poison|cost]`.
 
 #[path = "../../tests/all/fleet.rs"]
@@ -11,24 +11,24 @@
 mod rollouts;
 mod sessions;
 
-/// Seeds of every figure.
+/// Seeds of each figure.
 pub const SEEDS: [u64; 5] = [1, 2, 3, 4, 5];
 
-/// Mean with the least and the greatest value.
+/// Returns the mean with the minimum and the maximum.
 ///
 /// # Panics
 ///
-/// Never: a figure has few values.
+/// When there are more than `u32::MAX` values, which no figure has.
 pub fn spread(values: &[f64]) -> String {
     let count = f64::from(u32::try_from(values.len()).expect("few values"));
     let mean = values.iter().sum::<f64>() / count;
-    let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    format!("{mean:.2} ({least:.2}..{most:.2})")
+    let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    format!("{mean:.2} ({min:.2}..{max:.2})")
 }
 
 fn main() {
-    let wanted: Vec<String> = std::env::args()
+    let filter: Vec<String> = std::env::args()
         .skip(1)
         .filter(|arg| !arg.starts_with('-'))
         .collect();
@@ -40,7 +40,7 @@
         ("poison", poison::run),
     ];
     for (name, run) in runs {
-        if wanted.is_empty() || wanted.iter().any(|wanted| wanted == name) {
+        if filter.is_empty() || filter.iter().any(|filter| filter == name) {
             println!("== {name}");
             run();
         }
--- a/crates/core/benches/versions/poison.rs
+++ b/crates/core/benches/versions/poison.rs
@@ -1,5 +1,4 @@
-//! Servers lost to a request that crashes them, and innocent requests that are
-//! condemned.
+//! Servers lost to a poison request, and harmless requests that are refused.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,25 +11,25 @@
 
 const INSTANCES: usize = 9;
 const SERVERS: u32 = 12;
-/// Times that a caller sends the request again.
+/// Number of times that a caller sends the request again.
 const RESENDS: u32 = 20;
-/// Milliseconds until a peer that is told at once has heard.
-const TOLD_MS: u64 = 20;
+/// Milliseconds until a peer receives a notification that is sent at once.
+const NOTIFICATION_MS: u64 = 20;
 
 struct Fleet {
     suspects: Vec<Suspects>,
     store: BTreeMap<Fingerprint, Record>,
-    down: bool,
+    is_store_down: bool,
     messages: Vec<(Instant, usize, fescuerack_core::poison::Digest)>,
     rng: Pcg64Mcg,
 }
 
 impl Fleet {
-    fn new(seed: u64, down: bool) -> Self {
+    fn new(seed: u64, is_store_down: bool) -> Self {
         Self {
             suspects: vec![Suspects::new(); INSTANCES],
             store: BTreeMap::new(),
-            down,
+            is_store_down,
             messages: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
@@ -50,14 +49,14 @@
         match self.suspects[index].judge(now, request) {
             Verdict::Run => true,
             Verdict::Refuse => false,
-            Verdict::Permit if self.down => true,
+            Verdict::Permit if self.is_store_down => true,
             Verdict::Permit => {
                 let record = self.store.get(&request).cloned().unwrap_or_default();
                 let lost = self.suspects[index].lost(request);
                 let taken = record.take(&format!("instance-{index}"), &lost);
-                let may = taken.is_some();
+                let is_permitted = taken.is_some();
                 self.store.extend(taken.map(|taken| (request, taken)));
-                may
+                is_permitted
             }
         }
     }
@@ -67,19 +66,25 @@
         let digest = self.suspects[index].digest(now);
         for other in (0..INSTANCES).filter(|other| *other != index) {
             self.messages
-                .push((now.plus_millis(TOLD_MS), other, digest.clone()));
+                .push((now.plus_millis(NOTIFICATION_MS), other, digest.clone()));
         }
     }
 
-    /// Runs a request as an instance does, up to three attempts; returns the
-    /// servers that it killed.
-    fn send(&mut self, now: &mut Instant, request: Fingerprint, kills: bool, guarded: bool) -> u32 {
+    /// Runs a request as an instance does, with up to three attempts. Returns
+    /// the number of servers that it crashed.
+    fn send(
+        &mut self,
+        now: &mut Instant,
+        request: Fingerprint,
+        is_poison: bool,
+        is_guarded: bool,
+    ) -> u32 {
         let index = self.rng.random_range(0..INSTANCES);
         let mut lost = 0;
         let mut tried = BTreeSet::new();
         for _ in 0..3 {
             self.deliver(*now);
-            if guarded && !self.may_run(*now, index, request) {
+            if is_guarded && !self.may_run(*now, index, request) {
                 break;
             }
             let server = self.rng.random_range(0..SERVERS);
@@ -87,7 +92,7 @@
                 continue;
             }
             *now = now.plus_millis(100);
-            if !kills {
+            if !is_poison {
                 self.suspects[index].survived(request);
                 break;
             }
@@ -129,8 +134,9 @@
     }
 }
 
-/// Concurrent copies: all are sent before anybody can have heard.
-fn concurrent() {
+/// Measures concurrent copies, all sent before any instance can have received a
+/// notification.
+fn concurrent_copies() {
     for copies in [2, 4] {
         let mut lost = Vec::new();
         for seed in SEEDS {
@@ -140,13 +146,13 @@
                 let request = Fingerprint(run + 1);
                 let now = Instant::from_millis(1);
                 let mut instances: Vec<usize> = (0..copies).map(|copy| copy % INSTANCES).collect();
-                // The first runs go out together, the second ones after the crash.
+                // The first attempts run together, the second ones after the crash.
                 for index in instances.clone() {
                     let later = now.plus_millis(100);
                     fleet.crashed(later, index, request, &format!("server-{index}"));
                     total += 1;
                 }
-                let after = now.plus_millis(100 + TOLD_MS);
+                let after = now.plus_millis(100 + NOTIFICATION_MS);
                 fleet.deliver(after);
                 instances.retain(|index| fleet.may_run(after, *index, request));
                 total += u32::try_from(instances.len()).expect("few");
@@ -160,8 +166,9 @@
     }
 }
 
-/// A server that crashes at random under innocent requests.
-fn condemned() {
+/// Measures harmless requests that are refused because servers crash at random
+/// while they run.
+fn refused_harmless() {
     println!(
         "innocent requests condemned per million, servers that crash at random under 8 requests each"
     );
@@ -170,28 +177,28 @@
         for seed in SEEDS {
             let mut fleet = Fleet::new(seed, false);
             let mut now = Instant::from_millis(1);
-            let chance = f64::from(per_thousand) / 1000.0;
+            let crash_probability = f64::from(per_thousand) / 1000.0;
             let (mut requests, mut refused) = (0_u32, 0_u32);
             let mut serial = 0;
             while requests < 200_000 {
                 now = now.plus_millis(100);
-                let crashes = fleet.rng.random_bool(chance);
-                for neighbour in 0..8 {
+                let is_crash = fleet.rng.random_bool(crash_probability);
+                for concurrent in 0..8 {
                     requests += 1;
                     serial += 1;
-                    if !crashes {
+                    if !is_crash {
                         continue;
                     }
                     let request = Fingerprint(serial);
-                    let index = neighbour % INSTANCES;
+                    let index = concurrent % INSTANCES;
                     fleet.crashed(now, index, request, &format!("server-{serial}"));
                     fleet.deliver(now);
                     assert!(
                         fleet.may_run(now, index, request),
-                        "one crash condemns nobody"
+                        "a request was refused after a single crash"
                     );
-                    // Each runs again with seven strangers on another server.
-                    if fleet.rng.random_bool(chance) {
+                    // Each runs again with seven unrelated requests on another server.
+                    if fleet.rng.random_bool(crash_probability) {
                         fleet.crashed(now, index, request, &format!("other-{serial}"));
                         refused += 1;
                     } else {
@@ -207,6 +214,6 @@
 
 pub fn run() {
     servers_lost();
-    concurrent();
-    condemned();
+    concurrent_copies();
+    refused_harmless();
 }
--- a/crates/core/benches/versions/rollouts.rs
+++ b/crates/core/benches/versions/rollouts.rs
@@ -1,4 +1,5 @@
-//! Bad answers before the halt, false halts, time to halt everywhere.
+//! Bad answers before a halt, false halts, and the time until a halt is active
+//! on all instances.
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::rollout::sequential_test::REJECT_LOG_EVIDENCE;
@@ -10,12 +11,12 @@
 use crate::{SEEDS, spread};
 
 /// Rate of bad answers of a good version.
-const USUAL: f64 = 0.02;
+const USUAL_BAD_RATE: f64 = 0.02;
 const SHARES: [f64; 5] = [0.01, 0.05, 0.2, 0.5, 1.0];
 /// Requests a second at night.
-const NIGHT: f64 = 0.5;
-/// Seconds of a stage when steps go by the clock.
-const CLOCK_S: u32 = 1800;
+const NIGHT_REQUEST_RATE: f64 = 0.5;
+/// Seconds of a stage when steps follow the clock.
+const CLOCK_STAGE_S: u32 = 1800;
 /// Seconds of a night.
 const NIGHT_S: u32 = 36_000;
 
@@ -31,41 +32,42 @@
         Self { names, catalog }
     }
 
-    fn board(&self) -> Registry {
-        let mut board = Registry::new("one");
-        board.configure(Instant::ORIGIN, &self.catalog, &self.names);
-        board.mark_informed();
-        board
+    fn registry(&self) -> Registry {
+        let mut registry = Registry::new("one");
+        registry.configure(Instant::ORIGIN, &self.catalog, &self.names);
+        registry.mark_informed();
+        registry
     }
 }
 
-/// Bad answers of the candidate beyond the usual ones, until the halt or until
-/// the night is over, and whether it was halted.
+/// Runs a night with a candidate whose rate of bad answers is `excess` above the
+/// usual one. Returns its bad answers beyond the usual ones until the halt or the
+/// end of the night, its answers, and whether it was halted.
 fn bad_night(setup: &Setup, rng: &mut Pcg64Mcg, excess: f64, rated: f64) -> (f64, f64, bool) {
     let current = setup.names.versions.get("m@1").expect("a version");
     let candidate = setup.names.versions.get("m@2").expect("a version");
     let model = setup.names.models.get("m").expect("a model");
-    let mut board = setup.board();
+    let mut registry = setup.registry();
     let (mut answers, mut bad) = (0.0, 0.0);
     let mut stage = 0;
     let mut entered = 0;
     for second in 0..NIGHT_S {
         let now = Instant::from_millis(u64::from(second) * 1000);
-        if !rng.random_bool(NIGHT) {
+        if !rng.random_bool(NIGHT_REQUEST_RATE) {
             continue;
         }
         let is_candidate = rng.random_bool(SHARES[stage]);
         let version = if is_candidate { candidate } else { current };
         let rate = if is_candidate {
-            (USUAL + excess).min(1.0)
+            (USUAL_BAD_RATE + excess).min(1.0)
         } else {
-            USUAL
+            USUAL_BAD_RATE
         };
         let is_bad = rng.random_bool(rate);
-        board.observe(now, version, Event::Answered { late: false });
+        registry.observe(now, version, Event::Answered { late: false });
         if rng.random_bool(if is_candidate { rated } else { 0.1 }) {
             let quality_milli = if is_bad { 300 } else { 900 };
-            board.observe(
+            registry.observe(
                 now,
                 version,
                 Event::Rated {
@@ -78,34 +80,35 @@
             answers += 1.0;
             bad += f64::from(u8::from(is_bad));
         }
-        match board.verdict(now, model) {
-            Some(Verdict::Halt(_)) => return (bad - answers * USUAL, answers, true),
+        match registry.verdict(now, model) {
+            Some(Verdict::Halt(_)) => return (bad - answers * USUAL_BAD_RATE, answers, true),
             Some(Verdict::Step)
                 if stage + 1 < SHARES.len()
                     && u64::from(second - entered) * 1000 >= MIN_DWELL_MS =>
             {
                 stage += 1;
                 entered = second;
-                let mut record = board.record("m");
+                let mut record = registry.record("m");
                 record.step("m@2", fescuerack_core::rollout::Step { word: 1, stage });
-                board.merge_stored_record(now, "m", &record);
+                registry.merge_stored_record(now, "m", &record);
             }
             _ => {}
         }
     }
-    (bad - answers * USUAL, answers, false)
+    (bad - answers * USUAL_BAD_RATE, answers, false)
 }
 
-/// The same with a step every half hour and no test.
+/// Returns the bad answers of such a night with a step every half hour and no
+/// test.
 fn clock_night(rng: &mut Pcg64Mcg, excess: f64) -> f64 {
     let mut bad = 0.0;
     for second in 0..NIGHT_S {
-        let stage = usize::try_from(second / CLOCK_S)
+        let stage = usize::try_from(second / CLOCK_STAGE_S)
             .unwrap_or(0)
             .min(SHARES.len() - 1);
-        if rng.random_bool(NIGHT)
+        if rng.random_bool(NIGHT_REQUEST_RATE)
             && rng.random_bool(SHARES[stage])
-            && rng.random_bool((USUAL + excess).min(1.0))
+            && rng.random_bool((USUAL_BAD_RATE + excess).min(1.0))
         {
             bad += 1.0;
         }
@@ -113,13 +116,13 @@
     bad
 }
 
-/// Bad answers that Wald's bound asks of any test with this evidence that
-/// knows both rates, beyond the usual ones.
+/// Returns Wald's lower bound on the bad answers, beyond the usual ones, that
+/// any test with this level of evidence needs even if both rates are known.
 fn lower_limit(excess: f64) -> f64 {
-    let worse = (USUAL + excess).min(0.999_999);
-    let divergence =
-        worse * (worse / USUAL).ln() + (1.0 - worse) * ((1.0 - worse) / (1.0 - USUAL)).ln();
-    REJECT_LOG_EVIDENCE / divergence * (worse - USUAL)
+    let worse = (USUAL_BAD_RATE + excess).min(0.999_999);
+    let divergence = worse * (worse / USUAL_BAD_RATE).ln()
+        + (1.0 - worse) * ((1.0 - worse) / (1.0 - USUAL_BAD_RATE)).ln();
+    REJECT_LOG_EVIDENCE / divergence * (worse - USUAL_BAD_RATE)
 }
 
 fn bad_answers() {
@@ -167,7 +170,8 @@
     values.iter().sum::<f64>() / f64::from(u32::try_from(values.len()).expect("few values"))
 }
 
-/// False halts in a thousand good roll-outs of 2,000 rated answers each.
+/// Measures false halts in a thousand good roll-outs of 2,000 rated answers
+/// each.
 fn false_halts() {
     println!("false halts per 1,000 good roll-outs of 2,000 rated answers, by exposure budget");
     for exposure in [5, 10, 20, 50, 1000] {
@@ -179,17 +183,17 @@
         for seed in SEEDS {
             let mut rng = Pcg64Mcg::seed_from_u64(seed);
             let halted = |rng: &mut Pcg64Mcg| {
-                let mut board = setup.board();
+                let mut registry = setup.registry();
                 for second in 0..4000_u64 {
                     let now = Instant::from_millis(second * 1000);
                     let version = if second % 2 == 0 { candidate } else { current };
-                    let bad = rng.random_bool(USUAL);
+                    let bad = rng.random_bool(USUAL_BAD_RATE);
                     let quality_milli = if bad { 300 } else { 900 };
-                    board.observe(now, version, Event::Answered { late: false });
-                    board.observe(now, version, Event::Rated { quality_milli, bad });
+                    registry.observe(now, version, Event::Answered { late: false });
+                    registry.observe(now, version, Event::Rated { quality_milli, bad });
                 }
                 let now = Instant::from_millis(4_000_000);
-                matches!(board.verdict(now, model), Some(Verdict::Halt(_)))
+                matches!(registry.verdict(now, model), Some(Verdict::Halt(_)))
             };
             let found = (0..400).filter(|_| halted(&mut rng)).count();
             halts.push(f64::from(u32::try_from(found).expect("few")) * 2.5);
@@ -198,7 +202,7 @@
     }
 }
 
-/// Seconds from the first instance's halt to the last one's.
+/// Measures the seconds from the halt on the first instance to that on the last.
 fn time_to_halt() {
     println!("seconds until a halt is in force on all instances, one exchange a second each");
     for count in [9, 340] {
@@ -220,7 +224,7 @@
                 let server = fleet.server;
                 let version = fleet.current;
                 fleet.observe(now, 0, version, Event::Failed(server));
-                assert!(fleet.is_halted(0), "the first instance's own evidence");
+                assert!(fleet.is_halted(0), "not halted by local evidence");
                 let verdict = fleet.verdict(now, 0);
                 assert!(matches!(verdict, Verdict::Halt(_)), "{verdict:?}");
                 let start = now;
--- a/crates/core/benches/versions/sessions.rs
+++ b/crates/core/benches/versions/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions that change their version in a roll-out from 0 to 100% with
+//! Sessions that change their version during a roll-out from 0 to 100% with
 //! rolling restarts.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,50 +14,56 @@
 const INSTANCES: usize = 9;
 const SESSIONS: u64 = 2000;
 /// Requests between two steps of the roll-out.
-const REQUESTS: u32 = 6000;
+const REQUESTS_PER_STAGE: u32 = 6000;
 /// Requests between two restarts.
-const RESTART: u32 = 500;
-/// Requests between two exchanges of peers.
-const GOSSIP: u32 = 100;
+const RESTART_INTERVAL: u32 = 500;
+/// Requests between two rounds of exchanges between peers.
+const GOSSIP_INTERVAL: u32 = 100;
 
+/// How the version of a session is found again.
 #[derive(Clone, Copy, PartialEq)]
-enum Means {
+enum Pinning {
+    /// Only by the hash of the session's name.
     HashOnly,
+    /// By the memory of the instance.
     Memory,
+    /// By the memory of the instance, which peers share.
     Peers,
+    /// By a token that the caller sends.
     Token,
 }
 
-/// What an instance remembers of sessions, and a queue of what it tells peers.
+/// Versions of sessions that an instance has recorded, and the queue of those
+/// that it sends to peers.
 #[derive(Clone, Default)]
 struct Memory {
-    known: BTreeMap<u64, key::Version>,
-    tell: VecDeque<u64>,
+    versions: BTreeMap<u64, key::Version>,
+    send_queue: VecDeque<u64>,
 }
 
 impl Memory {
-    /// Sessions that are told to a peer at a time.
-    const TOLD: usize = 12;
+    /// Sessions that are sent to a peer in one exchange.
+    const SESSIONS_PER_DIGEST: usize = 12;
 
-    fn keep(&mut self, session: u64, version: key::Version) {
-        if self.known.insert(session, version).is_none() {
-            self.tell.push_back(session);
+    fn record(&mut self, session: u64, version: key::Version) {
+        if self.versions.insert(session, version).is_none() {
+            self.send_queue.push_back(session);
         }
     }
 
     fn digest(&mut self) -> Vec<(u64, key::Version)> {
-        let told = self.tell.len().min(Self::TOLD);
-        self.tell.rotate_left(told);
-        let sessions = self.tell.iter().rev().take(told);
+        let count = self.send_queue.len().min(Self::SESSIONS_PER_DIGEST);
+        self.send_queue.rotate_left(count);
+        let sessions = self.send_queue.iter().rev().take(count);
         sessions
-            .map(|session| (*session, self.known[session]))
+            .map(|session| (*session, self.versions[session]))
             .collect()
     }
 
-    fn merge(&mut self, told: Vec<(u64, key::Version)>) {
-        for (session, version) in told {
-            if !self.known.contains_key(&session) {
-                self.keep(session, version);
+    fn merge(&mut self, received: Vec<(u64, key::Version)>) {
+        for (session, version) in received {
+            if !self.versions.contains_key(&session) {
+                self.record(session, version);
             }
         }
     }
@@ -67,6 +73,7 @@
     fleet: Fleet,
     memories: Vec<Memory>,
     tokens: BTreeMap<u64, key::Version>,
+    /// Version of each session's last request.
     last: BTreeMap<u64, key::Version>,
     moved: u32,
 }
@@ -82,24 +89,26 @@
         }
     }
 
-    fn request(&mut self, now: Instant, means: Means) {
+    fn request(&mut self, now: Instant, pinning: Pinning) {
         let session = self.fleet.rng.random_range(0..SESSIONS);
         let index = self.fleet.rng.random_range(0..INSTANCES);
         let name = format!("session-{session}");
         let fresh = self.fleet.start(now, index, name.as_bytes());
-        let pinned = match means {
-            Means::HashOnly => None,
-            Means::Memory | Means::Peers => self.memories[index].known.get(&session).copied(),
-            Means::Token => self.tokens.get(&session).copied(),
+        let pinned = match pinning {
+            Pinning::HashOnly => None,
+            Pinning::Memory | Pinning::Peers => {
+                self.memories[index].versions.get(&session).copied()
+            }
+            Pinning::Token => self.tokens.get(&session).copied(),
         };
-        let board = &self.fleet.boards[index];
-        let withdrawn = |version| board.is_withdrawn(version);
-        let place = session::place(pinned, withdrawn, || Ok::<_, ()>(fresh));
+        let registry = &self.fleet.boards[index];
+        let is_withdrawn = |version| registry.is_withdrawn(version);
+        let place = session::place(pinned, is_withdrawn, || Ok::<_, ()>(fresh));
         let version = place.expect("an open version").version();
-        self.memories[index].keep(session, version);
+        self.memories[index].record(session, version);
         self.tokens.insert(session, version);
-        let before = self.last.insert(session, version);
-        self.moved += u32::from(before.is_some_and(|before| before != version));
+        let previous = self.last.insert(session, version);
+        self.moved += u32::from(previous.is_some_and(|previous| previous != version));
     }
 
     fn gossip(&mut self) {
@@ -116,12 +125,12 @@
         "changes of version of 2,000 sessions, 9 instances, 5 stages, 12 restarts a stage, store down for half"
     );
     let all = [
-        ("hash only", Means::HashOnly),
-        ("memory of each instance", Means::Memory),
-        ("memory and peers", Means::Peers),
-        ("token", Means::Token),
+        ("hash only", Pinning::HashOnly),
+        ("memory of each instance", Pinning::Memory),
+        ("memory and peers", Pinning::Peers),
+        ("token", Pinning::Token),
     ];
-    for (name, means) in all {
+    for (name, pinning) in all {
         let mut moved = Vec::new();
         for seed in SEEDS {
             let mut run = Run::new(seed);
@@ -131,19 +140,19 @@
                 run.fleet.accept(now, &file);
                 run.fleet.store.down = stage % 2 == 1;
                 assert_eq!(run.fleet.stage(0), stage);
-                for count in 0..REQUESTS {
+                for count in 0..REQUESTS_PER_STAGE {
                     now = now.plus_millis(10);
-                    if count % RESTART == 0 {
+                    if count % RESTART_INTERVAL == 0 {
                         let index = run.fleet.rng.random_range(0..INSTANCES);
                         run.fleet.restart(now, index);
                         run.memories[index] = Memory::default();
                         let other = (index + 1) % INSTANCES;
                         run.fleet.tell(now, other, index);
                     }
-                    if means == Means::Peers && count % GOSSIP == 0 {
+                    if pinning == Pinning::Peers && count % GOSSIP_INTERVAL == 0 {
                         run.gossip();
                     }
-                    run.request(now, means);
+                    run.request(now, pinning);
                 }
             }
             moved.push(f64::from(run.moved));
