--- a/crates/core/benches/load/main.rs
+++ b/crates/core/benches/load/main.rs
@@ -328,7 +328,7 @@
     for (name, choice) in [
         ("round robin", Choice::Round),
         ("two choices", Choice::Two),
-        ("scored, no homes", Choice::Blind),
+        ("scored, no affinity", Choice::Blind),
         ("scored", Choice::Scored),
     ] {
         let mut scenario = base_scenario();
@@ -341,7 +341,7 @@
         scenario.policy.choice = choice;
         rows.push((name.to_owned(), scenario));
     }
-    report("Prefix homes", "choice", &rows, |figures| {
+    report("Prefix-cache affinity", "choice", &rows, |figures| {
         let row = &figures.rows[0];
         let computed = 1.0 - 0.9 * row.hit_rate();
         vec![
--- a/crates/core/benches/versions/rollouts.rs
+++ b/crates/core/benches/versions/rollouts.rs
@@ -204,7 +204,7 @@
 
 /// Measures the seconds from the halt on the first instance to that on the last.
 fn time_to_halt() {
-    println!("seconds until a halt is in force on all instances, one exchange a second each");
+    println!("seconds until a halt is active on all instances, one exchange a second each");
     for count in [9, 340] {
         for down in [false, true] {
             let mut seconds = Vec::new();
