--- a/crates/core/tests/all/replay.rs
+++ b/crates/core/tests/all/replay.rs
@@ -194,11 +194,11 @@
         if traffic.sessions == 0 {
             return fresh;
         }
-        let board = &self.fleet.registries[index];
+        let registry = &self.fleet.registries[index];
         let pinned = self.pins.get(&session).copied();
         let place = session::place(
             pinned,
-            |version| board.is_withdrawn(version),
+            |version| registry.is_withdrawn(version),
             || Ok::<_, ()>(fresh),
         );
         let place = place.expect("the current version is open");
