--- a/crates/core/tests/all/route.rs
+++ b/crates/core/tests/all/route.rs
@@ -237,9 +237,9 @@
             .start_attempt(Instant::ORIGIN, fixture.keys[index], 100);
         sent[index] += 1;
     }
-    let most = sent.iter().max().copied().unwrap_or(0);
+    let max = sent.iter().max().copied().unwrap_or(0);
     assert!(
-        most <= 40,
+        max <= 40,
         "20 each, with a bound of 1.25 and room for others: {sent:?}"
     );
 }
@@ -310,10 +310,7 @@
             uses[keys.iter().position(|known| *known == key).expect("known")] += 1;
         }
     }
-    let least = uses.iter().min().copied().unwrap_or(0);
-    let most = uses.iter().max().copied().unwrap_or(0);
-    assert!(
-        least >= 12 && most <= 13,
-        "each in {least} to {most} subsets"
-    );
+    let min = uses.iter().min().copied().unwrap_or(0);
+    let max = uses.iter().max().copied().unwrap_or(0);
+    assert!(min >= 12 && max <= 13, "each in {min} to {max} subsets");
 }
