--- a/crates/gateway/src/apply.rs
+++ b/crates/gateway/src/apply.rs
@@ -7,9 +7,9 @@
 
 /// Takes in items, the small ones at once. Whoever follows them sets the revision afterwards: a
 /// node that follows this one would else go on without the large ones.
-pub async fn take_items(node: &Node, items: &[Item]) {
+pub async fn apply_items(node: &Node, items: &[Item]) {
     let (large, small): (Vec<&Item>, Vec<&Item>) =
-        items.iter().partition(|item| offload::suits(item));
+        items.iter().partition(|item| offload::is_needed(item));
     for item in small {
         let mut view = node.view.borrow_mut();
         view.apply(now(), &*node.platform, item);
@@ -28,13 +28,13 @@
 }
 
 /// Brings the gauges and those who ask this node up to what is in force.
-pub fn note_view(node: &Node) {
+pub fn publish_view(node: &Node) {
     for address in node.view.borrow_mut().take_restarted() {
         node.pool.forget(address);
     }
     note_ages(node);
     let view = node.view.borrow();
-    node.changes.send_replace(view.revision);
+    node.followed_revision.send_replace(view.revision);
     let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
     node.metrics.revision.set(gauge(view.revision));
     let version = view.catalog.as_ref().map_or(0, |catalog| catalog.version);
@@ -47,14 +47,17 @@
 
 /// Counts how old what came in force is; of what a node reads when it starts that is not known.
 fn note_ages(node: &Node) {
-    let fresh = node.view.borrow_mut().take_fresh();
+    let fresh = node.view.borrow_mut().take_activated();
     let arrivals = node.arrivals.borrow();
     for (sort, revision) in fresh {
         let Some(came) = arrivals.at(revision) else {
             continue;
         };
         let age = now().since(came).as_secs_f64();
-        let ages = node.metrics.age.with_label_values(&[sort.name()]);
+        let ages = node
+            .metrics
+            .change_age_seconds
+            .with_label_values(&[sort.name()]);
         ages.observe(age);
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::pick::{self, InFlight, Pick};
 use crate::platform::{RequestHead, ResponseHead, UpstreamHead};
-use crate::trials::{self, Watched};
+use crate::rollout::{self, PendingGuard};
 use crate::upstream::{Answered, Sent};
 use crate::verdict;
 
@@ -88,14 +88,14 @@
     /// Counts the request as running on the server.
     pub in_flight: InFlight,
     /// Reports a slow response to the roll-out while it lasts, until its outcome is counted.
-    pub watched: Option<Watched>,
+    pub watched: Option<PendingGuard>,
 }
 
 /// A response whose head has not been checked yet.
 struct ReceivedResponse {
     answered: Answered,
     in_flight: InFlight,
-    watched: Option<Watched>,
+    watched: Option<PendingGuard>,
     head_ms: f64,
     expected_head_ms: f64,
 }
@@ -115,7 +115,7 @@
     let started = now();
     let kind = verdict::latency_class(job, model.map(|(rank, _)| rank));
     let expected_head_ms = expected_head_ms(node, &pick, work);
-    let mut watched = trials::watch(node, &pick, &job.route.name, kind, expected_head_ms);
+    let mut watched = rollout::track(node, &pick, &job.route.name, kind, expected_head_ms);
     let request = request(node, job, &pick, model.map(|(_, name)| name), last_event);
     let sent = node
         .pool
@@ -164,7 +164,7 @@
             let head_ms = now().since(started).as_secs_f64() * 1_000.0;
             record_wait(node, &pick, work, head_ms);
             if let Some(watched) = &mut watched {
-                watched.head();
+                watched.record_head();
             }
             let received = ReceivedResponse {
                 answered,
@@ -317,7 +317,9 @@
         {
             let short = load::short_id(server.identity);
             let is_failure = outcome != Outcome::Succeeded;
-            node.ends.borrow_mut().observe(ended, short, is_failure);
+            node.attempt_counts
+                .borrow_mut()
+                .observe(ended, short, is_failure);
         }
         if let Some(outcome) = outcome
             && server.health.observe(ended, outcome)
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::task::AbortHandle;
 
-use crate::places::Place;
+use crate::permits::Permit;
 
 /// Why a body was aborted. The connection is then closed without the end of the body, so that the
 /// caller can detect the truncation.
@@ -32,13 +32,13 @@
 #[derive(Debug)]
 pub struct Paced {
     rest: Bytes,
-    place: Option<Place>,
+    place: Option<Permit>,
 }
 
 impl Paced {
     /// Creates a body that consists of `bytes`.
     #[must_use]
-    pub const fn new(bytes: Bytes, place: Option<Place>) -> Self {
+    pub const fn new(bytes: Bytes, place: Option<Permit>) -> Self {
         Self { rest: bytes, place }
     }
 }
--- a/crates/gateway/src/piece.rs
+++ b/crates/gateway/src/delta.rs
@@ -14,7 +14,7 @@
 
 /// A value as its difference from another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Delta {
     /// What it gives.
     pub notice: Notice,
     /// Revision of the value that it refers to; zero for none.
@@ -23,7 +23,7 @@
     pub frame: Arc<str>,
 }
 
-impl Piece {
+impl Delta {
     /// Writes `item` as its difference from the value `base`, which it had at `base_revision`.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// When it is of another key or older, is damaged, or refers to a value that this node has not.
-    pub fn item(&self, wanted: &Notice, base: Option<&str>) -> anyhow::Result<Item> {
+    pub fn apply(&self, wanted: &Notice, base: Option<&str>) -> anyhow::Result<Item> {
         let Notice {
             key,
             revision,
@@ -60,7 +60,7 @@
             *revision > wanted.revision || self.notice == *wanted,
             "it is another value of the same revision"
         );
-        ensure!(*length <= message::MOST, "it has {length} bytes");
+        ensure!(*length <= message::MAX_BYTES, "it has {length} bytes");
         ensure!(
             self.base == 0 || base.is_some(),
             "it refers to revision {}, which is not kept",
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -15,8 +15,8 @@
 use crate::clock::now;
 use crate::node::Node;
 use crate::platform::Progress;
+use crate::rollout;
 use crate::server::Server;
-use crate::trials;
 use crate::view::{Order, View};
 use crate::warming;
 
@@ -119,7 +119,7 @@
 /// All nodes choose the same ones.
 fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
-    let trial = trials::trial(node, order);
+    let trial = rollout::canary(node, order);
     let count = trial.server_count(trial.stage(now), new.len());
     new.sort_by_key(|server| (!is_healthy(node, server), affinity::mix(server.identity)));
     new.truncate(count);
@@ -130,7 +130,7 @@
 #[must_use]
 pub fn is_healthy(node: &Node, server: &Server) -> bool {
     let now = now();
-    let grey = node.grey.borrow();
+    let grey = node.outliers.borrow();
     server.health.is_available(now) && !grey.is_ejected(now, load::short_id(server.identity))
 }
 
@@ -140,11 +140,11 @@
         Some(Progress::RolledBack) => false,
         Some(Progress::Running) | None => {
             let now = now();
-            let trial = trials::trial(node, order);
+            let trial = rollout::canary(node, order);
             let stage = trial.stage(now);
             let is_moved = trial.includes(stage, session);
-            let goes_on = node.recent.borrow().is_ongoing(now, session)
-                || node.recent_elsewhere.borrow().is_ongoing(now, session);
+            let goes_on = node.recent_sessions.borrow().is_ongoing(now, session)
+                || node.peer_sessions.borrow().is_ongoing(now, session);
             let must_stay = goes_on && stage < Stage::Loaded;
             !order.is_halted && is_moved && !must_stay
         }
--- a/crates/gateway/src/fetch.rs
+++ b/crates/gateway/src/fetch.rs
@@ -14,10 +14,10 @@
 
 use crate::apply;
 use crate::clock::now;
+use crate::delta::Delta;
 use crate::large::{Awaited, Notice};
 use crate::message;
 use crate::node::Node;
-use crate::piece::Piece;
 use crate::platform::{Item, StoreRequest, StoreResponse as Stored};
 use crate::publisher::{Answer, PATH, Question};
 use crate::source::{self, Source};
@@ -38,11 +38,11 @@
 const OTHERS: usize = 2;
 
 /// Takes in notices from a peer at `teller`.
-pub fn hear(node: &Node, notices: &[Notice], teller: SocketAddr) {
+pub fn receive_notices(node: &Node, notices: &[Notice], teller: SocketAddr) {
     let mut view = node.view.borrow_mut();
     for notice in notices {
-        if view.hear_large(now(), notice, teller) {
-            node.awaits.notify_one();
+        if view.record_notice(now(), notice, teller) {
+            node.large_item_awaited.notify_one();
         }
     }
 }
@@ -50,9 +50,9 @@
 /// Fetches what is awaited until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        let next = node.view.borrow().large.next();
+        let next = node.view.borrow().large.next_awaited();
         let Some(awaited) = next else {
-            node.awaits.notified().await;
+            node.large_item_awaited.notified().await;
             continue;
         };
         if !fetch(&node, &awaited).await {
@@ -97,12 +97,12 @@
 
 /// The watchers in any order, so that they share the work, then some peers.
 fn sources(node: &Node, awaited: &Awaited) -> Vec<SocketAddr> {
-    let mut watchers: Vec<SocketAddr> = match source::source(node) {
-        Source::Others(others) => others.into_iter().map(|(_, address)| address).collect(),
-        Source::Store | Source::StoreForOthers => Vec::new(),
+    let mut watchers: Vec<SocketAddr> = match source::current(node) {
+        Source::Peers(others) => others.into_iter().map(|(_, address)| address).collect(),
+        Source::Store | Source::StoreAsWatcher => Vec::new(),
     };
-    if !watchers.contains(&awaited.teller) {
-        watchers.push(awaited.teller);
+    if !watchers.contains(&awaited.peer) {
+        watchers.push(awaited.peer);
     }
     let (own_zone, own_address) = {
         let settings = node.settings.borrow();
@@ -136,18 +136,18 @@
         revision: awaited.notice.revision,
         base: if can_refer { known } else { 0 },
     };
-    message::ask(node, address, PATH, &question, HEAD).await
+    message::send(node, address, PATH, &question, HEAD).await
 }
 
 /// Puts the value together and takes it in.
-async fn take(node: &Node, awaited: &Awaited, piece: &Piece) -> anyhow::Result<()> {
+async fn take(node: &Node, awaited: &Awaited, piece: &Delta) -> anyhow::Result<()> {
     let item = {
         let view = node.view.borrow();
-        let base = view.value(&awaited.notice.key, piece.base);
-        piece.item(&awaited.notice, base)?
+        let base = view.value_at(&awaited.notice.key, piece.base);
+        piece.apply(&awaited.notice, base)?
     };
-    apply::take_items(node, &[item]).await;
-    apply::note_view(node);
+    apply::apply_items(node, &[item]).await;
+    apply::publish_view(node);
     Ok(())
 }
 
@@ -163,7 +163,7 @@
 
 fn note_taken(node: &Node, awaited: &Awaited, peer: SocketAddr) {
     let took = now().since(awaited.since);
-    node.metrics.large_seconds.observe(took.as_secs_f64());
+    node.metrics.large_item_seconds.observe(took.as_secs_f64());
     tracing::info!(
         event = "large-item",
         key = awaited.notice.key,
@@ -206,9 +206,9 @@
         bytes = item.value.as_ref().map_or(0, String::len),
         peer = "store"
     );
-    apply::take_items(node, &[item]).await;
+    apply::apply_items(node, &[item]).await;
     // What the store has is what there is, whatever a peer has told.
-    node.view.borrow_mut().large.settle(&awaited.notice);
-    apply::note_view(node);
+    node.view.borrow_mut().large.resolve(&awaited.notice);
+    apply::publish_view(node);
     true
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -19,13 +19,13 @@
 use crate::apply;
 use crate::clock::now;
 use crate::fetch;
-use crate::news::{self, News};
 use crate::node::Node;
 use crate::offload::{self, Decoded};
 use crate::peer;
 use crate::platform::{Item, Page, StoreRequest, StoreResponse};
 use crate::source::{self, Failed, Source};
 use crate::store::Fault;
+use crate::updates::{self, Updates};
 
 /// Milliseconds that a watch waits. A watch on a connection that went silent is
 /// given up a second later, so this bounds how long a node can be deaf; changes
@@ -64,11 +64,11 @@
             }
             continue;
         }
-        let source = source::source(&node);
+        let source = source::current(&node);
         let is_away = node.view.borrow().outage.is_ongoing();
         let step = match &source {
-            Source::Others(watchers) if is_away => seek(&node, &source, watchers).await,
-            Source::Others(watchers) if now() >= own_until => {
+            Source::Peers(watchers) if is_away => seek(&node, &source, watchers).await,
+            Source::Peers(watchers) if now() >= own_until => {
                 if follow_watcher(&node, watchers, &mut failed).await {
                     continue;
                 }
@@ -144,9 +144,9 @@
 }
 
 /// What a watcher knows, unless it is silent or does not know better than this node.
-async fn fresh_news(node: &Node, name: &str, address: SocketAddr) -> Option<News> {
+async fn fresh_news(node: &Node, name: &str, address: SocketAddr) -> Option<Updates> {
     let after = node.view.borrow().revision;
-    match news::ask(node, address, after).await {
+    match updates::poll(node, address, after).await {
         Ok(news) if news.is_whole && news.age_ms <= watcher::MAX_AGE_MS => return Some(news),
         Ok(news) => tracing::info!(
             event = "watcher-stale",
@@ -160,7 +160,7 @@
     None
 }
 
-async fn take_news(node: &Node, news: &News, teller: SocketAddr) {
+async fn take_news(node: &Node, news: &Updates, teller: SocketAddr) {
     // Those who follow this node hear how fresh the store's own answer is, not this one's.
     let answered = now().minus_millis(news.age_ms);
     node.store_answered
@@ -169,16 +169,16 @@
         let at = now().minus_millis(arrival.age_ms);
         node.arrivals.borrow_mut().record(arrival.revision, at);
     }
-    apply::take_items(node, &news.items).await;
+    apply::apply_items(node, &news.items).await;
     let mut view = node.view.borrow_mut();
     view.revision = view.revision.max(news.revision);
     let is_back = view.outage.record_answer(now());
     drop(view);
-    fetch::hear(node, &news.large, teller);
+    fetch::receive_notices(node, &news.large, teller);
     if is_back {
         tracing::info!(event = "store-regained", call = "watcher");
     }
-    apply::note_view(node);
+    apply::publish_view(node);
 }
 
 /// Makes one waiting call at the store, in short waits where others depend on how fresh it is.
@@ -189,7 +189,7 @@
     };
     let (wait_ms, gather_ms) = match source {
         Source::Store => (WAIT_MS, GATHER_MS),
-        Source::StoreForOthers | Source::Others(_) => (watcher::STORE_WAIT_MS, watcher::BATCH_MS),
+        Source::StoreAsWatcher | Source::Peers(_) => (watcher::STORE_WAIT_MS, watcher::BATCH_MS),
     };
     let wait_ms = if is_away { PROBE_MS } else { wait_ms };
     let call = StoreRequest::Watch {
@@ -273,7 +273,7 @@
     tracing::info!(event = "store-read", items = items.len(), revision);
     node.arrivals.borrow_mut().record(revision, now());
     let mut decoded = Vec::new();
-    for item in items.iter().filter(|item| offload::suits(item)) {
+    for item in items.iter().filter(|item| offload::is_needed(item)) {
         decoded.extend(offload::decode(node, item.clone()).await);
     }
     let mut view = node.view.borrow_mut();
@@ -282,17 +282,17 @@
     }
     view.replace(now(), &*node.platform, &items, revision);
     drop(view);
-    apply::note_view(node);
+    apply::publish_view(node);
     Ok(())
 }
 
 async fn take(node: &Node, page: &Page) {
     node.arrivals.borrow_mut().record(page.revision, now());
-    apply::take_items(node, &page.items).await;
+    apply::apply_items(node, &page.items).await;
     let mut view = node.view.borrow_mut();
     view.revision = view.revision.max(page.revision);
     drop(view);
-    apply::note_view(node);
+    apply::publish_view(node);
 }
 
 /// Waits a little, not as long as the others do.
@@ -304,7 +304,7 @@
 fn note_answer(node: &Node, kind: &str) {
     node.store_answered.set(now());
     node.metrics
-        .store
+        .store_calls
         .with_label_values(&[kind, "answered"])
         .inc();
     if node.view.borrow_mut().outage.record_answer(now()) {
@@ -314,7 +314,7 @@
 
 fn note_fault(node: &Node, kind: &str, fault: &Fault) {
     node.metrics
-        .store
+        .store_calls
         .with_label_values(&[kind, "failed"])
         .inc();
     let mut view = node.view.borrow_mut();
--- a/crates/gateway/src/large.rs
+++ b/crates/gateway/src/large.rs
@@ -21,7 +21,7 @@
 
 /// Bytes of a value from which on it is large: what a link of 10 Mbit/s carries in 6 ms. Entries
 /// of servers and nodes are some hundred bytes.
-pub const LARGE: usize = 8_192;
+pub const MIN_LARGE_BYTES: usize = 8_192;
 /// Values of a key from before the one in force that are kept. Nodes ask within seconds of a
 /// change, and operators make a few in that time; with values of a megabyte at most this is 4 MB.
 const FORMER: usize = 4;
@@ -31,7 +31,7 @@
 pub fn is_large(item: &Item) -> bool {
     item.value
         .as_ref()
-        .is_some_and(|value| value.len() >= LARGE)
+        .is_some_and(|value| value.len() >= MIN_LARGE_BYTES)
 }
 
 /// Says that a large item has changed.
@@ -67,22 +67,22 @@
     /// What is missing.
     pub notice: Notice,
     /// Node that told of it.
-    pub teller: SocketAddr,
+    pub peer: SocketAddr,
     /// When this node first heard that its value is old.
     pub since: Instant,
 }
 
 /// The large items of a view.
 #[derive(Debug, Default)]
-pub struct Large {
+pub struct LargeItems {
     held: BTreeMap<String, Notice>,
     awaited: BTreeMap<String, Awaited>,
     former: HashMap<String, VecDeque<Item>>,
 }
 
-impl Large {
+impl LargeItems {
     /// Takes in that `item` is in force in place of `before`.
-    pub fn note(&mut self, before: Option<Item>, item: &Item) {
+    pub fn record_item(&mut self, before: Option<Item>, item: &Item) {
         let is_here = |awaited: &Awaited| awaited.notice.revision <= item.revision;
         if self.awaited.get(&item.key).is_some_and(is_here) {
             self.awaited.remove(&item.key);
@@ -100,7 +100,13 @@
 
     /// Takes in what a peer at `teller` says has changed; `known` is the revision of the key
     /// that this node has. Returns whether it is news.
-    pub fn hear(&mut self, now: Instant, notice: &Notice, known: u64, teller: SocketAddr) -> bool {
+    pub fn record_notice(
+        &mut self,
+        now: Instant,
+        notice: &Notice,
+        known: u64,
+        teller: SocketAddr,
+    ) -> bool {
         let awaited = self.awaited.get(&notice.key);
         let heard = awaited.map_or(0, |awaited| awaited.notice.revision);
         if notice.revision <= known.max(heard) {
@@ -109,14 +115,14 @@
         let awaited = Awaited {
             since: awaited.map_or(now, |awaited| awaited.since),
             notice: notice.clone(),
-            teller,
+            peer: teller,
         };
         self.awaited.insert(notice.key.clone(), awaited);
         true
     }
 
     /// Takes in that `notice` needs nothing more.
-    pub fn settle(&mut self, notice: &Notice) {
+    pub fn resolve(&mut self, notice: &Notice) {
         let awaited = self.awaited.get(&notice.key);
         if awaited.is_some_and(|awaited| awaited.notice == *notice) {
             self.awaited.remove(&notice.key);
@@ -125,14 +131,14 @@
 
     /// An item that is to be fetched.
     #[must_use]
-    pub fn next(&self) -> Option<Awaited> {
+    pub fn next_awaited(&self) -> Option<Awaited> {
         self.awaited.values().next().cloned()
     }
 
     /// Notices of changes after `revision`, also of those that this node still awaits: whoever
     /// follows it would else take the store as followed without them.
     #[must_use]
-    pub fn since(&self, revision: u64) -> Vec<Notice> {
+    pub fn notices_since(&self, revision: u64) -> Vec<Notice> {
         let awaited = self.awaited.values().map(|awaited| &awaited.notice);
         let held = self.held.values();
         let held = held.filter(|notice| !self.awaited.contains_key(&notice.key));
@@ -144,13 +150,13 @@
 
     /// Whether the value of `key` in force here is large.
     #[must_use]
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn has_large(&self, key: &str) -> bool {
         self.held.contains_key(key)
     }
 
     /// The value that `key` had at `revision`, if it is kept.
     #[must_use]
-    pub fn former(&self, key: &str, revision: u64) -> Option<&str> {
+    pub fn former_value(&self, key: &str, revision: u64) -> Option<&str> {
         let former = self.former.get(key)?;
         let item = former.iter().find(|item| item.revision == revision)?;
         item.value.as_deref()
--- a/crates/gateway/src/share.rs
+++ b/crates/gateway/src/load_report.rs
@@ -15,9 +15,9 @@
 use crate::node::Node;
 
 /// Path on which a hub is told by the nodes of its group.
-pub const MEMBER: &str = "/load";
+pub const MEMBER_PATH: &str = "/load";
 /// Path on which the top is told by hubs.
-pub const GROUP: &str = "/load/group";
+pub const GROUP_PATH: &str = "/load/group";
 
 /// What a node, or a group, has on servers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -96,20 +96,20 @@
         };
         match role {
             Role::Member(hub) => {
-                if let Some(others) = tell(&node, hub, MEMBER, &work).await {
+                if let Some(others) = tell(&node, hub, MEMBER_PATH, &work).await {
                     hear(&node, &others);
                 }
             }
             Role::Hub(top) => {
-                hear(&node, &tell_hub(&node, work));
+                hear(&node, &receive_member_report(&node, work));
                 let group = group(&node);
-                if let Some(elsewhere) = tell(&node, top, GROUP, &group).await {
+                if let Some(elsewhere) = tell(&node, top, GROUP_PATH, &group).await {
                     node.hub.borrow_mut().hear(elsewhere);
                 }
             }
             Role::Top => {
-                hear(&node, &tell_hub(&node, work));
-                let elsewhere = tell_top(&node, group(&node));
+                hear(&node, &receive_member_report(&node, work));
+                let elsewhere = receive_group_report(&node, group(&node));
                 node.hub.borrow_mut().hear(elsewhere);
             }
         }
@@ -119,14 +119,14 @@
 fn own(node: &Node) -> Tables {
     Tables {
         load: own_work(node),
-        ends: node.ends.borrow_mut().table(now()),
+        ends: node.attempt_counts.borrow_mut().table(now()),
     }
 }
 
 /// Takes in what all others have told.
 fn hear(node: &Node, others: &Tables) {
-    node.others.borrow_mut().receive(now(), &others.load);
-    let own = node.ends.borrow_mut().table(now());
+    node.peer_load.borrow_mut().receive(now(), &others.load);
+    let own = node.attempt_counts.borrow_mut().table(now());
     let mut sums: HashMap<u32, u32> = HashMap::new();
     for &(server, ends) in own.iter().chain(&others.ends) {
         let sum = sums.entry(server).or_default();
@@ -138,7 +138,7 @@
 }
 
 /// Leaves out the servers that fail more than the others of their service and version. A
-/// version on trial is judged by [`trials`](crate::trials): left out here, its one loaded
+/// version on trial is judged by [`trials`](crate::rollout): left out here, its one loaded
 /// server would stop to show what it does under load.
 fn judge(node: &Node, seen: &HashMap<u32, AttemptCounts>) {
     let view = node.view.borrow();
@@ -151,7 +151,7 @@
     }
     for ((service, version), names) in alike {
         let servers: Vec<u32> = names.keys().copied().collect();
-        for server in node.grey.borrow_mut().detect(now(), &servers, seen) {
+        for server in node.outliers.borrow_mut().detect(now(), &servers, seen) {
             tracing::warn!(
                 event = "server-left-out-by-all",
                 server = names[&server],
@@ -195,7 +195,7 @@
 }
 
 async fn tell(node: &Node, address: SocketAddr, path: &str, work: &Work) -> Option<Tables> {
-    match message::ask(node, address, path, work, message::PATIENCE).await {
+    match message::send(node, address, path, work, message::HEAD_TIMEOUT).await {
         Ok(tables) => Some(tables),
         Err(error) => {
             tracing::info!(event = "hub-failed", peer = %address, path, reason = %error);
@@ -205,11 +205,11 @@
 }
 
 /// Takes in as a hub what a node of the group tells, and answers with what all others have.
-pub fn tell_hub(node: &Node, work: Work) -> Tables {
+pub fn receive_member_report(node: &Node, work: Work) -> Tables {
     node.hub.borrow_mut().tell(work)
 }
 
 /// Takes in as the top what a hub tells, and answers with what the other groups have.
-pub fn tell_top(node: &Node, work: Work) -> Tables {
+pub fn receive_group_report(node: &Node, work: Work) -> Tables {
     node.top.borrow_mut().tell(work)
 }
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -23,7 +23,7 @@
 const QUEUE: usize = 4_096;
 /// Lines of one kind that are written in a second. A node of the planned size answers
 /// 15 requests a second, with up to four lines each; the budget bears twenty times that.
-pub const A_SECOND: u32 = 300;
+pub const MAX_LINES_PER_SECOND: u32 = 300;
 
 /// Keeps the writer alive and counts what was left out.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
     }
 }
 
-/// Lets [`A_SECOND`] lines of each kind pass in a second.
+/// Lets [`MAX_LINES_PER_SECOND`] lines of each kind pass in a second.
 #[derive(Debug)]
 pub struct Budget {
     began: Instant,
@@ -103,7 +103,7 @@
                 (*current, *count) = (second, 0);
             }
             *count += 1;
-            *count <= A_SECOND
+            *count <= MAX_LINES_PER_SECOND
         };
         if !passes {
             self.left_out.fetch_add(1, Ordering::Relaxed);
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -16,9 +16,9 @@
 
 /// Longest time until the head of an answer. Nodes answer in milliseconds; a
 /// new connection to one that is dark takes longer than that and must not hold others up.
-pub const PATIENCE: Duration = Duration::from_millis(700);
+pub const HEAD_TIMEOUT: Duration = Duration::from_millis(700);
 /// Bytes that a message has at most.
-pub const MOST: usize = 4 << 20;
+pub const MAX_BYTES: usize = 4 << 20;
 
 /// Which way a message goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// Counts the bytes of a message. A node whose link is full of messages answers others late, and
 /// only this tells it from one that is short of processor time.
-pub fn note_bytes(node: &Node, path: &str, direction: Direction, bytes: usize) {
+pub fn count_bytes(node: &Node, path: &str, direction: Direction, bytes: usize) {
     let direction = match direction {
         Direction::In => "in",
         Direction::Out => "out",
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// When no head comes within `patience`, or no answer that can be read.
-pub async fn ask<R: DeserializeOwned>(
+pub async fn send<R: DeserializeOwned>(
     node: &Node,
     address: SocketAddr,
     path: &str,
@@ -56,7 +56,7 @@
     patience: Duration,
 ) -> anyhow::Result<R> {
     let body = Bytes::from(serde_json::to_vec(message)?);
-    note_bytes(node, path, Direction::Out, body.len());
+    count_bytes(node, path, Direction::Out, body.len());
     let request = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -67,8 +67,8 @@
         Sent::Answered(answered) => answered,
         Sent::NotSent(reason) | Sent::Broken(reason) => anyhow::bail!(reason),
     };
-    let body = upstream::collect(answered.response.into_body(), MOST).await?;
+    let body = upstream::collect(answered.response.into_body(), MAX_BYTES).await?;
     node.pool.keep(answered.connection);
-    note_bytes(node, path, Direction::In, body.len());
+    count_bytes(node, path, Direction::In, body.len());
     Ok(serde_json::from_slice(&body)?)
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -17,15 +17,15 @@
     /// Requests by route and outcome.
     pub requests: IntCounterVec,
     /// Seconds until a request's answer began, by route.
-    pub first: HistogramVec,
+    pub first_seconds: HistogramVec,
     /// Attempts by service and outcome.
     pub attempts: IntCounterVec,
     /// Further attempts by service and reason.
-    pub further: IntCounterVec,
+    pub further_attempts: IntCounterVec,
     /// Answers asked for again of a larger model, by route.
     pub dropped_answers: IntCounterVec,
     /// Weak answers that callers got since no larger model's came, by route.
-    pub fallbacks: IntCounterVec,
+    pub fallback_answers: IntCounterVec,
     /// Requests to servers that were warming up, by service.
     pub cold_requests: IntCounterVec,
     /// Servers that are warming up.
@@ -33,13 +33,13 @@
     /// Availability zones that are evacuated.
     pub evacuated_zones: IntGauge,
     /// Calls to the store by kind and outcome.
-    pub store: IntCounterVec,
+    pub store_calls: IntCounterVec,
     /// Bytes of messages between nodes, by path and direction.
     pub peer_bytes: IntCounterVec,
     /// Seconds from when the first node heard of a change until it was in force, by sort.
-    pub age: HistogramVec,
+    pub change_age_seconds: HistogramVec,
     /// Seconds from the notice of a large item until it was in force.
-    pub large_seconds: Histogram,
+    pub large_item_seconds: Histogram,
     /// Requests in progress.
     pub in_progress: IntGauge,
     /// Highest revision of the store that was heard of.
@@ -78,35 +78,35 @@
             "fescuerack_first_seconds",
             "Seconds until a request's answer began",
         );
-        let first = HistogramVec::new(options.buckets(SECONDS.to_vec()), &["route"])?;
-        registry.register(Box::new(first.clone()))?;
+        let first_seconds = HistogramVec::new(options.buckets(SECONDS.to_vec()), &["route"])?;
+        registry.register(Box::new(first_seconds.clone()))?;
         let options = HistogramOpts::new(
             "fescuerack_large_item_seconds",
             "Seconds from the notice of a large item until it was in force",
         );
-        let large_seconds = Histogram::with_opts(options.buckets(SECONDS.to_vec()))?;
-        registry.register(Box::new(large_seconds.clone()))?;
+        let large_item_seconds = Histogram::with_opts(options.buckets(SECONDS.to_vec()))?;
+        registry.register(Box::new(large_item_seconds.clone()))?;
         let options = HistogramOpts::new(
             "fescuerack_change_age_seconds",
             "Seconds from when the first node heard of a change until it was in force",
         );
-        let age = HistogramVec::new(options.buckets(SECONDS.to_vec()), &["sort"])?;
-        registry.register(Box::new(age.clone()))?;
+        let change_age_seconds = HistogramVec::new(options.buckets(SECONDS.to_vec()), &["sort"])?;
+        registry.register(Box::new(change_age_seconds.clone()))?;
         Ok(Self {
-            age,
-            large_seconds,
+            change_age_seconds,
+            large_item_seconds,
             requests: counter(
                 "fescuerack_requests_total",
                 "Requests by route and outcome",
                 &["route", "outcome"],
             )?,
-            first,
+            first_seconds,
             attempts: counter(
                 "fescuerack_attempts_total",
                 "Attempts by service and outcome",
                 &["service", "outcome"],
             )?,
-            further: counter(
+            further_attempts: counter(
                 "fescuerack_further_attempts_total",
                 "Further attempts by service and reason",
                 &["service", "reason"],
@@ -116,7 +116,7 @@
                 "Weak answers asked for again of a larger model",
                 &["route"],
             )?,
-            fallbacks: counter(
+            fallback_answers: counter(
                 "fescuerack_fallback_answers_total",
                 "Weak answers given since no larger model's came",
                 &["route"],
@@ -128,7 +128,7 @@
             )?,
             cold_servers: gauge("fescuerack_cold_servers", "Servers that are warming up")?,
             evacuated_zones: gauge("fescuerack_evacuated_zones", "Zones that are evacuated")?,
-            store: counter(
+            store_calls: counter(
                 "fescuerack_store_calls_total",
                 "Calls to the store by kind and outcome",
                 &["kind", "outcome"],
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -21,13 +21,13 @@
 
 use crate::arrival::Arrivals;
 use crate::clock::now;
+use crate::load_report::Hubs;
 use crate::metrics::Metrics;
 use crate::platform::Platform;
 use crate::publisher::Publisher;
+use crate::rollout::PendingAttempt;
 use crate::settings::Settings;
-use crate::share::Hubs;
 use crate::store::Store;
-use crate::trials::Awaited;
 use crate::upstream::Pool;
 use crate::view::View;
 use crate::warming::Warming;
@@ -61,31 +61,31 @@
     /// What is in force.
     pub view: RefCell<View>,
     /// Further attempts by service.
-    pub budgets: RefCell<HashMap<Arc<str>, Budget>>,
+    pub retry_budgets: RefCell<HashMap<Arc<str>, Budget>>,
     /// Requests that crash servers.
     pub suspects: RefCell<Suspects>,
     /// Roll-outs by service.
     pub evidence: RefCell<HashMap<Arc<str>, Evidence>>,
     /// Attempts whose answers a roll-out awaits.
-    pub awaited: RefCell<Slab<Awaited>>,
+    pub pending_attempts: RefCell<Slab<PendingAttempt>>,
     /// Sessions served lately by versions that were not on trial.
-    pub recent: RefCell<Recent>,
+    pub recent_sessions: RefCell<Recent>,
     /// The same of other nodes, as far as a trial would move them.
-    pub recent_elsewhere: RefCell<Recent>,
+    pub peer_sessions: RefCell<Recent>,
     /// Work of other nodes by server.
-    pub others: RefCell<PeerLoad>,
+    pub peer_load: RefCell<PeerLoad>,
     /// What this node may send to servers that are warming up.
     pub warming: RefCell<Warming>,
     /// How attempts on servers ended here.
-    pub ends: RefCell<Window>,
+    pub attempt_counts: RefCell<Window>,
     /// Servers that all nodes leave out.
-    pub grey: RefCell<Detector>,
+    pub outliers: RefCell<Detector>,
     /// What the nodes of its group have told this node as their hub.
     pub hub: RefCell<Hubs>,
     /// What hubs have told this node as the top.
     pub top: RefCell<Hubs>,
     /// How long answers usually take, by route and model.
-    pub usual: RefCell<HashMap<u64, Baseline>>,
+    pub baselines: RefCell<HashMap<u64, Baseline>>,
     /// What this node has learned of how long requests wait, by service.
     pub waits: RefCell<HashMap<Arc<str>, Wait>>,
     /// When changes of the store came.
@@ -93,9 +93,9 @@
     /// What this node has told of large items.
     pub publisher: Publisher,
     /// Tells that a large item is awaited.
-    pub awaits: Notify,
+    pub large_item_awaited: Notify,
     /// Tells that the view has followed the store up to a revision.
-    pub changes: watch::Sender<u64>,
+    pub followed_revision: watch::Sender<u64>,
     /// When the store last answered, to this node or to the watcher that it asked.
     pub store_answered: Cell<Instant>,
     /// Whether the process is stopping.
@@ -121,24 +121,24 @@
             pool,
             store,
             view: RefCell::new(View::default()),
-            budgets: RefCell::default(),
+            retry_budgets: RefCell::default(),
             suspects: RefCell::default(),
             evidence: RefCell::default(),
-            awaited: RefCell::default(),
-            recent: RefCell::default(),
-            recent_elsewhere: RefCell::default(),
-            others: RefCell::default(),
+            pending_attempts: RefCell::default(),
+            recent_sessions: RefCell::default(),
+            peer_sessions: RefCell::default(),
+            peer_load: RefCell::default(),
             warming: RefCell::new(Warming::new(now())),
-            ends: RefCell::default(),
-            grey: RefCell::default(),
+            attempt_counts: RefCell::default(),
+            outliers: RefCell::default(),
             hub: RefCell::default(),
             top: RefCell::default(),
-            usual: RefCell::default(),
+            baselines: RefCell::default(),
             waits: RefCell::default(),
             arrivals: RefCell::default(),
             publisher: Publisher::default(),
-            awaits: Notify::new(),
-            changes: watch::Sender::new(0),
+            large_item_awaited: Notify::new(),
+            followed_revision: watch::Sender::new(0),
             store_answered: Cell::new(Instant::ORIGIN),
             is_stopping: Cell::new(false),
             metrics: Metrics::new()?,
--- a/crates/gateway/src/offload.rs
+++ b/crates/gateway/src/offload.rs
@@ -9,14 +9,14 @@
 use fescuerack_core::clock::Instant;
 
 use crate::clock::now;
-use crate::large::LARGE;
+use crate::large::MIN_LARGE_BYTES;
 use crate::node::Node;
 use crate::platform::{Change, Item};
 
 /// Bytes from which on an answer or a value is worked on by another thread. A configuration of 11 KB is decoded in
 /// 0.07 ms of a whole core, 0.6 ms of an eighth of one, which no caller notices; handing work over
 /// takes 12 us.
-pub const OFFLOADED: usize = 4 * LARGE;
+pub const MIN_BYTES: usize = 4 * MIN_LARGE_BYTES;
 
 /// An item and what it means.
 #[derive(Debug)]
@@ -41,10 +41,10 @@
 
 /// Whether `item` is decoded on another thread.
 #[must_use]
-pub fn suits(item: &Item) -> bool {
+pub fn is_needed(item: &Item) -> bool {
     item.value
         .as_ref()
-        .is_some_and(|value| value.len() >= OFFLOADED)
+        .is_some_and(|value| value.len() >= MIN_BYTES)
 }
 
 /// Decodes an item, unless it is known already. One whose decoding breaks off cannot be read: passed
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -34,13 +34,13 @@
 use crate::clock::now;
 use crate::fetch;
 use crate::large::Notice;
+use crate::load_report;
 use crate::message::{self, Direction};
-use crate::news;
 use crate::node::Node;
 use crate::platform::Item;
 use crate::publisher;
-use crate::share;
-use crate::trials;
+use crate::rollout;
+use crate::updates;
 
 /// Path of an exchange.
 const PATH: &str = "/exchange";
@@ -119,7 +119,7 @@
 /// started while one runs knows neither its age nor which sessions go on, and would move
 /// sessions until it hears of them.
 pub async fn join_trials(node: &Rc<Node>) {
-    trials::open(node);
+    rollout::init_evidence(node);
     for service in on_trial(node) {
         match collector(node, &service) {
             Some((name, address)) => exchange(node, &name, address, false).await,
@@ -162,10 +162,10 @@
 
 async fn exchange(node: &Rc<Node>, name: &str, address: SocketAddr, wants_items: bool) {
     let told = told(node, wants_items);
-    match message::ask(node, address, PATH, &told, message::PATIENCE).await {
+    match message::send(node, address, PATH, &told, message::HEAD_TIMEOUT).await {
         Ok(reply) => {
             take_reply(node, name, &reply);
-            fetch::hear(node, &reply.large, address);
+            fetch::receive_notices(node, &reply.large, address);
         }
         Err(error) => tracing::info!(event = "peer-failed", peer = name, reason = %error),
     }
@@ -176,10 +176,10 @@
     let rollouts = evidence.iter().map(|(service, evidence)| {
         let told = Told {
             version: evidence.version.clone(),
-            counts: trials::own_counts(node, service, evidence),
+            counts: rollout::local_counts(node, service, evidence),
             order: order(node, service),
             crashed: evidence.crashed.clone(),
-            sessions: staying(node, service, &node.recent.borrow()),
+            sessions: staying(node, service, &node.recent_sessions.borrow()),
         };
         (service.to_string(), told)
     });
@@ -209,7 +209,7 @@
             );
         }
     }
-    apply::note_view(node);
+    apply::publish_view(node);
     let mut evidence = node.evidence.borrow_mut();
     for (service, told) in &reply.rollouts {
         if let Some(known) = evidence.get_mut(service.as_str())
@@ -231,7 +231,7 @@
     let Some(order) = view.orders.get(service) else {
         return Vec::new();
     };
-    let trial = trials::trial(node, order);
+    let trial = rollout::canary(node, order);
     recent.ongoing(now(), |session| trial.includes(Stage::Sampled, session))
 }
 
@@ -240,8 +240,8 @@
     let view = node.view.borrow();
     let order = view.orders.get(service);
     order.map_or((0, 0), |order| {
-        let age = now().since(order.given).as_millis();
-        (order.ordered, u64::try_from(age).unwrap_or(u64::MAX))
+        let age = now().since(order.ordered_at).as_millis();
+        (order.order_revision, u64::try_from(age).unwrap_or(u64::MAX))
     })
 }
 
@@ -252,15 +252,15 @@
 /// once.
 fn hear_order(node: &Node, service: &str, (ordered, age_ms): (u64, u64)) {
     if let Some(order) = node.view.borrow_mut().orders.get_mut(service)
-        && order.ordered == ordered
+        && order.order_revision == ordered
     {
-        order.given = order.given.min(now().minus_millis(age_ms));
+        order.ordered_at = order.ordered_at.min(now().minus_millis(age_ms));
     }
 }
 
 fn hear_sessions(node: &Node, sessions: &[u64]) {
     let pause_ms = node.settings.borrow().session_ms;
-    let mut elsewhere = node.recent_elsewhere.borrow_mut();
+    let mut elsewhere = node.peer_sessions.borrow_mut();
     for &session in sessions {
         elsewhere.record(now(), session, pause_ms);
     }
@@ -283,7 +283,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Paced>, Infallible> {
     let path = request.uri().path().to_owned();
-    let body = match Limited::new(request.into_body(), message::MOST)
+    let body = match Limited::new(request.into_body(), message::MAX_BYTES)
         .collect()
         .await
     {
@@ -298,10 +298,10 @@
     let answer = match path.as_str() {
         PATH => serde_json::from_slice(&body)
             .and_then(|message| serde_json::to_vec(&reply(&node, message))),
-        share::MEMBER => serde_json::from_slice(&body)
-            .and_then(|work| serde_json::to_vec(&share::tell_hub(&node, work))),
-        share::GROUP => serde_json::from_slice(&body)
-            .and_then(|work| serde_json::to_vec(&share::tell_top(&node, work))),
+        load_report::MEMBER_PATH => serde_json::from_slice(&body)
+            .and_then(|work| serde_json::to_vec(&load_report::receive_member_report(&node, work))),
+        load_report::GROUP_PATH => serde_json::from_slice(&body)
+            .and_then(|work| serde_json::to_vec(&load_report::receive_group_report(&node, work))),
         publisher::PATH => match serde_json::from_slice(&body) {
             Ok(question) => {
                 let (answer, taken) = publisher::tell(&node, &question).await;
@@ -310,16 +310,16 @@
             }
             Err(error) => Err(error),
         },
-        news::PATH => match serde_json::from_slice(&body) {
-            Ok(question) => serde_json::to_vec(&news::tell(&node, question).await),
+        updates::PATH => match serde_json::from_slice(&body) {
+            Ok(question) => serde_json::to_vec(&updates::serve(&node, question).await),
             Err(error) => Err(error),
         },
         _ => return Ok(plain(StatusCode::NOT_FOUND)),
     };
     match answer {
         Ok(body) => {
-            message::note_bytes(&node, &path, Direction::In, received);
-            message::note_bytes(&node, &path, Direction::Out, body.len());
+            message::count_bytes(&node, &path, Direction::In, received);
+            message::count_bytes(&node, &path, Direction::Out, body.len());
             Ok(Response::new(Paced::new(Bytes::from(body), place)))
         }
         Err(error) => {
@@ -344,11 +344,11 @@
         known.crashed.extend(&told.crashed);
         hear_sessions(node, &told.sessions);
         hear_order(node, &service, told.order);
-        let mut sessions = staying(node, &service, &node.recent.borrow());
-        sessions.extend(staying(node, &service, &node.recent_elsewhere.borrow()));
+        let mut sessions = staying(node, &service, &node.recent_sessions.borrow());
+        sessions.extend(staying(node, &service, &node.peer_sessions.borrow()));
         let sum = Told {
             version: told.version,
-            counts: sum(&trials::own_counts(node, &service, known), &known.heard),
+            counts: sum(&rollout::local_counts(node, &service, known), &known.heard),
             order: order(node, &service),
             crashed: known.crashed.clone(),
             sessions,
@@ -359,8 +359,8 @@
     let view = node.view.borrow();
     let (items, large) = match (message.wants_items, message.takes_notices) {
         (false, _) => (Vec::new(), Vec::new()),
-        (true, false) => (view.since(message.revision), Vec::new()),
-        (true, true) => view.news_since(message.revision),
+        (true, false) => (view.items_since(message.revision), Vec::new()),
+        (true, true) => view.updates_since(message.revision),
     };
     Reply {
         items,
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/permits.rs
@@ -1,4 +1,4 @@
-//! Places for answers that a node gives at the same time.
+//! Permits for answers that a node gives at the same time.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,25 +9,25 @@
 
 /// The places of a node.
 #[derive(Debug, Default)]
-pub struct Places(Rc<Cell<usize>>);
+pub struct Permits(Rc<Cell<usize>>);
 
 /// One place, which is free again when this is dropped.
 #[derive(Debug)]
-pub struct Place(Rc<Cell<usize>>);
+pub struct Permit(Rc<Cell<usize>>);
 
-impl Places {
+impl Permits {
     /// Takes a place, if one is free.
     #[must_use]
-    pub fn take(&self) -> Option<Place> {
+    pub fn take(&self) -> Option<Permit> {
         let taken = self.0.get();
         (taken < AT_ONCE).then(|| {
             self.0.set(taken + 1);
-            Place(self.0.clone())
+            Permit(self.0.clone())
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -196,7 +196,7 @@
     let now = now();
     let view = node.view.borrow();
     let settings = node.settings.borrow();
-    let others = node.others.borrow();
+    let others = node.peer_load.borrow();
     let mut servers = eligible::servers(node, &view, job, service, model, tried);
     servers.sort_by_key(|server| affinity::mix(server.identity));
     let rank = route.models.iter().position(|name| Some(&**name) == model);
@@ -233,7 +233,7 @@
     let order = order.filter(|order| order.rollout.version == server.entry.version);
     let is_canary = order.is_some_and(|order| order.progress != Some(Progress::Completed));
     if order.is_none() && route.kind == Kind::Streaming {
-        let mut recent = node.recent.borrow_mut();
+        let mut recent = node.recent_sessions.borrow_mut();
         recent.record(now, job.session, settings.session_ms);
     }
     warming::record_request(node, &view, server, now);
@@ -256,7 +256,7 @@
 pub fn pressure(node: &Node, job: &Job, service: &Arc<str>, rank: usize) -> Option<f64> {
     let now = now();
     let view = node.view.borrow();
-    let others = node.others.borrow();
+    let others = node.peer_load.borrow();
     let models = &job.route.models;
     let mut servers = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
     servers.sort_by_key(|server| affinity::mix(server.identity));
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::platform::Platform;
 use crate::settings::Settings;
-use crate::{fetch, follow, member, peer, share, trials};
+use crate::{fetch, follow, load_report, peer, registration, rollout};
 
 /// Threads besides the one that serves, for work on large items. One does it in turn, and each
 /// further one would take more of the machine from the requests.
@@ -73,10 +73,10 @@
 pub async fn start(front: Listeners, node: Rc<Node>, stopped: watch::Receiver<Option<Instant>>) {
     tokio::task::spawn_local(follow::run(node.clone()));
     tokio::task::spawn_local(fetch::run(node.clone()));
-    tokio::task::spawn_local(member::run(node.clone()));
+    tokio::task::spawn_local(registration::run(node.clone()));
     tokio::task::spawn_local(peer::run(node.clone()));
-    tokio::task::spawn_local(share::run(node.clone()));
-    tokio::task::spawn_local(trials::run(node.clone()));
+    tokio::task::spawn_local(load_report::run(node.clone()));
+    tokio::task::spawn_local(rollout::run(node.clone()));
     tokio::task::spawn_local(sweep(node.clone()));
     front.run(node, stopped).await;
 }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -77,14 +77,14 @@
     let policy = node.settings.borrow().retries;
     let nodes = node.view.borrow().node_count();
     let is_taken = node
-        .budgets
+        .retry_budgets
         .borrow_mut()
         .entry(service.clone())
         .or_default()
         .take(now(), &policy, nodes);
     let label = if is_taken { reason } else { "over-budget" };
     node.metrics
-        .further
+        .further_attempts
         .with_label_values(&[&**service, label])
         .inc();
     tracing::info!(
--- a/crates/gateway/src/publisher.rs
+++ b/crates/gateway/src/publisher.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Mutex;
 
+use crate::delta::Delta;
 use crate::node::Node;
 use crate::offload;
-use crate::piece::Piece;
-use crate::places::{Place, Places};
+use crate::permits::{Permit, Permits};
 use crate::platform::Item;
 
 /// Path on which a node is asked for a large item.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Answer {
     /// The value.
-    Found(Piece),
+    Found(Delta),
     /// It has no value of that revision.
     Behind,
     /// It is telling others.
@@ -42,15 +42,15 @@
 /// What this node has told of large items.
 #[derive(Debug, Default)]
 pub struct Publisher {
-    kept: RefCell<Vec<Piece>>,
-    places: Places,
+    kept: RefCell<Vec<Delta>>,
+    places: Permits,
     /// Held while a piece is written.
     writing: Mutex<()>,
 }
 
 impl Publisher {
-    fn find(&self, item: &Item, base: u64) -> Option<Piece> {
-        let is_same = |piece: &&Piece| {
+    fn find(&self, item: &Item, base: u64) -> Option<Delta> {
+        let is_same = |piece: &&Delta| {
             let notice = &piece.notice;
             (notice.key.as_str(), notice.revision, piece.base)
                 == (item.key.as_str(), item.revision, base)
@@ -58,7 +58,7 @@
         self.kept.borrow().iter().find(is_same).cloned()
     }
 
-    fn keep(&self, piece: Piece) {
+    fn keep(&self, piece: Delta) {
         let mut kept = self.kept.borrow_mut();
         if kept.len() >= KEPT {
             kept.remove(0);
@@ -68,7 +68,7 @@
 }
 
 /// Answers a question; the place is held until the answer has left.
-pub async fn tell(node: &Node, question: &Question) -> (Answer, Option<Place>) {
+pub async fn tell(node: &Node, question: &Question) -> (Answer, Option<Permit>) {
     let is_here = {
         let view = node.view.borrow();
         view.item(&question.key, question.revision).is_some()
@@ -92,13 +92,13 @@
 }
 
 /// The piece that answers a question; `None` if the item was removed meanwhile.
-async fn find_or_write(node: &Node, question: &Question) -> anyhow::Result<Option<Piece>> {
+async fn find_or_write(node: &Node, question: &Question) -> anyhow::Result<Option<Delta>> {
     let (item, base, base_revision) = {
         let view = node.view.borrow();
         let Some(item) = view.item(&question.key, question.revision) else {
             return Ok(None);
         };
-        let base = view.large.former(&question.key, question.base);
+        let base = view.large.former_value(&question.key, question.base);
         let base_revision = base.map_or(0, |_| question.base);
         if let Some(piece) = node.publisher.find(item, base_revision) {
             return Ok(Some(piece));
@@ -106,7 +106,7 @@
         let base = base.unwrap_or_default().to_owned();
         (item.clone(), base, base_revision)
     };
-    let piece = offload::run(move || Piece::new(&item, &base, base_revision)).await??;
+    let piece = offload::run(move || Delta::new(&item, &base, base_revision)).await??;
     node.publisher.keep(piece.clone());
     Ok(Some(piece))
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -29,7 +29,7 @@
 use crate::node::Node;
 use crate::pick::{self, Pick};
 use crate::progress;
-use crate::trials::Ended;
+use crate::rollout::AnswerOutcome;
 use crate::verdict;
 
 /// Frames that are buffered for a slow caller before back-pressure on the server.
@@ -150,7 +150,7 @@
                         expected_ms,
                         event_interval_ms: self.mean_event_ms(started, events),
                     };
-                    let ended = Ended::Well(pace);
+                    let ended = AnswerOutcome::Succeeded(pace);
                     verdict::count_outcome(&self.node, &self.job, &pick, self.model, ended);
                     self.node
                         .suspects
@@ -160,7 +160,13 @@
                 }
                 Segment::CallerLeft => return Ok("caller-left"),
                 Segment::Broken(reason) => {
-                    verdict::count_outcome(&self.node, &self.job, &pick, self.model, Ended::Broken);
+                    verdict::count_outcome(
+                        &self.node,
+                        &self.job,
+                        &pick,
+                        self.model,
+                        AnswerOutcome::Broken,
+                    );
                     self.node
                         .suspects
                         .borrow_mut()
@@ -182,7 +188,7 @@
                         &self.job,
                         &pick,
                         self.model,
-                        Ended::Silently,
+                        AnswerOutcome::TimedOut,
                     );
                     tracing::info!(
                         event = "stream-overtaken",
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -25,7 +25,7 @@
 use crate::progress::{Fallback, RequestProgress, take_retry};
 use crate::refusal::Refusal;
 use crate::relay;
-use crate::trials::Ended;
+use crate::rollout::AnswerOutcome;
 use crate::verdict::{self, Verdict};
 
 /// Time-out of a request in milliseconds, if neither the caller nor the route states one.
@@ -104,7 +104,7 @@
         .with_label_values(&[route, outcome])
         .inc();
     node.metrics
-        .first
+        .first_seconds
         .with_label_values(&[route])
         .observe(elapsed.as_secs_f64());
     let configuration = node
@@ -135,7 +135,7 @@
         return Err(Refusal::NotExecuted);
     }
     let service = pick::choose_service(&job.route, &job.head.id).ok_or(Refusal::NotExecuted)?;
-    node.budgets
+    node.retry_budgets
         .borrow_mut()
         .entry(service.clone())
         .or_default()
@@ -182,7 +182,10 @@
         instead = refusal.code()
     );
     let route = &*job.route.name;
-    node.metrics.fallbacks.with_label_values(&[route]).inc();
+    node.metrics
+        .fallback_answers
+        .with_label_values(&[route])
+        .inc();
     relay::start(
         node,
         job,
@@ -243,8 +246,8 @@
             }
             AttemptResult::Unknown | AttemptResult::TimedOut => {
                 let ended = match outcome {
-                    AttemptResult::TimedOut => Ended::Silently,
-                    _ => Ended::Broken,
+                    AttemptResult::TimedOut => AnswerOutcome::TimedOut,
+                    _ => AnswerOutcome::Broken,
                 };
                 verdict::count_outcome(node, job, &pick, progress.model, ended);
                 if matches!(outcome, AttemptResult::Unknown) {
--- a/crates/gateway/src/trials.rs
+++ b/crates/gateway/src/rollout.rs
@@ -29,13 +29,13 @@
 
 /// How an answer of a service on trial ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum AnswerOutcome {
     /// With success.
-    Well(Timing),
+    Succeeded(Timing),
     /// With a failure that the server answered.
-    Badly,
+    Failed,
     /// Nothing came in the time that the attempt had.
-    Silently,
+    TimedOut,
     /// The server broke off.
     Broken,
 }
@@ -52,7 +52,7 @@
 }
 
 /// Begins to gather what is seen of each roll-out that is ordered.
-pub fn open(node: &Node) {
+pub fn init_evidence(node: &Node) {
     let orders: Vec<Order> = node.view.borrow().orders.values().cloned().collect();
     for order in orders {
         gather(node, &order);
@@ -61,10 +61,10 @@
 
 /// Returns the trial that an order stands for.
 #[must_use]
-pub fn trial(node: &Node, order: &Order) -> Canary {
+pub fn canary(node: &Node, order: &Order) -> Canary {
     Canary {
-        ordered: order.given,
-        due: order.given.plus_millis(order.rollout.within_ms),
+        ordered: order.ordered_at,
+        due: order.ordered_at.plus_millis(order.rollout.within_ms),
         exposure: node.settings.borrow().exposure,
     }
 }
@@ -74,7 +74,7 @@
 /// A slow version's answers end long after those of the other, and many not in the time of the
 /// trial. So an answer that is known to be slow is counted before it has ended.
 #[derive(Debug)]
-pub struct Awaited {
+pub struct PendingAttempt {
     service: Arc<str>,
     route: Arc<str>,
     is_new: bool,
@@ -85,21 +85,21 @@
 }
 
 /// An attempt's place among those that are awaited, given up when dropped.
-pub struct Watched {
+pub struct PendingGuard {
     node: Rc<Node>,
     key: usize,
 }
 
-impl Drop for Watched {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
-        self.node.awaited.borrow_mut().try_remove(self.key);
+        self.node.pending_attempts.borrow_mut().try_remove(self.key);
     }
 }
 
-impl Watched {
+impl PendingGuard {
     /// Notes that the head is there: later than now it does not become slow.
-    pub fn head(&mut self) {
-        if let Some(awaited) = self.node.awaited.borrow_mut().get_mut(self.key) {
+    pub fn record_head(&mut self) {
+        if let Some(awaited) = self.node.pending_attempts.borrow_mut().get_mut(self.key) {
             awaited.slow_from = awaited.slow_from.filter(|from| now() >= *from);
             awaited.waits = false;
         }
@@ -108,13 +108,13 @@
 
 /// Watches an attempt that begins, if its service has a roll-out that is not decided.
 #[must_use]
-pub fn watch(
+pub fn track(
     node: &Rc<Node>,
     pick: &Pick,
     route: &Arc<str>,
     kind: u64,
     expected_ms: f64,
-) -> Option<Watched> {
+) -> Option<PendingGuard> {
     let (is_new, is_loaded) = {
         let view = node.view.borrow();
         let order = view.orders.get(&pick.service)?;
@@ -125,22 +125,22 @@
         if is_decided {
             return None;
         }
-        let is_loaded = trial(node, order).stage(now()) == Stage::Loaded;
+        let is_loaded = canary(node, order).stage(now()) == Stage::Loaded;
         (order.rollout.version == pick.version, is_loaded)
     };
-    let usual = node.usual.borrow().get(&kind).copied();
+    let usual = node.baselines.borrow().get(&kind).copied();
     let slow_ms = usual.and_then(|usual| usual.slow_threshold_ms(expected_ms));
     // Servers under load, and cold ones, are slower whatever their version is.
     let slow_ms = slow_ms.filter(|_| !is_loaded && !pick.is_cold);
-    let awaited = Awaited {
+    let awaited = PendingAttempt {
         service: pick.service.clone(),
         route: route.clone(),
         is_new,
         slow_from: slow_ms.map(|millis| now() + Duration::from_secs_f64(millis / 1_000.0)),
         waits: is_loaded,
     };
-    let key = node.awaited.borrow_mut().insert(awaited);
-    Some(Watched {
+    let key = node.pending_attempts.borrow_mut().insert(awaited);
+    Some(PendingGuard {
         node: node.clone(),
         key,
     })
@@ -148,9 +148,9 @@
 
 /// What this node has seen of a roll-out, slow answers that have not ended included.
 #[must_use]
-pub fn own_counts(node: &Node, service: &str, known: &Evidence) -> canary::Counts {
+pub fn local_counts(node: &Node, service: &str, known: &Evidence) -> canary::Counts {
     let mut counts = known.own.clone();
-    let awaited = node.awaited.borrow();
+    let awaited = node.pending_attempts.borrow();
     let of_service = awaited
         .iter()
         .filter(|(_, awaited)| *awaited.service == *service);
@@ -172,7 +172,7 @@
 
 /// Counts how an attempt at `pick` ended, if its service has a roll-out; `kind` tells apart
 /// what usually takes unlike long.
-pub fn count(node: &Node, pick: &Pick, route: &str, kind: u64, ended: Ended) {
+pub fn record_outcome(node: &Node, pick: &Pick, route: &str, kind: u64, ended: AnswerOutcome) {
     let order = node.view.borrow().orders.get(&pick.service).cloned();
     let is_slow = is_slow(node, kind, ended);
     let Some(order) = order else {
@@ -189,36 +189,36 @@
     let Some(known) = evidence.get_mut(&pick.service) else {
         return;
     };
-    if ended == Ended::Broken {
+    if ended == AnswerOutcome::Broken {
         if is_new {
             known.crashed.insert(load::short_id(pick.identity));
         }
         return;
     }
     // Servers under load, and cold ones, are slower whatever their version is, but not silent for twice the target.
-    let is_loaded = trial(node, &order).stage(now()) == Stage::Loaded;
-    let slow_counts = ended == Ended::Silently || !(is_loaded || pick.is_cold);
+    let is_loaded = canary(node, &order).stage(now()) == Stage::Loaded;
+    let slow_counts = ended == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
     let pair = known.own.entry(route.to_owned()).or_default();
     let side = if is_new { &mut pair.new } else { &mut pair.old };
     side.all += 1;
-    side.bad += u32::from(ended == Ended::Badly);
-    side.loaded += u32::from(is_loaded && ended != Ended::Silently);
+    side.bad += u32::from(ended == AnswerOutcome::Failed);
+    side.loaded += u32::from(is_loaded && ended != AnswerOutcome::TimedOut);
     side.slow += u32::from(is_slow && slow_counts);
 }
 
-fn is_slow(node: &Node, kind: u64, ended: Ended) -> bool {
+fn is_slow(node: &Node, kind: u64, ended: AnswerOutcome) -> bool {
     let pace = match ended {
-        Ended::Well(pace) => pace,
-        Ended::Silently => return true,
-        Ended::Badly | Ended::Broken => return false,
+        AnswerOutcome::Succeeded(pace) => pace,
+        AnswerOutcome::TimedOut => return true,
+        AnswerOutcome::Failed | AnswerOutcome::Broken => return false,
     };
-    let usual = node.usual.borrow();
+    let usual = node.baselines.borrow();
     usual.get(&kind).is_some_and(|usual| usual.is_slow(&pace))
 }
 
-fn learn(node: &Node, kind: u64, ended: Ended) {
-    if let Ended::Well(pace) = ended {
-        let mut usual = node.usual.borrow_mut();
+fn learn(node: &Node, kind: u64, ended: AnswerOutcome) {
+    if let AnswerOutcome::Succeeded(pace) = ended {
+        let mut usual = node.baselines.borrow_mut();
         usual.entry(kind).or_default().observe(&pace);
     }
 }
@@ -233,7 +233,7 @@
         None => record(node, order, Progress::Running).await,
     }
     let evidence = gather(node, order);
-    let verdict = trial(node, order).evaluate(now(), &evidence);
+    let verdict = canary(node, order).evaluate(now(), &evidence);
     match verdict {
         Verdict::Hold => {}
         Verdict::Reject => {
@@ -252,8 +252,8 @@
 /// Whether this node should record a good ending: the collector at once, others
 /// when the collector has not done so.
 fn may_complete(node: &Node, order: &Order, now: Instant) -> bool {
-    let trial = trial(node, order);
-    let is_left_open = trial.is_completion_allowed(now.minus_millis(DEFER_MS));
+    let canary = canary(node, order);
+    let is_left_open = canary.is_completion_allowed(now.minus_millis(DEFER_MS));
     peer::collector(node, &order.rollout.service).is_none() || is_left_open
 }
 
@@ -266,7 +266,7 @@
             ..Evidence::default()
         };
     }
-    let own = own_counts(node, &order.rollout.service, known);
+    let own = local_counts(node, &order.rollout.service, known);
     let heard = peer::sum(&own, &known.heard);
     let size = |counts: &canary::Counts| -> u32 {
         counts
@@ -315,12 +315,12 @@
     let put = StoreRequest::Put {
         key: &key,
         value: &value,
-        revision: Some(order.revision),
+        revision: Some(order.record_revision),
         lease: None,
     };
     // Only the collector opens the record, so that not every node writes it; the
     // others do if it stays closed for a while.
-    let is_due = now() >= order.given.plus_millis(DEFER_MS);
+    let is_due = now() >= order.ordered_at.plus_millis(DEFER_MS);
     let is_collector = peer::collector(node, &order.rollout.service).is_none();
     if progress == Progress::Running && !is_collector && !is_due {
         return;
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -19,13 +19,13 @@
     /// The store, for this node alone.
     Store,
     /// The store, for others as well.
-    StoreForOthers,
+    StoreAsWatcher,
     /// Other nodes, by name and address, in this order.
-    Others(Vec<(String, SocketAddr)>),
+    Peers(Vec<(String, SocketAddr)>),
 }
 
 /// Where this node hears of changes.
-pub fn source(node: &Node) -> Source {
+pub fn current(node: &Node) -> Source {
     let view = node.view.borrow();
     let settings = node.settings.borrow();
     let members: Vec<_> = view.instances().collect();
@@ -33,11 +33,11 @@
     let is_near = |zone: &str| settings.regions.get(zone) == region;
     match watcher::role(&settings.instance, &settings.zone, &members, is_near) {
         Role::Direct => Source::Store,
-        Role::Watcher => Source::StoreForOthers,
+        Role::Watcher => Source::StoreAsWatcher,
         Role::Follower(names) => {
             let others = names.into_iter();
             let others = others.map(|name| (name.to_owned(), view.nodes[name].address));
-            Source::Others(others.collect())
+            Source::Peers(others.collect())
         }
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -115,7 +115,7 @@
         status: StatusCode,
         body: Bytes,
     ) -> Result<StoreResponse, Fault> {
-        if body.len() < offload::OFFLOADED {
+        if body.len() < offload::MIN_BYTES {
             return Ok(self.platform.decode_store_response(call, status, &body));
         }
         let (platform, call) = (self.platform.clone(), call.to_static());
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/updates.rs
@@ -32,7 +32,7 @@
 
 /// What a watcher answers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct News {
+pub struct Updates {
     /// Items that changed.
     pub items: Vec<Item>,
     /// Large items that changed.
@@ -54,22 +54,22 @@
 /// # Errors
 ///
 /// When no answer comes in time.
-pub async fn ask(node: &Node, address: SocketAddr, after: u64) -> anyhow::Result<News> {
+pub async fn poll(node: &Node, address: SocketAddr, after: u64) -> anyhow::Result<Updates> {
     let patience = Duration::from_millis(watcher::PEER_WAIT_MS) + MARGIN;
     let question = Question {
         after,
         takes_notices: true,
     };
-    message::ask(node, address, PATH, &question, patience).await
+    message::send(node, address, PATH, &question, patience).await
 }
 
 /// Waits for news and tells them.
-pub async fn tell(node: &Node, question: Question) -> News {
+pub async fn serve(node: &Node, question: Question) -> Updates {
     if node.store_age_ms() > watcher::MAX_AGE_MS {
         // Whoever asks must look elsewhere, and soon.
         return known_since(node, question);
     }
-    let mut changes = node.changes.subscribe();
+    let mut changes = node.followed_revision.subscribe();
     let wait = Duration::from_millis(watcher::PEER_WAIT_MS);
     let has_news = changes.wait_for(|revision| *revision > question.after);
     // Without news the answer says how fresh the watcher is.
@@ -77,19 +77,19 @@
     known_since(node, question)
 }
 
-fn known_since(node: &Node, question: Question) -> News {
+fn known_since(node: &Node, question: Question) -> Updates {
     let view = node.view.borrow();
     let (items, large) = if question.takes_notices {
-        view.news_since(question.after)
+        view.updates_since(question.after)
     } else {
-        (view.since(question.after), Vec::new())
+        (view.items_since(question.after), Vec::new())
     };
-    News {
+    Updates {
         items,
         large,
         arrivals: node.arrivals.borrow().since(now(), question.after),
         revision: view.revision,
         age_ms: node.store_age_ms(),
-        is_whole: view.remembers(question.after),
+        is_whole: view.has_changes_since(question.after),
     }
 }
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -19,7 +19,7 @@
 use crate::progress::{Fallback, RequestProgress, take_retry};
 use crate::refusal::Refusal;
 use crate::relay;
-use crate::trials::{self, Ended};
+use crate::rollout::{self, AnswerOutcome};
 
 /// Maximum size in bytes of an answer that is buffered before it is sent to the caller.
 const MAX_BUFFERED_BYTES: usize = 32 << 20;
@@ -52,7 +52,7 @@
             .dropped_answers
             .with_label_values(&[&*job.route.name])
             .inc();
-        let ended = Ended::Well(Timing {
+        let ended = AnswerOutcome::Succeeded(Timing {
             head_ms: response.head_ms,
             expected_ms: response.expected_head_ms,
             event_interval_ms: None,
@@ -110,9 +110,9 @@
     let (mut head, body) = response.answered.response.into_parts();
     let collected = Limited::new(body, MAX_BUFFERED_BYTES).collect().await;
     let ended = match &collected {
-        Err(_) => Ended::Broken,
-        Ok(_) if head.status.is_server_error() => Ended::Badly,
-        Ok(_) => Ended::Well(Timing {
+        Err(_) => AnswerOutcome::Broken,
+        Ok(_) if head.status.is_server_error() => AnswerOutcome::Failed,
+        Ok(_) => AnswerOutcome::Succeeded(Timing {
             head_ms: response.head_ms,
             expected_ms: response.expected_head_ms,
             event_interval_ms: None,
@@ -152,8 +152,14 @@
 }
 
 /// Counts the outcome of an attempt for a roll-out of the service.
-pub fn count_outcome(node: &Node, job: &Job, pick: &Pick, model: Option<usize>, ended: Ended) {
-    trials::count(
+pub fn count_outcome(
+    node: &Node,
+    job: &Job,
+    pick: &Pick,
+    model: Option<usize>,
+    ended: AnswerOutcome,
+) {
+    rollout::record_outcome(
         node,
         pick,
         &job.route.name,
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -14,7 +14,7 @@
 use crate::arrival::ChangeKind;
 use crate::catalog::Catalog;
 use crate::entry::{NODES, Peer};
-use crate::large::{Large, Notice};
+use crate::large::{LargeItems, Notice};
 use crate::platform::{Change, Item, Platform, Progress, Rollout, ServerEntry, ServerState};
 use crate::server::Server;
 
@@ -27,14 +27,14 @@
     /// What was ordered.
     pub rollout: Rollout,
     /// Revision of the order in the store: the same version may be ordered again.
-    pub ordered: u64,
+    pub order_revision: u64,
     /// When the order was given, as far as this node or a peer knows: a node that starts
     /// while a roll-out runs hears of the order late.
-    pub given: Instant,
+    pub ordered_at: Instant,
     /// How far it is, as far as the store says.
     pub progress: Option<Progress>,
     /// Revision of the record of its progress; zero if there is none.
-    pub revision: u64,
+    pub record_revision: u64,
     /// Whether this node has halted it on its own evidence.
     pub is_halted: bool,
 }
@@ -59,10 +59,10 @@
     /// still to be heard.
     pub revision: u64,
     /// Items that nodes tell each other by notices.
-    pub large: Large,
+    pub large: LargeItems,
     /// Entries that could not be read so far.
     pub unreadable: u64,
-    /// What came in force since the last [`take_fresh`](Self::take_fresh).
+    /// What came in force since the last [`take_fresh`](Self::take_activated).
     fresh: Vec<(ChangeKind, u64)>,
     /// Addresses at which a server started again, for [`take_restarted`](Self::take_restarted).
     restarted: Vec<SocketAddr>,
@@ -93,7 +93,7 @@
         }
         self.fresh.push((change.kind(), item.revision));
         let before = self.items.insert(item.key.clone(), item.clone());
-        self.large.note(before, item);
+        self.large.record_item(before, item);
         self.take(now, change, item);
         true
     }
@@ -130,9 +130,9 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Whether [`since`](Self::since) tells every change after `revision`.
+    /// Whether [`items_since`](Self::items_since) tells every change after `revision`.
     #[must_use]
-    pub const fn remembers(&self, revision: u64) -> bool {
+    pub const fn has_changes_since(&self, revision: u64) -> bool {
         revision >= self.forgotten
     }
 
@@ -151,27 +151,27 @@
 
     /// The value that `key` has or had at `revision`, if it is still known.
     #[must_use]
-    pub fn value(&self, key: &str, revision: u64) -> Option<&str> {
+    pub fn value_at(&self, key: &str, revision: u64) -> Option<&str> {
         let item = self.items.get(key)?;
         if item.revision == revision {
             return item.value.as_deref();
         }
-        self.large.former(key, revision)
+        self.large.former_value(key, revision)
     }
 
     /// Takes in that a large item has changed, as a peer at `teller` says; returns whether
     /// it is news.
-    pub fn hear_large(&mut self, now: Instant, notice: &Notice, teller: SocketAddr) -> bool {
+    pub fn record_notice(&mut self, now: Instant, notice: &Notice, teller: SocketAddr) -> bool {
         let known = self.revision_of(&notice.key);
-        self.large.hear(now, notice, known, teller)
+        self.large.record_notice(now, notice, known, teller)
     }
 
     /// Returns the small items that changed after `revision`, and notices of the large ones.
     #[must_use]
-    pub fn news_since(&self, revision: u64) -> (Vec<Item>, Vec<Notice>) {
-        let notices = self.large.since(revision);
+    pub fn updates_since(&self, revision: u64) -> (Vec<Item>, Vec<Notice>) {
+        let notices = self.large.notices_since(revision);
         let changed = self.items.values().filter(|item| item.revision > revision);
-        let small = changed.filter(|item| !self.large.holds(&item.key));
+        let small = changed.filter(|item| !self.large.has_large(&item.key));
         let mut items: Vec<Item> = small.cloned().collect();
         items.sort_by_key(|item| item.revision);
         (items, notices)
@@ -179,7 +179,7 @@
 
     /// Returns the items that changed after `revision`.
     #[must_use]
-    pub fn since(&self, revision: u64) -> Vec<Item> {
+    pub fn items_since(&self, revision: u64) -> Vec<Item> {
         let mut items: Vec<Item> = self
             .items
             .values()
@@ -252,7 +252,7 @@
             }
             Change::RolloutStatus(status) => {
                 if let Some(order) = self.orders.get_mut(&status.service) {
-                    order.revision = item.revision;
+                    order.record_revision = item.revision;
                     if order.rollout.version == status.version {
                         order.progress = Some(status.progress);
                     }
@@ -268,7 +268,7 @@
             Change::RolloutStatusGone(service) => {
                 if let Some(order) = self.orders.get_mut(&service) {
                     order.progress = None;
-                    order.revision = 0;
+                    order.record_revision = 0;
                 }
             }
             Change::Evacuation { zone, is_ordered } => {
@@ -290,7 +290,7 @@
     }
 
     /// Returns what has come in force since the last call, with its revision.
-    pub fn take_fresh(&mut self) -> Vec<(ChangeKind, u64)> {
+    pub fn take_activated(&mut self) -> Vec<(ChangeKind, u64)> {
         std::mem::take(&mut self.fresh)
     }
 
@@ -383,22 +383,22 @@
         }
     }
 
-    fn take_rollout(&mut self, now: Instant, rollout: Rollout, ordered: u64) {
+    fn take_rollout(&mut self, now: Instant, rollout: Rollout, order_revision: u64) {
         tracing::info!(
             event = "rollout-ordered",
             service = &*rollout.service,
             version = &*rollout.version,
             within_ms = rollout.within_ms
         );
-        let revision = self
+        let record_revision = self
             .orders
             .get(&rollout.service)
-            .map_or(0, |known| known.revision);
+            .map_or(0, |known| known.record_revision);
         let order = Order {
-            ordered,
-            given: now,
+            order_revision,
+            ordered_at: now,
             progress: None,
-            revision,
+            record_revision,
             is_halted: false,
             rollout,
         };
--- a/crates/gateway/tests/all/logs.rs
+++ b/crates/gateway/tests/all/logs.rs
@@ -1,6 +1,6 @@
 //! The budget of log lines.
 
-use fescuerack_gateway::logs::{A_SECOND, Budget};
+use fescuerack_gateway::logs::{Budget, MAX_LINES_PER_SECOND};
 use tracing::Callsite;
 use tracing::callsite::Identifier;
 use tracing::metadata::Metadata;
@@ -25,10 +25,10 @@
 fn take_a_storm_of_one_kind_leaves_the_others() {
     let budget = Budget::new();
     let storm = Identifier(&STORM);
-    let passed = (0..10 * A_SECOND)
+    let passed = (0..10 * MAX_LINES_PER_SECOND)
         .filter(|_| budget.take(storm.clone()))
         .count();
-    let most = usize::try_from(2 * A_SECOND).expect("few");
+    let most = usize::try_from(2 * MAX_LINES_PER_SECOND).expect("few");
     assert!((1..=most).contains(&passed), "{passed}");
     assert!(budget.take(Identifier(&OTHER)));
 }
--- a/crates/gateway/tests/all/metrics.rs
+++ b/crates/gateway/tests/all/metrics.rs
@@ -8,21 +8,27 @@
 fn text_lists_what_the_docs_list() {
     let metrics = Metrics::new().expect("metrics");
     metrics.requests.with_label_values(&["r", "answered"]).inc();
-    metrics.first.with_label_values(&["r"]).observe(0.1);
+    metrics.first_seconds.with_label_values(&["r"]).observe(0.1);
     metrics.attempts.with_label_values(&["s", "head"]).inc();
-    metrics.further.with_label_values(&["s", "weak"]).inc();
+    metrics
+        .further_attempts
+        .with_label_values(&["s", "weak"])
+        .inc();
     metrics.dropped_answers.with_label_values(&["r"]).inc();
-    metrics.fallbacks.with_label_values(&["r"]).inc();
+    metrics.fallback_answers.with_label_values(&["r"]).inc();
     metrics.cold_requests.with_label_values(&["s"]).inc();
     metrics
-        .store
+        .store_calls
         .with_label_values(&["watch", "answered"])
         .inc();
     metrics
         .peer_bytes
         .with_label_values(&["/follow", "out"])
         .inc();
-    metrics.age.with_label_values(&["server"]).observe(0.1);
+    metrics
+        .change_age_seconds
+        .with_label_values(&["server"])
+        .observe(0.1);
     let text = metrics.text().expect("text");
     let served: Vec<&str> = text
         .lines()
