--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -35,7 +35,7 @@
 
 /// A place of a running request; dropping it lets the next one in.
 #[derive(Debug)]
-pub struct Place {
+pub struct Permit {
     gate: Gate,
     clock: Clock,
     held: Held,
@@ -122,7 +122,7 @@
     }
 
     /// Takes over thresholds that a new configuration brings.
-    pub fn set(&self, thresholds: Thresholds) {
+    pub fn set_thresholds(&self, thresholds: Thresholds) {
         lock(&self.inner).control.set_thresholds(thresholds);
     }
 
@@ -131,8 +131,8 @@
     /// # Errors
     ///
     /// Why and until when the caller is turned away; nothing was run.
-    pub async fn enter(&self, clock: Clock, ask: &Request) -> Result<Place, Refusal> {
-        let mut place = Place {
+    pub async fn admit(&self, clock: Clock, ask: &Request) -> Result<Permit, Refusal> {
+        let mut place = Permit {
             gate: self.clone(),
             clock,
             held: Held::Nothing,
@@ -142,7 +142,7 @@
         while let Held::Turn(_, turn) = &mut place.held {
             // Whoever wakes first turns away everyone whose time is over.
             let expiry = lock(&self.inner).control.next_expiry();
-            let expiry = clock.tokio(expiry.unwrap_or(ask.deadline));
+            let expiry = clock.to_tokio(expiry.unwrap_or(ask.deadline));
             match tokio::time::timeout_at(expiry, turn).await {
                 Ok(Ok(Ok(grant))) => place.held = Held::Grant(grant),
                 Ok(Ok(Err(refusal))) => {
@@ -191,7 +191,7 @@
     }
 }
 
-impl Place {
+impl Permit {
     /// Returns where to record how the request goes.
     #[must_use]
     pub fn meter(&self) -> Meter {
@@ -201,7 +201,7 @@
 
 impl Inner {
     /// Tells everyone whose turn has come. A waiter that has gone gives its
-    /// grant back when its [`Place`] is dropped.
+    /// grant back when its [`Permit`] is dropped.
     fn turn(&mut self, now: Instant) {
         for turn in self.control.poll(now, &mut self.rng) {
             let (ticket, answer) = match turn {
@@ -215,7 +215,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         let mut inner = lock(&self.gate.inner);
         let now = self.clock.now();
--- a/crates/node/src/callers/chat.rs
+++ b/crates/node/src/callers/chat.rs
@@ -18,7 +18,7 @@
 use super::steps::{Part, Steps};
 use super::stream::{self, Stream};
 use super::{bill, entry};
-use crate::admission::Place;
+use crate::admission::Permit;
 use crate::shared::{Force, Shared};
 
 /// A request that may run.
@@ -29,7 +29,7 @@
     call: Call,
     choice: Choice,
     form: Form,
-    place: Place,
+    place: Permit,
 }
 
 /// Answers a completion request.
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -86,12 +86,12 @@
             shared.dice()
         },
     };
-    let board = lock(&shared.versions.board);
+    let registry = lock(&shared.versions.rollouts);
     let learner = lock(&shared.versions.learner);
     let world = Context {
         catalog: &force.catalog,
         names: &force.names,
-        rollouts: &board,
+        rollouts: &registry,
         learner: &learner,
         now,
     };
@@ -101,7 +101,7 @@
         chosen.plans.truncate(1);
     }
     drop(learner);
-    drop(board);
+    drop(registry);
     let class = match wanted {
         Selector::Class(class) => Some(class),
         Selector::Version(_) | Selector::Model(_) => None,
--- a/crates/node/src/callers/entry.rs
+++ b/crates/node/src/callers/entry.rs
@@ -9,7 +9,7 @@
 
 use super::intake::Call;
 use super::reply::Refusal;
-use crate::admission::Place;
+use crate::admission::Permit;
 use crate::shared::{Shared, lock};
 
 /// Priority of a request that names no class of work.
@@ -24,10 +24,10 @@
     shared: &Shared,
     call: &Call,
     class: Option<key::Class>,
-) -> Result<Place, Refusal> {
+) -> Result<Permit, Refusal> {
     let ask = ask(shared, call, class);
     rate(shared, call)?;
-    let entered = shared.gate.enter(shared.clock, &ask).await;
+    let entered = shared.gate.admit(shared.clock, &ask).await;
     entered.map_err(|refused| {
         shared.metrics.count("admission.refused");
         refusal(shared.now(), refused.retry_at, "too much work; not run")
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -66,7 +66,7 @@
             .and_then(|class| self.force.catalog.classes.get(class));
         let late = class.is_some_and(|class| now > self.start.plus_millis(class.first_token_ms));
         let event = Event::Answered { late };
-        lock(&self.shared.versions.board).observe(now, self.version, event);
+        lock(&self.shared.versions.rollouts).observe(now, self.version, event);
     }
 
     /// Reads a part of the answer.
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -19,7 +19,7 @@
 use super::reply::{Reply, error_body, whole};
 use super::shape::{Form, Tally};
 use super::upstream::Events;
-use crate::admission::Place;
+use crate::admission::Permit;
 use crate::shared::{Force, Shared};
 
 /// A stream on its way to the caller.
@@ -41,7 +41,7 @@
 impl Stream {
     /// Starts handing on and returns the answer's head; `place` is held until
     /// the stream ends.
-    pub fn start(self, begun: Begun, mut observer: Observer, place: Place) -> Reply {
+    pub fn start(self, begun: Begun, mut observer: Observer, place: Permit) -> Reply {
         let mut tally = Tally::new();
         let mut first = BytesMut::new();
         self.add(begun.first, &mut tally, &mut observer, &mut first);
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -70,14 +70,14 @@
 
 /// State of claims in one process.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct Queue {
     lease: Mutex<Option<(u64, Instant)>>,
     backlog: Mutex<VecDeque<(Instant, Job)>>,
     added: Condvar,
     waiting: AtomicUsize,
 }
 
-impl Desk {
+impl Queue {
     /// Returns how many ends are still to be recorded.
     pub fn backlog(&self) -> usize {
         lock(&self.backlog).len()
@@ -179,15 +179,15 @@
 }
 
 /// Works off the backlog until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
-        work(shared, Duration::from_millis(SLICE_MS));
+        record_next(shared, Duration::from_millis(SLICE_MS));
     }
 }
 
 /// Tries the first item of the backlog, waiting for one; returns whether the
 /// backlog is empty.
-pub fn work(shared: &Shared, wait: Duration) -> bool {
+pub fn record_next(shared: &Shared, wait: Duration) -> bool {
     let Some((until, job)) = shared.claims.pop(wait) else {
         return true;
     };
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -27,7 +27,7 @@
 
     /// Returns the point of the async runtime's clock that `at` stands for.
     #[must_use]
-    pub fn tokio(&self, at: Instant) -> tokio::time::Instant {
+    pub fn to_tokio(&self, at: Instant) -> tokio::time::Instant {
         let at = self.origin + at.since(Instant::ORIGIN);
         tokio::time::Instant::from_std(at)
     }
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -28,7 +28,7 @@
 const TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Reads reports until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     let mut last = None;
     while !stop.wait(PERIOD) {
         let Some((server, address)) = after(shared, last) else {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -60,12 +60,12 @@
         let stop = Stop::new();
         spawn("config", &shared, &stop, activation::follow)?;
         spawn("watch", &shared, &stop, activation::watch)?;
-        spawn("servers", &shared, &stop, servers::follow)?;
+        spawn("servers", &shared, &stop, servers::run)?;
         spawn("orders", &shared, &stop, orders::follow)?;
-        spawn("loads", &shared, &stop, loads::follow)?;
-        spawn("claims", &shared, &stop, claims::follow)?;
-        spawn("rollouts", &shared, &stop, versions::rollouts::follow)?;
-        spawn("ratings", &shared, &stop, versions::ratings::follow)?;
+        spawn("loads", &shared, &stop, loads::run)?;
+        spawn("claims", &shared, &stop, claims::run)?;
+        spawn("rollouts", &shared, &stop, versions::rollouts::run)?;
+        spawn("ratings", &shared, &stop, versions::ratings::run)?;
         let ledger = spawn("ledger", &shared, &stop, ledger::follow)?;
         log::info!(instance = shared.settings.instance; "started");
         Ok(Self {
@@ -135,7 +135,7 @@
         }
         self.stop.set();
         let _ = self.ledger.join();
-        while self.shared.now() < deadline && !claims::work(&self.shared, Duration::ZERO) {}
+        while self.shared.now() < deadline && !claims::record_next(&self.shared, Duration::ZERO) {}
         ledger::finish(&self.shared, deadline);
         self.operators.stop();
         self.runtime.shutdown_background();
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -133,7 +133,7 @@
 /// Collects what all instances should hold alike.
 fn shared_state(shared: &Shared) -> peer::Shared {
     peer::Shared {
-        rollouts: lock(&shared.versions.board).records(),
+        rollouts: lock(&shared.versions.rollouts).records(),
     }
 }
 
@@ -145,7 +145,7 @@
         rates: lock(&shared.rates).digest(&force.names, now),
         pools: lock(&shared.pools).digest(&force.names, now),
         words: lock(&shared.routes).digest(now),
-        rollouts: lock(&shared.versions.board).digest(),
+        rollouts: lock(&shared.versions.rollouts).digest(),
         quality: lock(&shared.versions.learner).digest(&force.names),
         suspects: lock(&shared.versions.suspects).digest(now),
     }
@@ -157,14 +157,14 @@
     lock(&shared.rates).merge(&force.names, now, from, &digest.rates);
     lock(&shared.pools).merge(&force.names, now, from, &digest.pools);
     lock(&shared.routes).merge(now, &digest.words);
-    versions::merge(shared, &force, digest);
+    versions::merge_digest(shared, &force, digest);
 }
 
 /// Hands to the slices what a peer told.
 fn take_in(shared: &Shared, input: Payload) {
     shared.configuration.hear(input.revision);
     let states: peer::Shared = peer::from_slices(input.states);
-    versions::merge_records(shared, &states.rollouts);
+    versions::merge_rollout_records(shared, &states.rollouts);
     let digest: Digest = peer::from_slices(input.digests);
     merge(shared, &input.origin, &digest);
     publish(shared);
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -20,10 +20,10 @@
 /// Time between two readings of the list.
 const PERIOD: Duration = Duration::from_millis(500);
 /// Fleet under which the list shows the instances of fescuerack itself.
-pub const OWN_FLEET: &str = "fescuerack";
+pub const ROUTER_FLEET: &str = "fescuerack";
 
 /// Follows the list until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     loop {
         match shared.directory.list() {
             Ok(list) => take_over(shared, list),
@@ -43,7 +43,7 @@
     let mut listed = Vec::new();
     let mut peers = Vec::new();
     for instance in list.instances {
-        if instance.fleet == OWN_FLEET {
+        if instance.fleet == ROUTER_FLEET {
             peers.push(instance);
             continue;
         }
@@ -99,7 +99,9 @@
     let catalog = &force.catalog;
     let now = shared.now();
     let places = shared.settings.limits.concurrency;
-    shared.gate.set(admission::thresholds(places, catalog));
+    shared
+        .gate
+        .set_thresholds(admission::thresholds(places, catalog));
     let instances = lock(&shared.member).view.size();
     let mut rates = lock(&shared.rates);
     for (key, organisation) in &catalog.organisations {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -71,7 +71,7 @@
     /// Entries that are to be kept.
     pub ledger: ledger::Desk,
     /// Claims of non-idempotent requests.
-    pub claims: claims::Desk,
+    pub claims: claims::Queue,
     /// Where the configuration in force comes from.
     pub configuration: activation::Desk,
     /// Other instances and the soft state that is shared with them.
@@ -115,7 +115,7 @@
         Ok(Self {
             versions: Versions::new(&incarnation, &settings.platform),
             ledger: ledger::Desk::new(&incarnation),
-            claims: claims::Desk::default(),
+            claims: claims::Queue::default(),
             configuration: activation::Desk::default(),
             incarnation,
             clock: Clock::new(),
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -22,13 +22,13 @@
 /// State of the slices that decide on versions.
 pub struct Versions {
     /// Roll-outs.
-    pub board: Mutex<Registry>,
+    pub rollouts: Mutex<Registry>,
     /// Learnt quality.
     pub learner: Mutex<Learner>,
     /// Requests that crashed servers.
     pub suspects: Mutex<Suspects>,
     /// Answers to be rated.
-    pub ratings: ratings::Desk,
+    pub ratings: ratings::Queue,
     configured: AtomicU64,
 }
 
@@ -37,34 +37,34 @@
     #[must_use]
     pub fn new(incarnation: &str, platform: &str) -> Self {
         Self {
-            board: Mutex::new(Registry::new(incarnation)),
+            rollouts: Mutex::new(Registry::new(incarnation)),
             learner: Mutex::new(Learner::new(incarnation)),
             suspects: Mutex::new(Suspects::new()),
-            ratings: ratings::Desk::new(platform),
+            ratings: ratings::Queue::new(platform),
             configured: AtomicU64::new(0),
         }
     }
 
     /// Takes over the configuration in force if it is new. Every choice calls
-    /// this first: with an unconfigured board a candidate would look like an
+    /// this first: with an unconfigured registry a candidate would look like an
     /// ordinary version.
     pub fn configure(&self, now: Instant, force: &Force) {
         let revision = force.catalog.revision;
         if self.configured.load(Ordering::Acquire) >= revision {
             return;
         }
-        let mut board = lock(&self.board);
+        let mut registry = lock(&self.rollouts);
         if self.configured.load(Ordering::Acquire) < revision {
-            board.configure(now, &force.catalog, &force.names);
+            registry.configure(now, &force.catalog, &force.names);
             self.configured.store(revision, Ordering::Release);
         }
     }
 
     /// Puts halts and steps that were news in force.
     pub fn reconfigure(&self, now: Instant, force: &Force) {
-        let mut board = lock(&self.board);
+        let mut registry = lock(&self.rollouts);
         if self.configured.load(Ordering::Acquire) <= force.catalog.revision {
-            board.configure(now, &force.catalog, &force.names);
+            registry.configure(now, &force.catalog, &force.names);
             self.configured
                 .store(force.catalog.revision, Ordering::Release);
         }
@@ -73,8 +73,8 @@
     /// Returns whether a version is the candidate of a running trial.
     #[must_use]
     pub fn is_candidate(&self, model: key::Model, version: key::Version) -> bool {
-        let board = lock(&self.board);
-        board
+        let registry = lock(&self.rollouts);
+        registry
             .canary(model)
             .is_some_and(|trial| trial.candidate == version)
     }
@@ -88,24 +88,24 @@
 }
 
 /// Takes over the halts and steps that a peer holds.
-pub fn merge_records(shared: &Shared, records: &BTreeMap<String, rollout::Record>) {
+pub fn merge_rollout_records(shared: &Shared, records: &BTreeMap<String, rollout::Record>) {
     let now = shared.now();
     let mut news = false;
-    let mut board = lock(&shared.versions.board);
+    let mut registry = lock(&shared.versions.rollouts);
     for (model, record) in records {
-        news |= board.merge_peer_record(now, model, record);
+        news |= registry.merge_peer_record(now, model, record);
     }
-    drop(board);
+    drop(registry);
     if news {
         shared.versions.reconfigure(now, &shared.force());
     }
 }
 
 /// Takes over what a peer tells.
-pub fn merge(shared: &Shared, force: &Force, digest: &fescuerack_wire::peer::Digest) {
+pub fn merge_digest(shared: &Shared, force: &Force, digest: &fescuerack_wire::peer::Digest) {
     let versions = &shared.versions;
     let now = shared.now();
-    lock(&versions.board).merge(now, &digest.rollouts);
+    lock(&versions.rollouts).merge(now, &digest.rollouts);
     lock(&versions.learner).merge(&force.catalog, &force.names, &digest.quality);
     lock(&versions.suspects).merge(now, &digest.suspects);
 }
@@ -115,24 +115,24 @@
     let force = shared.force();
     let versions = &shared.versions;
     let now = shared.now();
-    let board = lock(&versions.board);
+    let registry = lock(&versions.rollouts);
     let mut rollouts = BTreeMap::new();
     for model in force.catalog.rollouts.keys() {
         let name = force.names.models.name(model).to_string();
-        let share = board.share(now, model);
+        let share = registry.share(now, model);
         let part = share.and_then(|share| share.candidate).map(|part| part.1);
         rollouts.insert(
             name.clone(),
             json!({
-                "verdict": board.verdict(now, model),
+                "verdict": registry.verdict(now, model),
                 "share_of_new_sessions": part,
-                "trial": board.canary(model),
-                "record": board.record(&name),
+                "trial": registry.canary(model),
+                "record": registry.record(&name),
             }),
         );
     }
-    let informed = board.is_informed();
-    drop(board);
+    let informed = registry.is_informed();
+    drop(registry);
     json!({
         "informed": informed,
         "rollouts": rollouts,
--- a/crates/node/src/versions/ratings.rs
+++ b/crates/node/src/versions/ratings.rs
@@ -35,14 +35,14 @@
 }
 
 /// The answers that wait, and the rate.
-pub struct Desk {
+pub struct Queue {
     service: HttpRating,
     waiting: Mutex<VecDeque<Answer>>,
     arrived: Condvar,
     bucket: Mutex<TokenBucket>,
 }
 
-impl Desk {
+impl Queue {
     /// Creates a desk before the service at `address`.
     #[must_use]
     pub fn new(address: &str) -> Self {
@@ -95,7 +95,7 @@
 }
 
 /// Rates answers until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
         if let Some(answer) = shared.versions.ratings.next() {
             rate(shared, &answer);
@@ -134,7 +134,7 @@
         quality_milli: thousandths(quality),
         bad: class.is_some_and(|class| quality < class.bad_quality),
     };
-    lock(&versions.board).observe(now, answer.version, event);
+    lock(&versions.rollouts).observe(now, answer.version, event);
     Some(quality)
 }
 
--- a/crates/node/src/versions/rollouts.rs
+++ b/crates/node/src/versions/rollouts.rs
@@ -28,7 +28,7 @@
 }
 
 /// Follows the roll-outs until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     let mut seen = Seen::default();
     while !stop.wait(PERIOD) {
         let force = shared.force();
@@ -44,10 +44,10 @@
             }
         }
         let instances = super::instances(shared);
-        let mut board = lock(&shared.versions.board);
-        board.set_instances(instances);
-        let acts = board.decide(now);
-        drop(board);
+        let mut registry = lock(&shared.versions.rollouts);
+        registry.set_instances(instances);
+        let acts = registry.decide(now);
+        drop(registry);
         for act in acts {
             if perform(shared, &act).is_err() {
                 shared.metrics.count("rollouts.store_failed");
@@ -69,7 +69,7 @@
         read_record(shared, model)?;
         seen.versions.insert(item.key.clone(), item.version);
     }
-    lock(&shared.versions.board).mark_informed();
+    lock(&shared.versions.rollouts).mark_informed();
     Ok(())
 }
 
@@ -86,10 +86,10 @@
 
 fn take_over(shared: &Shared, model: &str, found: &Record) {
     let now = shared.now();
-    let mut board = lock(&shared.versions.board);
-    board.set_stored_record(model, found);
-    let news = board.merge_stored_record(now, model, found);
-    drop(board);
+    let mut registry = lock(&shared.versions.rollouts);
+    registry.set_stored_record(model, found);
+    let news = registry.merge_stored_record(now, model, found);
+    drop(registry);
     if news {
         log::info!(model = model; "a roll-out's record was news");
         shared.versions.reconfigure(now, &shared.force());
@@ -119,7 +119,7 @@
 /// and steps only rise.
 fn write(shared: &Shared, model: &str, step: Option<(&String, Step)>) -> Result<()> {
     let (version, mut merged) = read_record(shared, model)?;
-    merged.merge(&lock(&shared.versions.board).record(model));
+    merged.merge(&lock(&shared.versions.rollouts).record(model));
     if let Some((candidate, step)) = step {
         if merged.halted(candidate, step.word).is_some() {
             return Ok(());
--- a/crates/node/src/versions/suspects.rs
+++ b/crates/node/src/versions/suspects.rs
@@ -150,7 +150,7 @@
             return;
         }
     };
-    lock(&shared.versions.board).observe(now, attempt.version, event);
+    lock(&shared.versions.rollouts).observe(now, attempt.version, event);
 }
 
 /// Notes that an attempt was given up before its end.
