--- a/crates/node/src/callers/entry.rs
+++ b/crates/node/src/callers/admit.rs
@@ -7,8 +7,8 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_wire::error::Kind;
 
-use super::intake::Call;
 use super::reply::Refusal;
+use super::request::Call;
 use crate::admission::Permit;
 use crate::shared::{Shared, lock};
 
@@ -20,7 +20,7 @@
 /// # Errors
 ///
 /// When it is turned away; nothing was run.
-pub async fn enter(
+pub async fn admit(
     shared: &Shared,
     call: &Call,
     class: Option<key::Class>,
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -20,11 +20,11 @@
 use crate::versions::suspects;
 
 /// Attempts that one request may make.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// What every attempt of a request sends.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct AttemptSpec {
     /// Version that answers.
     pub version: key::Version,
     /// Path at the engine.
@@ -39,15 +39,15 @@
     pub deadline: Instant,
 }
 
-/// An answer that has begun.
-pub struct Begun {
+/// An answer that has started.
+pub struct StartedAnswer {
     /// Its first part.
     pub first: Completion,
     /// What follows.
     pub events: Events,
 }
 
-/// Why no answer has begun.
+/// Why no answer has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No healthy server could take the request.
@@ -59,11 +59,11 @@
 }
 
 /// The attempts of one completion.
-pub struct Run {
+pub struct AttemptRunner {
     shared: Arc<Shared>,
     force: Arc<Force>,
     attempts: Attempts,
-    work: Work,
+    work: AttemptSpec,
     prompt: Prompt,
     meter: Meter,
     fleet: Option<key::Fleet>,
@@ -71,15 +71,15 @@
 }
 
 /// An attempt whose first part has not come.
-struct Sent {
+struct PendingAttempt {
     events: Events,
 }
 
-impl Run {
+impl AttemptRunner {
     /// Prepares the attempts of `work`; none is made yet.
-    pub fn new(shared: Arc<Shared>, force: Arc<Force>, work: Work) -> Self {
+    pub fn new(shared: Arc<Shared>, force: Arc<Force>, work: AttemptSpec) -> Self {
         Self {
-            attempts: Attempts::new(true, work.deadline, MOST_ATTEMPTS),
+            attempts: Attempts::new(true, work.deadline, MAX_ATTEMPTS),
             prompt: Prompt::new(&work.body),
             meter: Meter::default(),
             fleet: None,
@@ -101,7 +101,7 @@
     /// # Errors
     ///
     /// When none did.
-    pub async fn begin(&mut self) -> Result<Begun, Failure> {
+    pub async fn start(&mut self) -> Result<StartedAnswer, Failure> {
         loop {
             if !suspects::admit(&self.shared, self.work.fingerprint).await {
                 return Err(Failure::Crashes(self.attempts.outcome()));
@@ -119,14 +119,14 @@
                 return Err(Failure::NoServer(self.attempts.outcome()));
             };
             match self.first(sent).await {
-                Ok(begun) => return Ok(begun),
+                Ok(started) => return Ok(started),
                 Err(end) => self.end(end)?,
             }
         }
     }
 
     /// Sends an attempt to a server that was not tried.
-    fn send(&mut self) -> Option<Sent> {
+    fn send(&mut self) -> Option<PendingAttempt> {
         let fleets = &self.force.catalog.versions[self.work.version].fleets;
         let fingerprint = self.work.fingerprint;
         let avoid = suspects::avoid(&self.shared, fingerprint, self.attempts.tried());
@@ -146,30 +146,30 @@
         self.fleet = Some(running.fleet);
         let work = self.work.clone();
         let events = upstream::start(&self.shared, running, work, self.meter.clone());
-        Some(Sent { events })
+        Some(PendingAttempt { events })
     }
 
     /// Waits for the first part of an attempt, and of a hedge beside it once
     /// the attempt is late; the other one is cancelled.
-    async fn first(&mut self, mut sent: Sent) -> Result<Begun, AttemptOutcome> {
+    async fn first(&mut self, mut sent: PendingAttempt) -> Result<StartedAnswer, AttemptOutcome> {
         let Some(after) = self.hedge_after() else {
             return sent.first().await;
         };
         if let Ok(first) = tokio::time::timeout(after, sent.first_part()).await {
-            return sent.begun(first);
+            return sent.started(first);
         }
         let Some(mut hedge) = self.hedge() else {
             return sent.first().await;
         };
         tokio::select! {
             first = sent.first_part() => match first {
-                Ok(_) => sent.begun(first),
+                Ok(_) => sent.started(first),
                 Err(_) => hedge.first().await,
             },
             first = hedge.first_part() => match first {
                 Ok(_) => {
                     self.shared.metrics.count("attempts.hedge_won");
-                    hedge.begun(first)
+                    hedge.started(first)
                 }
                 Err(_) => sent.first().await,
             },
@@ -181,7 +181,7 @@
         let waiting = self.shared.gate.load().1;
         // A suspect runs on one server at a time.
         let suspected = suspects::is_suspected(&self.shared, self.work.fingerprint);
-        if self.hedged || suspected || waiting > 0 || self.attempts.made() >= MOST_ATTEMPTS {
+        if self.hedged || suspected || waiting > 0 || self.attempts.made() >= MAX_ATTEMPTS {
             return None;
         }
         let least_s = self.force.catalog.limit("attempt.hedge-ms") / 1000.0;
@@ -190,7 +190,7 @@
         hedge::delay(routes.first_token_mean(self.fleet?)?, least_s, remaining)
     }
 
-    fn hedge(&mut self) -> Option<Sent> {
+    fn hedge(&mut self) -> Option<PendingAttempt> {
         let now = self.shared.now();
         if !lock(&self.shared.pools).try_take_hedge(now, self.fleet?) {
             return None;
@@ -221,28 +221,31 @@
     }
 }
 
-impl Sent {
+impl PendingAttempt {
     async fn first_part(&mut self) -> Result<Completion, AttemptOutcome> {
         match self.events.recv().await {
             Some(Ok(Event::Part(first))) => Ok(first),
             Some(Ok(Event::End)) | None => Err(AttemptOutcome::Unknown),
-            Some(Err(fault)) => Err(end_of(&fault)),
+            Some(Err(fault)) => Err(outcome_of(&fault)),
         }
     }
 
-    async fn first(mut self) -> Result<Begun, AttemptOutcome> {
+    async fn first(mut self) -> Result<StartedAnswer, AttemptOutcome> {
         let first = self.first_part().await;
-        self.begun(first)
+        self.started(first)
     }
 
-    fn begun(self, first: Result<Completion, AttemptOutcome>) -> Result<Begun, AttemptOutcome> {
+    fn started(
+        self,
+        first: Result<Completion, AttemptOutcome>,
+    ) -> Result<StartedAnswer, AttemptOutcome> {
         let events = self.events;
-        first.map(|first| Begun { first, events })
+        first.map(|first| StartedAnswer { first, events })
     }
 }
 
 /// Returns how an attempt ended that met `fault`.
-pub fn end_of(fault: &Fault) -> AttemptOutcome {
+pub fn outcome_of(fault: &Fault) -> AttemptOutcome {
     match fault {
         Fault::NotSent(_) => AttemptOutcome::NotRun,
         Fault::Refused { message, .. } if message.trim() == LEAVING => AttemptOutcome::NotRun,
--- a/crates/node/src/callers/bill.rs
+++ b/crates/node/src/callers/billing.rs
@@ -8,7 +8,7 @@
 use fescuerack_core::ledger::{Entry, Ticket};
 use fescuerack_wire::chat::Usage;
 
-use super::intake::Call;
+use super::request::Call;
 use crate::shared::{Force, Shared};
 
 /// What the steps of one request used; one entry bills them all.
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -7,8 +7,8 @@
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::{chat, header, token};
 
-use super::intake::Call;
 use super::reply::{Refusal, Reply, with_header};
+use super::request::Call;
 use crate::shared::{Force, Shared, lock};
 
 /// Priority of a request that names no class of work.
--- a/crates/node/src/callers/collect.rs
+++ b/crates/node/src/callers/collect.rs
@@ -7,8 +7,8 @@
 use fescuerack_wire::chat::{Choice, Completion, Message, Usage};
 use serde_json::{Map, Value};
 
-use super::attempts::{Begun, end_of};
-use super::shape::{Shape, Tally};
+use super::attempts::{StartedAnswer, outcome_of};
+use super::format::{Endpoint, UsageCounter};
 use crate::shared::Shared;
 
 /// Fields of a part that stand for themselves in every part; texts of all
@@ -31,24 +31,28 @@
     /// # Errors
     ///
     /// How the attempt ended when the answer is not whole.
-    pub async fn read(shared: &Shared, body: &[u8], begun: Begun) -> Result<Self, AttemptOutcome> {
+    pub async fn read(
+        shared: &Shared,
+        body: &[u8],
+        started: StartedAnswer,
+    ) -> Result<Self, AttemptOutcome> {
         let mut answer = Self::default();
-        let mut tally = Tally::new();
-        let mut events = begun.events;
-        let mut next = Some(Ok(Event::Part(begun.first)));
+        let mut counter = UsageCounter::new();
+        let mut events = started.events;
+        let mut next = Some(Ok(Event::Part(started.first)));
         loop {
             match next {
                 Some(Ok(Event::Part(part))) => {
-                    tally.read(&part);
+                    counter.read(&part);
                     answer.add(part);
                 }
                 Some(Ok(Event::End)) => break,
-                Some(Err(fault)) => return Err(end_of(&fault)),
+                Some(Err(fault)) => return Err(outcome_of(&fault)),
                 None => return Err(AttemptOutcome::Unknown),
             }
             next = events.recv().await;
         }
-        answer.usage = tally.usage(shared, body);
+        answer.usage = counter.usage(shared, body);
         answer.text = answer.first_text();
         Ok(answer)
     }
@@ -82,9 +86,9 @@
     }
 
     /// Returns the parts of the answer as a stream that holds it in one piece.
-    pub fn parts(&self, shape: Shape) -> Vec<Completion> {
-        let mut whole = self.completion(shape, "", "");
-        shape.part_object().clone_into(&mut whole.object);
+    pub fn parts(&self, endpoint: Endpoint) -> Vec<Completion> {
+        let mut whole = self.completion(endpoint, "", "");
+        endpoint.part_object().clone_into(&mut whole.object);
         for choice in &mut whole.choices {
             choice.delta = choice.message.take();
         }
@@ -96,16 +100,16 @@
         vec![whole, last]
     }
 
-    /// Returns the answer in the shape that callers expect.
-    pub fn completion(&self, shape: Shape, request: &str, version: &str) -> Completion {
+    /// Returns the answer in the endpoint that callers expect.
+    pub fn completion(&self, endpoint: Endpoint, request: &str, version: &str) -> Completion {
         Completion {
             id: request.to_owned(),
-            object: shape.object().to_owned(),
+            object: endpoint.object().to_owned(),
             model: version.to_owned(),
             choices: self
                 .choices
                 .values()
-                .map(|choice| finished(shape, choice))
+                .map(|choice| finished(endpoint, choice))
                 .collect(),
             usage: Some(self.usage),
             ..Completion::default()
@@ -113,9 +117,9 @@
     }
 }
 
-fn finished(shape: Shape, choice: &Choice) -> Choice {
+fn finished(endpoint: Endpoint, choice: &Choice) -> Choice {
     let mut choice = choice.clone();
-    if shape == Shape::Chat {
+    if endpoint == Endpoint::Chat {
         let message: &mut Message = choice.message.get_or_insert_default();
         message.role.get_or_insert_with(|| "assistant".to_owned());
     }
--- a/crates/node/src/callers/chat.rs
+++ b/crates/node/src/callers/completion.rs
@@ -7,17 +7,17 @@
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::header;
 
-use super::attempts::{Begun, Failure};
-use super::bill::Spent;
+use super::attempts::{Failure, StartedAnswer};
+use super::billing::Spent;
 use super::choice::{self, Choice};
 use super::collect::Answer;
-use super::intake::Call;
+use super::format::ResponseFormat;
 use super::observer::Observer;
-use super::reply::{Reply, failure, failure_with, json, whole, with_header};
-use super::shape::Form;
-use super::steps::{Part, Steps};
+use super::plan_runner::{AvailableAnswer, PlanRunner};
+use super::reply::{Reply, buffered_reply, json_reply, not_run_error, typed_error, with_header};
+use super::request::Call;
 use super::stream::{self, Stream};
-use super::{bill, entry};
+use super::{admit, billing};
 use crate::admission::Permit;
 use crate::shared::{Force, Shared};
 
@@ -28,18 +28,18 @@
     start: Instant,
     call: Call,
     choice: Choice,
-    form: Form,
-    place: Permit,
+    format: ResponseFormat,
+    permit: Permit,
 }
 
 /// Answers a completion request.
 pub async fn answer(shared: Arc<Shared>, call: Call) -> Reply {
     let asked: chat::Request = match serde_json::from_slice(&call.body) {
         Ok(asked) => asked,
-        Err(error) => return failure(Kind::InvalidRequest, &format!("body: {error}")),
+        Err(error) => return not_run_error(Kind::InvalidRequest, &format!("body: {error}")),
     };
-    let form = Form::new(&call.path, &asked);
-    if let Err(refusal) = form.shape.check(&asked) {
+    let format = ResponseFormat::new(&call.path, &asked);
+    if let Err(refusal) = format.endpoint.check(&asked) {
         return refusal.into();
     }
     let start = shared.now();
@@ -48,8 +48,8 @@
         Ok(choice) => choice,
         Err(refusal) => return refusal.into(),
     };
-    let place = match entry::enter(&shared, &call, choice.class).await {
-        Ok(place) => place,
+    let permit = match admit::admit(&shared, &call, choice.class).await {
+        Ok(permit) => permit,
         Err(refusal) => return refusal.into(),
     };
     let job = Job {
@@ -58,36 +58,38 @@
         start,
         call,
         choice,
-        form,
-        place,
+        format,
+        permit,
     };
     job.run(asked).await
 }
 
 impl Job {
     async fn run(mut self, asked: chat::Request) -> Reply {
-        let steps = Steps {
+        let runner = PlanRunner {
             shared: &self.shared,
             force: &self.force,
             call: &self.call,
             choice: &self.choice,
             asked: &asked,
-            meter: self.place.meter(),
+            meter: self.permit.meter(),
         };
-        let ready = match steps.run().await {
+        let ready = match runner.run().await {
             Ok(ready) => ready,
-            Err(failure) => return self.fail(failure),
+            Err(failure) => return self.reply_failed(failure),
         };
         let waited = self.shared.now().since(self.start);
         self.shared.metrics.time("callers.first_token", waited);
         self.choice.version = ready.version;
-        match ready.part {
-            Part::Begun(begun, observer) => self.stream(*begun, observer, ready.spent),
-            Part::Whole(answer) => self.whole(answer, ready.spent).await,
+        match ready.answer {
+            AvailableAnswer::Started(started, observer) => {
+                self.reply_streamed(*started, observer, ready.spent)
+            }
+            AvailableAnswer::Complete(answer) => self.reply_complete(answer, ready.spent).await,
         }
     }
 
-    fn stream(self, begun: Begun, observer: Observer, spent: Spent) -> Reply {
+    fn reply_streamed(self, started: StartedAnswer, observer: Observer, spent: Spent) -> Reply {
         let labels = self.labels();
         let choice = self.choice;
         let stream = Stream {
@@ -95,48 +97,49 @@
             force: self.force,
             call: self.call,
             version: choice.version,
-            form: self.form,
+            format: self.format,
             spent,
         };
-        labels.on(choice.on(stream.start(begun, observer, self.place)))
+        labels.on(choice.on(stream.start(started, observer, self.permit)))
     }
 
-    async fn whole(self, answer: Answer, spent: Spent) -> Reply {
+    async fn reply_complete(self, answer: Answer, spent: Spent) -> Reply {
         let Self {
             shared,
             force,
             call,
             choice,
-            form,
+            format,
             ..
         } = &self;
-        let cost = bill::completion(shared, force, call, choice.version, answer.usage, spent).await;
+        let cost =
+            billing::completion(shared, force, call, choice.version, answer.usage, spent).await;
         let labels = self.labels();
-        let reply = if form.is_streamed {
-            let body = stream::held(&answer, *form, &labels.request, &labels.version, cost);
-            whole(200, "text/event-stream", body)
+        let reply = if format.is_streamed {
+            let body = stream::held(&answer, *format, &labels.request, &labels.version, cost);
+            buffered_reply(200, "text/event-stream", body)
         } else {
-            json(&answer.completion(form.shape, &labels.request, &labels.version))
+            json_reply(&answer.completion(format.endpoint, &labels.request, &labels.version))
         };
         let reply = with_header(reply, header::OUTCOME, "done");
         let reply = with_header(reply, header::COST, &cost.to_string());
         labels.on(choice.on(reply))
     }
 
-    fn fail(&self, failure: Failure) -> Reply {
+    fn reply_failed(&self, failure: Failure) -> Reply {
         let reply = match failure {
-            Failure::NoServer(outcome) => failure_with(
+            Failure::NoServer(outcome) => typed_error(
                 Kind::Unavailable,
                 "no healthy backend server serves the version",
                 outcome,
             ),
             Failure::Failed(outcome) if self.shared.now() >= self.call.deadline => {
-                failure_with(Kind::DeadlineExceeded, "the deadline passed", outcome)
+                typed_error(Kind::DeadlineExceeded, "the deadline passed", outcome)
             }
             Failure::Failed(outcome) => {
-                failure_with(Kind::UpstreamFailed, "every attempt failed", outcome)
+                typed_error(Kind::UpstreamFailed, "every attempt failed", outcome)
             }
-            Failure::Crashes(outcome) => failure_with(
+            Failure::Crashes(outcome) => typed_error(
                 Kind::UpstreamFailed,
                 "backend servers crashed under this request; it does not run again",
                 outcome,
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -36,7 +36,7 @@
 use super::port::Phase;
 use super::reply::{Reply, error_body, outcome_name};
 use super::serve;
-use super::stall::Socket;
+use super::write_timeout::Socket;
 use crate::shared::Shared;
 
 /// Time for which the rest of a closed connection is read and dropped: some
--- a/crates/node/src/callers/shape.rs
+++ b/crates/node/src/callers/format.rs
@@ -8,17 +8,17 @@
 use super::reply::Refusal;
 use crate::shared::Shared;
 
-/// Shape of a request and of its answer.
+/// Endpoint of a request and of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum Endpoint {
     /// `/v1/chat/completions`: messages in, a message out.
     Chat,
     /// `/v1/completions`: a prompt in, text out.
     Text,
 }
 
-impl Shape {
-    /// Returns the shape that a path asks for.
+impl Endpoint {
+    /// Returns the endpoint that a path asks for.
     pub fn new(path: &str) -> Self {
         match path {
             "/v1/completions" => Self::Text,
@@ -97,38 +97,38 @@
     }
 }
 
-/// Form in which a caller wants its answer.
+/// ResponseFormat in which a caller wants its answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Form {
-    /// Shape.
-    pub shape: Shape,
+pub struct ResponseFormat {
+    /// Endpoint.
+    pub endpoint: Endpoint,
     /// Whether it is streamed.
     pub is_streamed: bool,
     /// Whether a stream tells the usage at its end.
-    pub with_usage: bool,
+    pub has_usage: bool,
 }
 
-impl Form {
+impl ResponseFormat {
     /// Reads what a request at `path` asks for.
     pub fn new(path: &str, asked: &Request) -> Self {
         let options = asked.rest.get("stream_options");
         let wanted = options.and_then(|options| options.get("include_usage"));
         Self {
-            shape: Shape::new(path),
+            endpoint: Endpoint::new(path),
             is_streamed: asked.stream,
-            with_usage: wanted.and_then(Value::as_bool).unwrap_or(false),
+            has_usage: wanted.and_then(Value::as_bool).unwrap_or(false),
         }
     }
 }
 
 /// Counts what an answer used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct UsageCounter {
     told: Option<Usage>,
     parts: u64,
 }
 
-impl Tally {
+impl UsageCounter {
     /// Starts counting.
     pub fn new() -> Self {
         Self::default()
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -4,27 +4,27 @@
 //! (measured; see `docs/design/callers-port.md`), so tokens would not reach
 //! the caller as they come.
 
+mod admit;
 mod attempts;
-mod bill;
-mod chat;
+mod billing;
 mod choice;
 mod collect;
+mod completion;
 mod connection;
-mod entry;
-mod flow;
-mod intake;
+mod format;
 mod models;
 mod observer;
+mod plan_runner;
 mod port;
 mod prompt;
 mod reply;
+mod request;
 mod route;
 mod service;
-mod shape;
-mod stall;
-mod steps;
 mod stream;
+mod stream_body;
 mod upstream;
+mod write_timeout;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -35,9 +35,9 @@
 use hyper::body::Incoming;
 
 use crate::shared::Shared;
-use intake::Call;
 pub use port::Port;
-use reply::{Refusal, Refused, Reply, whole, with_header};
+use reply::{ErrorSummary, Refusal, Reply, buffered_reply, with_header};
+use request::Call;
 use route::Route;
 
 /// Answers a request and counts the answer if it is a typed error.
@@ -45,9 +45,9 @@
     shared.metrics.count("callers.requests");
     let reply = answer(&shared, request).await;
     let reply = reply.unwrap_or_else(Reply::from);
-    if let Some(refused) = reply.extensions().get::<Refused>() {
-        shared.metrics.count(refused.counter());
-        if refused.outcome == Outcome::NotRun {
+    if let Some(summary) = reply.extensions().get::<ErrorSummary>() {
+        shared.metrics.count(summary.counter());
+        if summary.outcome == Outcome::NotRun {
             shared.metrics.count("callers.refused");
         }
     }
@@ -68,7 +68,7 @@
     if parts.method == Method::OPTIONS && route != Some(Route::Service) {
         return Ok(options(route));
     }
-    let head = intake::head(shared, &parts)?;
+    let head = request::head(shared, &parts)?;
     let Some(route) = route else {
         return Err(Refusal::new(Kind::NotFound, "no such path"));
     };
@@ -77,11 +77,11 @@
         let reply = Reply::from(Refusal::new(Kind::MethodNotAllowed, message));
         return Ok(with_header(reply, "allow", route.methods()));
     }
-    let body = intake::body(shared, body).await?;
+    let body = request::body(shared, body).await?;
     let call = Call::new(head, &parts, body);
     let shared = Arc::clone(shared);
     Ok(match route {
-        Route::Completion => chat::answer(shared, call).await,
+        Route::Completion => completion::answer(shared, call).await,
         Route::Models => models::answer(&shared, &call),
         Route::Service => {
             let path = call.path.clone();
@@ -97,6 +97,6 @@
     let Some(route) = route else {
         return Refusal::new(Kind::NotFound, "no such path").into();
     };
-    let reply = whole(204, "text/plain", "");
+    let reply = buffered_reply(204, "text/plain", "");
     with_header(reply, "allow", route.methods())
 }
--- a/crates/node/src/callers/models.rs
+++ b/crates/node/src/callers/models.rs
@@ -4,8 +4,8 @@
 
 use fescuerack_wire::chat::{Model, Models};
 
-use super::intake::Call;
-use super::reply::{Reply, json};
+use super::reply::{Reply, json_reply};
+use super::request::Call;
 use crate::shared::Shared;
 
 /// Answers with models, versions and classes of work.
@@ -34,7 +34,7 @@
         object: "model".to_owned(),
         owned_by: "fescuerack".to_owned(),
     };
-    json(&Models {
+    json_reply(&Models {
         object: "list".to_owned(),
         data: ids.into_iter().map(entry).collect(),
     })
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -52,10 +52,10 @@
         let model = self.force.catalog.versions[self.version].model;
         let versions = &self.shared.versions;
         if versions.is_candidate(model, self.version) {
-            return ratings::may_rate(&self.shared, &self.force, Purpose::Candidate);
+            return ratings::try_acquire(&self.shared, &self.force, Purpose::Candidate);
         }
-        self.shared.dice() < self.force.catalog.limit(ratings::SHARE)
-            && ratings::may_rate(&self.shared, &self.force, Purpose::Sample)
+        self.shared.dice() < self.force.catalog.limit(ratings::SAMPLING_SHARE)
+            && ratings::try_acquire(&self.shared, &self.force, Purpose::Sample)
     }
 
     /// Notes that the first token has come.
--- a/crates/node/src/callers/steps.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -13,17 +13,17 @@
 use bytes::Bytes;
 use fescuerack_config::key;
 use fescuerack_core::attempt::Outcome;
-use fescuerack_core::cascade::{Plan, Purpose, Steps as Kind};
+use fescuerack_core::cascade::{Plan, Purpose, Steps};
 use fescuerack_core::poison::Fingerprint;
 use fescuerack_wire::chat;
 
-use super::attempts::{Begun, Failure, Run, Work};
-use super::bill::Spent;
+use super::attempts::{AttemptRunner, AttemptSpec, Failure, StartedAnswer};
+use super::billing::Spent;
 use super::choice::Choice;
 use super::collect::Answer;
-use super::intake::Call;
+use super::format::{Endpoint, ask_for_usage};
 use super::observer::Observer;
-use super::shape::{Shape, ask_for_usage};
+use super::request::Call;
 use crate::admission::Meter;
 use crate::shared::{Force, Shared};
 use crate::versions::ratings;
@@ -36,7 +36,7 @@
 const RETRY: Duration = Duration::from_millis(50);
 
 /// What it takes to follow the plans of a request.
-pub struct Steps<'a> {
+pub struct PlanRunner<'a> {
     /// State of the process.
     pub shared: &'a Arc<Shared>,
     /// Configuration under which the request runs.
@@ -56,20 +56,20 @@
     /// Version that gave it.
     pub version: key::Version,
     /// The answer.
-    pub part: Part,
+    pub answer: AvailableAnswer,
     /// What earlier steps used.
     pub spent: Spent,
 }
 
 /// An answer, as far as it has come.
-pub enum Part {
+pub enum AvailableAnswer {
     /// Its first part.
-    Begun(Box<Begun>, Observer),
+    Started(Box<StartedAnswer>, Observer),
     /// All of it.
-    Whole(Answer),
+    Complete(Answer),
 }
 
-impl Steps<'_> {
+impl PlanRunner<'_> {
     /// Follows the plans, the cheapest first; one whose pool has no server
     /// gives way to the next.
     ///
@@ -97,8 +97,8 @@
 
     async fn follow(&self, plan: &Plan) -> Result<Ready, Failure> {
         match plan.steps {
-            Kind::Direct(version) => self.direct(version, Spent::default()).await,
-            Kind::Cascade {
+            Steps::Direct(version) => self.direct(version, Spent::default()).await,
+            Steps::Cascade {
                 first,
                 second,
                 accept,
@@ -108,16 +108,16 @@
 
     async fn direct(&self, version: key::Version, spent: Spent) -> Result<Ready, Failure> {
         let observer = self.observer(version, false);
-        let part = if self.asked.stream {
-            let begun = self.attempts(version).begin().await?;
+        let answer = if self.asked.stream {
+            let started = self.attempts(version).start().await?;
             observer.first();
-            Part::Begun(Box::new(begun), observer)
+            AvailableAnswer::Started(Box::new(started), observer)
         } else {
-            Part::Whole(self.collect(version, observer).await?)
+            AvailableAnswer::Complete(self.collect(version, observer).await?)
         };
         Ok(Ready {
             version,
-            part,
+            answer,
             spent,
         })
     }
@@ -162,9 +162,9 @@
     async fn collect(&self, version: key::Version, observer: Observer) -> Result<Answer, Failure> {
         let mut run = self.attempts(version);
         loop {
-            let begun = run.begin().await?;
+            let started = run.start().await?;
             observer.first();
-            match Answer::read(self.shared, &self.call.body, begun).await {
+            match Answer::read(self.shared, &self.call.body, started).await {
                 Ok(answer) => {
                     observer.ended_whole(&answer);
                     return Ok(answer);
@@ -177,7 +177,7 @@
     /// Asks for the rating of an answer; `None` when none came in time.
     async fn judge(&self, version: key::Version, answer: &Answer) -> Option<f64> {
         let class = self.choice.class?;
-        if !ratings::may_rate(self.shared, self.force, Purpose::Cascade) {
+        if !ratings::try_acquire(self.shared, self.force, Purpose::Cascade) {
             self.shared.metrics.count("ratings.over_rate");
             return None;
         }
@@ -198,16 +198,16 @@
         Observer::new(self.shared, self.force, version, class, is_judged)
     }
 
-    fn attempts(&self, version: key::Version) -> Run {
-        let work = Work {
+    fn attempts(&self, version: key::Version) -> AttemptRunner {
+        let work = AttemptSpec {
             version,
-            path: Shape::new(&self.call.path).path(),
+            path: Endpoint::new(&self.call.path).path(),
             priority: self.choice.priority,
             fingerprint: fingerprint(self.force, self.call),
             body: body(self.force, version, self.asked),
             deadline: self.call.deadline,
         };
-        Run::new(Arc::clone(self.shared), Arc::clone(self.force), work)
+        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.force), work)
             .with_meter(self.meter.clone())
     }
 }
@@ -215,7 +215,7 @@
 fn whole(version: key::Version, answer: Answer) -> Ready {
     Ready {
         version,
-        part: Part::Whole(answer),
+        answer: AvailableAnswer::Complete(answer),
         spent: Spent::default(),
     }
 }
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -16,7 +16,7 @@
 pub type Reply = Response<Body>;
 
 /// Returns a body that is sent at once.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed()
@@ -32,8 +32,8 @@
 }
 
 /// Returns an answer with a body that is sent at once.
-pub fn whole(status: u16, content_type: &'static str, bytes: impl Into<Bytes>) -> Reply {
-    let mut reply = Response::new(full(bytes));
+pub fn buffered_reply(status: u16, content_type: &'static str, bytes: impl Into<Bytes>) -> Reply {
+    let mut reply = Response::new(full_body(bytes));
     if let Ok(status) = hyper::StatusCode::from_u16(status) {
         *reply.status_mut() = status;
     }
@@ -45,9 +45,9 @@
 }
 
 /// Returns an answer that is JSON.
-pub fn json<T: serde::Serialize>(value: &T) -> Reply {
+pub fn json_reply<T: serde::Serialize>(value: &T) -> Reply {
     let bytes = serde_json::to_vec(value).expect("wire messages have only plain fields");
-    whole(200, "application/json", bytes)
+    buffered_reply(200, "application/json", bytes)
 }
 
 /// Adds a header; a value that no header can hold is left out.
@@ -90,7 +90,7 @@
 
 impl From<Refusal> for Reply {
     fn from(refusal: Refusal) -> Self {
-        let reply = failure(refusal.kind, &refusal.message);
+        let reply = not_run_error(refusal.kind, &refusal.message);
         match refusal.retry_s {
             Some(seconds) => with_header(reply, "retry-after", &seconds.to_string()),
             None => reply,
@@ -101,14 +101,14 @@
 /// What a typed error tells; kept beside the answer so that it is counted in
 /// one place.
 #[derive(Clone, Copy, Debug)]
-pub struct Refused {
+pub struct ErrorSummary {
     /// What went wrong.
     pub kind: Kind,
     /// What is known of the request.
     pub outcome: Outcome,
 }
 
-impl Refused {
+impl ErrorSummary {
     /// Returns the counter of its kind.
     pub const fn counter(self) -> &'static str {
         match self.kind {
@@ -130,15 +130,17 @@
 }
 
 /// Returns a typed error for a request of which nothing was run.
-pub fn failure(kind: Kind, message: &str) -> Reply {
-    failure_with(kind, message, Outcome::NotRun)
+pub fn not_run_error(kind: Kind, message: &str) -> Reply {
+    typed_error(kind, message, Outcome::NotRun)
 }
 
 /// Returns a typed error.
-pub fn failure_with(kind: Kind, message: &str, outcome: Outcome) -> Reply {
+pub fn typed_error(kind: Kind, message: &str, outcome: Outcome) -> Reply {
     let body = error_body(kind, message, outcome);
-    let mut reply = whole(kind.status(), "application/json", body);
-    reply.extensions_mut().insert(Refused { kind, outcome });
+    let mut reply = buffered_reply(kind.status(), "application/json", body);
+    reply
+        .extensions_mut()
+        .insert(ErrorSummary { kind, outcome });
     let reply = with_header(reply, header::OUTCOME, outcome_name(outcome));
     if matches!(kind, Kind::Overloaded | Kind::Unavailable) {
         return with_header(reply, "retry-after", "1");
--- a/crates/node/src/callers/service.rs
+++ b/crates/node/src/callers/service.rs
@@ -5,20 +5,20 @@
 use fescuerack_client::Fault;
 use fescuerack_client::service::{self, Answer};
 use fescuerack_config::{Service, folder};
-use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, Outcome as Run};
+use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, Outcome as RunOutcome};
 use fescuerack_core::claim::{self, Name, Outcome, State, Verdict};
 use fescuerack_wire::error::Kind;
 use fescuerack_wire::header;
 
-use super::intake::Call;
-use super::reply::{Reply, failure, failure_with, whole, with_header};
-use super::{bill, entry};
+use super::reply::{Reply, buffered_reply, not_run_error, typed_error, with_header};
+use super::request::Call;
+use super::{admit, billing};
 use crate::claims;
 use crate::shared::{Force, Shared};
 
 /// Attempts that one call may make; more than one only while it surely has
 /// not run, or when it is idempotent.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// What a caller is told whose call must not be repeated and has no key.
 const NEEDS_KEY: &str = "calls of this service must not be repeated: send an Idempotency-Key \
     that stays the same when you send the call again; not run";
@@ -35,7 +35,7 @@
 
 /// How a call ended.
 struct Ended {
-    outcome: Run,
+    outcome: RunOutcome,
     answer: Option<Answer>,
 }
 
@@ -50,7 +50,7 @@
         .is_some_and(|organisation| organisation.services.contains(name));
     let service = force.catalog.services.get(name).filter(|_| allowed);
     let Some(service) = service.cloned() else {
-        return failure(
+        return not_run_error(
             Kind::Forbidden,
             "the organisation may not call this service",
         );
@@ -58,8 +58,8 @@
     let mut call = call;
     let due = shared.now().plus_millis(service.deadline_ms);
     call.deadline = call.deadline.min(due);
-    let place = match entry::enter(&shared, &call, None).await {
-        Ok(place) => place,
+    let permit = match admit::admit(&shared, &call, None).await {
+        Ok(permit) => permit,
         Err(refusal) => return refusal.into(),
     };
     let path = match &call.query {
@@ -77,14 +77,14 @@
     // The thread goes on when the caller goes away: a call that has been sent
     // must have its end recorded.
     let run = tokio::task::spawn_blocking(move || {
-        let _place = place;
+        let _permit = permit;
         job.run()
     });
     let unknown = || {
-        failure_with(
+        typed_error(
             Kind::OutcomeUnknown,
             "the call ended abnormally",
-            Run::Unknown,
+            RunOutcome::Unknown,
         )
     };
     run.await.unwrap_or_else(|_| unknown())
@@ -97,7 +97,7 @@
                 let name = self.claim_name(key);
                 self.run_claimed(&name)
             }
-            None if self.needs_key() => failure(Kind::InvalidRequest, NEEDS_KEY),
+            None if self.needs_key() => not_run_error(Kind::InvalidRequest, NEEDS_KEY),
             _ => {
                 let bill = self.shared.random_id();
                 self.reply(self.attempt(), bill)
@@ -145,7 +145,7 @@
                 self.reply(ended, claim.record.billing_id())
             }
             Outcome::Taken(verdict) => self.taken(verdict),
-            Outcome::StoreUnavailable { .. } => failure(
+            Outcome::StoreUnavailable { .. } => not_run_error(
                 Kind::Unavailable,
                 "the claim could not be kept in the store; not run",
             ),
@@ -154,7 +154,7 @@
 
     fn attempt(&self) -> Ended {
         let deadline = self.call.deadline;
-        let mut attempts = Attempts::new(self.service.idempotent, deadline, MOST_ATTEMPTS);
+        let mut attempts = Attempts::new(self.service.idempotent, deadline, MAX_ATTEMPTS);
         let fleets = [self.service.fleet];
         loop {
             let started = self.shared.start_attempt(&fleets, attempts.tried());
@@ -209,8 +209,8 @@
 
     fn reply(&self, ended: Ended, bill: String) -> Reply {
         match (ended.outcome, ended.answer) {
-            (Run::Done, Some(answer)) => self.done(recorded(answer), bill),
-            (Run::NotRun, _) => failure(
+            (RunOutcome::Done, Some(answer)) => self.done(recorded(answer), bill),
+            (RunOutcome::NotRun, _) => not_run_error(
                 Kind::Unavailable,
                 "no backend server took the call; not run",
             ),
@@ -222,9 +222,9 @@
     /// under the same identity: the instance that ran the call may have been
     /// killed before its entry was kept, and a reader drops doubles.
     fn done(&self, answer: claim::Answer, bill: String) -> Reply {
-        let billing = bill::call(&self.shared, &self.force, &self.call, &self.name, bill);
+        let billing = billing::call(&self.shared, &self.force, &self.call, &self.name, bill);
         self.shared.runtime.block_on(billing);
-        let reply = whole(answer.status, "application/json", answer.body);
+        let reply = buffered_reply(answer.status, "application/json", answer.body);
         let reply = match answer.content_type {
             Some(kind) => with_header(reply, "content-type", &kind),
             None => reply,
@@ -239,15 +239,15 @@
             }
             Verdict::StillRunning => {
                 let message = "a request with this idempotency key still runs";
-                let reply = failure_with(Kind::Conflict, message, Run::Unknown);
+                let reply = typed_error(Kind::Conflict, message, RunOutcome::Unknown);
                 with_header(reply, "retry-after", "1")
             }
             Verdict::Unknown => unknown(),
-            Verdict::Mismatch => failure(
+            Verdict::Mismatch => not_run_error(
                 Kind::Conflict,
                 "the idempotency key was used with another request; not run",
             ),
-            Verdict::Reclaim => failure(Kind::Unavailable, "the claim was given up; not run"),
+            Verdict::Reclaim => not_run_error(Kind::Unavailable, "the claim was given up; not run"),
         }
     }
 }
@@ -255,7 +255,7 @@
 impl Ended {
     fn not_run() -> Self {
         Self {
-            outcome: Run::NotRun,
+            outcome: RunOutcome::NotRun,
             answer: None,
         }
     }
@@ -263,8 +263,8 @@
     /// Returns what is recorded of a claimed call.
     fn state(&self) -> State {
         match (self.outcome, &self.answer) {
-            (Run::Done, Some(answer)) => State::Done(recorded(answer.clone())),
-            (Run::NotRun, _) => State::NotRun,
+            (RunOutcome::Done, Some(answer)) => State::Done(recorded(answer.clone())),
+            (RunOutcome::NotRun, _) => State::NotRun,
             _ => State::Unknown,
         }
     }
@@ -280,5 +280,5 @@
 
 fn unknown() -> Reply {
     let message = "the call was sent and its end is not known; it is not repeated";
-    failure_with(Kind::OutcomeUnknown, message, Run::Unknown)
+    typed_error(Kind::OutcomeUnknown, message, RunOutcome::Unknown)
 }
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -10,14 +10,14 @@
 use fescuerack_wire::error::Kind;
 use http_body_util::BodyExt as _;
 
-use super::attempts::Begun;
-use super::bill::{self, Spent};
+use super::attempts::StartedAnswer;
+use super::billing::{self, Spent};
 use super::collect::Answer;
-use super::flow::{Flow, Sender};
-use super::intake::Call;
+use super::format::{ResponseFormat, UsageCounter};
 use super::observer::Observer;
-use super::reply::{Reply, error_body, whole};
-use super::shape::{Form, Tally};
+use super::reply::{Reply, buffered_reply, error_body};
+use super::request::Call;
+use super::stream_body::{Sender, StreamBody};
 use super::upstream::Events;
 use crate::admission::Permit;
 use crate::shared::{Force, Shared};
@@ -32,26 +32,26 @@
     pub call: Call,
     /// Version that answers.
     pub version: key::Version,
-    /// Form in which the caller wants it.
-    pub form: Form,
+    /// ResponseFormat in which the caller wants it.
+    pub format: ResponseFormat,
     /// What earlier steps used.
     pub spent: Spent,
 }
 
 impl Stream {
-    /// Starts handing on and returns the answer's head; `place` is held until
+    /// Starts handing on and returns the answer's head; `permit` is held until
     /// the stream ends.
-    pub fn start(self, begun: Begun, mut observer: Observer, place: Permit) -> Reply {
-        let mut tally = Tally::new();
+    pub fn start(self, started: StartedAnswer, mut observer: Observer, permit: Permit) -> Reply {
+        let mut counter = UsageCounter::new();
         let mut first = BytesMut::new();
-        self.add(begun.first, &mut tally, &mut observer, &mut first);
-        let (sender, body) = Flow::new((!first.is_empty()).then(|| first.freeze()));
-        let mut reply = whole(200, "text/event-stream", Bytes::new());
+        self.add(started.first, &mut counter, &mut observer, &mut first);
+        let (sender, body) = StreamBody::new((!first.is_empty()).then(|| first.freeze()));
+        let mut reply = buffered_reply(200, "text/event-stream", Bytes::new());
         *reply.body_mut() = body.boxed();
-        let events = begun.events;
+        let events = started.events;
         tokio::spawn(async move {
-            self.pump(events, tally, observer, sender).await;
-            drop(place);
+            self.pump(events, counter, observer, sender).await;
+            drop(permit);
         });
         reply
     }
@@ -59,7 +59,7 @@
     async fn pump(
         &self,
         mut events: Events,
-        mut tally: Tally,
+        mut counter: UsageCounter,
         mut observer: Observer,
         sender: Sender,
     ) {
@@ -70,23 +70,23 @@
                 next = events.recv() => next,
                 () = sender.gone() => {
                     drop(events);
-                    return self.gone(&tally).await;
+                    return self.gone(&counter).await;
                 }
             };
             let part = match next {
                 Some(Ok(Event::Part(part))) => part,
-                Some(Ok(Event::End)) => return self.finish(&tally, observer, sender).await,
+                Some(Ok(Event::End)) => return self.finish(&counter, observer, sender).await,
                 Some(Err(_)) | None => return self.cut(&sender).await,
             };
             let mut lines = BytesMut::new();
-            self.add(part, &mut tally, &mut observer, &mut lines);
+            self.add(part, &mut counter, &mut observer, &mut lines);
             // Parts that came together leave together, in one write.
             while let Some(part) = events.ready() {
-                self.add(part, &mut tally, &mut observer, &mut lines);
+                self.add(part, &mut counter, &mut observer, &mut lines);
             }
             if !lines.is_empty() && sender.send(lines.freeze()).await.is_err() {
                 drop(events);
-                return self.gone(&tally).await;
+                return self.gone(&counter).await;
             }
         }
     }
@@ -96,13 +96,13 @@
     fn add(
         &self,
         mut part: Completion,
-        tally: &mut Tally,
+        counter: &mut UsageCounter,
         observer: &mut Observer,
         lines: &mut BytesMut,
     ) {
-        tally.read(&part);
+        counter.read(&part);
         observer.read(&part);
-        if let Some(usage) = part.usage.filter(|_| self.form.with_usage) {
+        if let Some(usage) = part.usage.filter(|_| self.format.has_usage) {
             let mut spent = self.spent;
             spent.add(&self.force, self.version, usage);
             part.cost_micro_euro = Some(spent.cost());
@@ -116,8 +116,8 @@
         lines.extend_from_slice(&event(&part));
     }
 
-    async fn finish(&self, tally: &Tally, observer: Observer, sender: Sender) {
-        let usage = tally.usage(&self.shared, &self.call.body);
+    async fn finish(&self, counter: &UsageCounter, observer: Observer, sender: Sender) {
+        let usage = counter.usage(&self.shared, &self.call.body);
         self.bill(usage).await;
         observer.ended(usage);
         if sender.finish(line(chat::DONE)).await.is_err() {
@@ -127,9 +127,9 @@
 
     /// Ends a stream that no one reads: what came of it is billed, or else
     /// closing the connection before the end would be a way not to pay.
-    async fn gone(&self, tally: &Tally) {
+    async fn gone(&self, counter: &UsageCounter) {
         self.shared.metrics.count("callers.gone");
-        if let Some(usage) = tally.some(&self.shared, &self.call.body) {
+        if let Some(usage) = counter.some(&self.shared, &self.call.body) {
             self.bill(usage).await;
         }
     }
@@ -141,7 +141,7 @@
             call,
             ..
         } = self;
-        bill::completion(shared, force, call, self.version, usage, self.spent).await;
+        billing::completion(shared, force, call, self.version, usage, self.spent).await;
     }
 
     /// Ends a stream whose answer is not whole: with a typed error, then by
@@ -159,10 +159,16 @@
 }
 
 /// Returns an answer that was held back until it was whole, as a stream.
-pub fn held(answer: &Answer, form: Form, request: &str, version: &str, cost: u64) -> Bytes {
+pub fn held(
+    answer: &Answer,
+    format: ResponseFormat,
+    request: &str,
+    version: &str,
+    cost: u64,
+) -> Bytes {
     let mut body = Vec::new();
-    for mut part in answer.parts(form.shape) {
-        if part.choices.is_empty() && !form.with_usage {
+    for mut part in answer.parts(format.endpoint) {
+        if part.choices.is_empty() && !format.has_usage {
             continue;
         }
         request.clone_into(&mut part.id);
--- a/crates/node/src/callers/flow.rs
+++ b/crates/node/src/callers/stream_body.rs
@@ -23,7 +23,7 @@
 }
 
 /// The receiving half, which the connection reads.
-pub struct Flow {
+pub struct StreamBody {
     first: Option<Bytes>,
     receiver: mpsc::Receiver<Item>,
     ended: bool,
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gone;
 
-impl Flow {
+impl StreamBody {
     /// Creates a body that begins with `first`, and the sender of the rest.
     ///
     /// The first part goes with the head: were it sent like the others, the
@@ -81,7 +81,7 @@
     }
 }
 
-impl Body for Flow {
+impl Body for StreamBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -20,7 +20,7 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc;
 
-use super::attempts::Work;
+use super::attempts::AttemptSpec;
 use crate::admission::Meter;
 use crate::running::Running;
 use crate::shared::Shared;
@@ -58,7 +58,7 @@
 }
 
 /// Starts an attempt.
-pub fn start(shared: &Arc<Shared>, running: Running, work: Work, meter: Meter) -> Events {
+pub fn start(shared: &Arc<Shared>, running: Running, work: AttemptSpec, meter: Meter) -> Events {
     let (sender, receiver) = mpsc::channel(BUFFER);
     let attempt = Attempt {
         address: running.address.clone(),
@@ -183,10 +183,10 @@
                 // closes its connection. However it ended by then, that says
                 // nothing of the version.
                 _ if self.sender.is_closed() => {
-                    return suspects::left(&self.shared, &self.watched);
+                    return suspects::record_abandoned(&self.shared, &self.watched);
                 }
                 Ok(Event::End) => {
-                    suspects::ended(&self.shared, &self.watched, Ok(()));
+                    suspects::record_end(&self.shared, &self.watched, Ok(()));
                     self.running.ended_well();
                     self.meter.whole();
                     let _ = self.sender.blocking_send(Ok(Event::End));
@@ -239,14 +239,14 @@
 
     fn fail(&mut self, failure: Failure) {
         if self.sender.is_closed() {
-            return suspects::left(&self.shared, &self.watched);
+            return suspects::record_abandoned(&self.shared, &self.watched);
         }
         if failure == Failure::Crossed {
             self.shared.metrics.count("upstream.crossed");
         }
         let fault = failure.into();
         // Before the request hears of it and tries again.
-        suspects::ended(&self.shared, &self.watched, Err(&fault));
+        suspects::record_end(&self.shared, &self.watched, Err(&fault));
         self.running.failed(&fault);
         self.note(&fault);
         let _ = self.sender.blocking_send(Err(fault));
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -1,5 +1,5 @@
-//! Versions as this process sees them: roll-outs, learnt quality and
-//! requests that crash servers, with the threads that keep them up to date.
+//! State about model versions in this process: roll-outs, learnt quality and
+//! requests that crash servers, with the threads that keep it up to date.
 
 pub mod ratings;
 pub mod rollouts;
@@ -19,21 +19,23 @@
 
 use crate::shared::{Force, Shared, lock};
 
-/// State of the slices that decide on versions.
+/// State from which versions are chosen.
 pub struct Versions {
     /// Roll-outs.
     pub rollouts: Mutex<Registry>,
-    /// Learnt quality.
+    /// Learnt quality of each version.
     pub learner: Mutex<Learner>,
-    /// Requests that crashed servers.
+    /// Requests suspected of crashing servers.
     pub suspects: Mutex<Suspects>,
-    /// Answers to be rated.
+    /// Answers that wait to be rated.
     pub ratings: ratings::Queue,
+    /// Revision of the configuration that the roll-outs use.
     configured: AtomicU64,
 }
 
 impl Versions {
-    /// Creates the state of one incarnation.
+    /// Creates the state of one incarnation; `platform` is the address of the
+    /// rating service.
     #[must_use]
     pub fn new(incarnation: &str, platform: &str) -> Self {
         Self {
@@ -45,9 +47,9 @@
         }
     }
 
-    /// Takes over the configuration in force if it is new. Every choice calls
-    /// this first: with an unconfigured registry a candidate would look like an
-    /// ordinary version.
+    /// Applies the active configuration if it is newer than the applied one.
+    /// Every choice of a version calls this first: with an unconfigured registry
+    /// a candidate would look like an ordinary version.
     pub fn configure(&self, now: Instant, force: &Force) {
         let revision = force.catalog.revision;
         if self.configured.load(Ordering::Acquire) >= revision {
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Puts halts and steps that were news in force.
+    /// Applies the active configuration again, so that newly received halts and
+    /// steps take effect.
     pub fn reconfigure(&self, now: Instant, force: &Force) {
         let mut registry = lock(&self.rollouts);
         if self.configured.load(Ordering::Acquire) <= force.catalog.revision {
@@ -70,38 +73,38 @@
         }
     }
 
-    /// Returns whether a version is the candidate of a running trial.
+    /// Returns whether a version is the candidate of a running roll-out.
     #[must_use]
     pub fn is_candidate(&self, model: key::Model, version: key::Version) -> bool {
         let registry = lock(&self.rollouts);
         registry
             .canary(model)
-            .is_some_and(|trial| trial.candidate == version)
+            .is_some_and(|canary| canary.candidate == version)
     }
 }
 
-/// Returns how many instances share what the fleet is allowed.
+/// Returns the number of instances that share the limits of the whole fleet.
 #[must_use]
-pub fn instances(shared: &Shared) -> u32 {
+pub fn instance_count(shared: &Shared) -> u32 {
     let size = lock(&shared.member).view.size();
     u32::try_from(size.max(1)).unwrap_or(u32::MAX)
 }
 
-/// Takes over the halts and steps that a peer holds.
+/// Merges the halts and steps that a peer has recorded.
 pub fn merge_rollout_records(shared: &Shared, records: &BTreeMap<String, rollout::Record>) {
     let now = shared.now();
-    let mut news = false;
+    let mut has_changed = false;
     let mut registry = lock(&shared.versions.rollouts);
     for (model, record) in records {
-        news |= registry.merge_peer_record(now, model, record);
+        has_changed |= registry.merge_peer_record(now, model, record);
     }
     drop(registry);
-    if news {
+    if has_changed {
         shared.versions.reconfigure(now, &shared.force());
     }
 }
 
-/// Takes over what a peer tells.
+/// Merges the counts, quality and suspicions of a peer's digest.
 pub fn merge_digest(shared: &Shared, force: &Force, digest: &fescuerack_wire::peer::Digest) {
     let versions = &shared.versions;
     let now = shared.now();
@@ -110,7 +113,7 @@
     lock(&versions.suspects).merge(now, &digest.suspects);
 }
 
-/// The state of the slices for the dump.
+/// Returns the part of the state dump about versions.
 pub fn state(shared: &Shared) -> serde_json::Value {
     let force = shared.force();
     let versions = &shared.versions;
@@ -120,12 +123,12 @@
     for model in force.catalog.rollouts.keys() {
         let name = force.names.models.name(model).to_string();
         let share = registry.share(now, model);
-        let part = share.and_then(|share| share.candidate).map(|part| part.1);
+        let new_sessions = share.and_then(|share| share.candidate).map(|part| part.1);
         rollouts.insert(
             name.clone(),
             json!({
                 "verdict": registry.verdict(now, model),
-                "share_of_new_sessions": part,
+                "share_of_new_sessions": new_sessions,
                 "trial": registry.canary(model),
                 "record": registry.record(&name),
             }),
@@ -145,11 +148,13 @@
     })
 }
 
+/// Returns, by class and version, the mean, lower bound and weight of the
+/// quality estimate.
 fn quality(shared: &Shared, force: &Force) -> BTreeMap<String, BTreeMap<String, [f64; 3]>> {
     let learner = lock(&shared.versions.learner);
     let mut classes = BTreeMap::new();
     for (class, entry) in &force.catalog.classes {
-        let mut known = BTreeMap::new();
+        let mut estimates = BTreeMap::new();
         let versions = entry.models.iter().filter_map(|model| {
             let versions = force.catalog.models.get(*model)?;
             Some(versions.iter().copied())
@@ -158,9 +163,9 @@
             let estimate = learner.estimate(&force.catalog, class, version);
             let bound = estimate.bound(0, 0.0, cascade::CONFIDENCE);
             let name = force.names.versions.name(version).to_string();
-            known.insert(name, [estimate.mean(), bound, estimate.weight()]);
+            estimates.insert(name, [estimate.mean(), bound, estimate.weight()]);
         }
-        classes.insert(force.names.classes.name(class).to_string(), known);
+        classes.insert(force.names.classes.name(class).to_string(), estimates);
     }
     classes
 }
--- a/crates/node/src/versions/ratings.rs
+++ b/crates/node/src/versions/ratings.rs
@@ -1,4 +1,4 @@
-//! Asking the rating service, within its rate.
+//! Requests to the rating service, within its rate limit.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -14,27 +14,28 @@
 use crate::shared::{Force, Shared, lock};
 use crate::stop::Stop;
 
-/// Answers that wait to be rated; further ones are not rated.
-const MOST_WAITING: usize = 64;
-/// Time after which the thread looks whether it is to stop.
-const LOOK: Duration = Duration::from_millis(500);
-/// Name of the limit: ratings a second of all instances.
-const RATE: &str = "ratings.per-second";
-/// Name of the limit: share of the usual answers that are rated.
-pub const SHARE: &str = "ratings.share";
+/// Maximum number of answers that wait to be rated; further ones are dropped.
+const MAX_WAITING: usize = 64;
+/// Interval at which the waiting thread checks whether it must stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Name of the limit on ratings per second of all instances together.
+const RATE_LIMIT: &str = "ratings.per-second";
+/// Name of the limit on the share of answers by versions other than a
+/// candidate that are rated.
+pub const SAMPLING_SHARE: &str = "ratings.share";
 
 /// An answer to be rated.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Class of work.
+    /// Class of work of the request.
     pub class: key::Class,
-    /// Version that answered.
+    /// Version that gave the answer.
     pub version: key::Version,
-    /// Its text.
+    /// Text of the answer.
     pub text: String,
 }
 
-/// The answers that wait, and the rate.
+/// Queue of answers to be rated, with the client and the rate limit.
 pub struct Queue {
     service: HttpRating,
     waiting: Mutex<VecDeque<Answer>>,
@@ -43,7 +44,7 @@
 }
 
 impl Queue {
-    /// Creates a desk before the service at `address`.
+    /// Creates an empty queue for the rating service at `address`.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -54,15 +55,16 @@
         }
     }
 
-    /// Returns how many answers wait.
+    /// Returns the number of answers that wait to be rated.
     #[must_use]
     pub fn waiting(&self) -> usize {
         lock(&self.waiting).len()
     }
 
-    fn put(&self, answer: Answer) -> bool {
+    /// Adds an answer; returns `false` when the queue is full.
+    fn push(&self, answer: Answer) -> bool {
         let mut waiting = lock(&self.waiting);
-        if waiting.len() >= MOST_WAITING {
+        if waiting.len() >= MAX_WAITING {
             return false;
         }
         waiting.push_back(answer);
@@ -70,41 +72,44 @@
         true
     }
 
-    fn next(&self) -> Option<Answer> {
+    /// Removes the oldest answer; waits up to [`STOP_CHECK_INTERVAL`] for one.
+    fn pop(&self) -> Option<Answer> {
         let waiting = lock(&self.waiting);
         let waited = self
             .arrived
-            .wait_timeout_while(waiting, LOOK, |waiting| waiting.is_empty());
+            .wait_timeout_while(waiting, STOP_CHECK_INTERVAL, |waiting| waiting.is_empty());
         let (mut waiting, _) = waited.unwrap_or_else(PoisonError::into_inner);
         waiting.pop_front()
     }
 }
 
-/// Returns whether an answer may be rated now.
-pub fn may_rate(shared: &Shared, force: &Force, purpose: Purpose) -> bool {
-    let rate = force.catalog.limit(RATE) / f64::from(super::instances(shared));
+/// Takes a rating for `purpose` from this instance's share of the rate limit;
+/// returns whether one was left.
+pub fn try_acquire(shared: &Shared, force: &Force, purpose: Purpose) -> bool {
+    let rate = force.catalog.limit(RATE_LIMIT) / f64::from(super::instance_count(shared));
     let now = shared.now();
     lock(&shared.versions.ratings.bucket).take(now, rate, purpose)
 }
 
-/// Has an answer rated some time soon.
+/// Queues an answer to be rated in the background; drops it when the queue is
+/// full.
 pub fn submit(shared: &Shared, answer: Answer) {
-    if !shared.versions.ratings.put(answer) {
+    if !shared.versions.ratings.push(answer) {
         shared.metrics.count("ratings.dropped");
     }
 }
 
-/// Rates answers until `stop` is set.
+/// Rates queued answers until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
-        if let Some(answer) = shared.versions.ratings.next() {
+        if let Some(answer) = shared.versions.ratings.pop() {
             rate(shared, &answer);
         }
     }
 }
 
-/// Asks for the rating of an answer and learns from it; blocks. `None` when
-/// none came.
+/// Requests the rating of an answer and records it; blocks the thread. Returns
+/// `None` when the service fails or its rating is outside 0 to 1.
 pub fn rate(shared: &Shared, answer: &Answer) -> Option<f64> {
     let force = shared.force();
     let request = rating::Request {
@@ -131,14 +136,14 @@
     drop(learner);
     let class = force.catalog.classes.get(answer.class);
     let event = Event::Rated {
-        quality_milli: thousandths(quality),
+        quality_milli: to_thousandths(quality),
         bad: class.is_some_and(|class| quality < class.bad_quality),
     };
     lock(&versions.rollouts).observe(now, answer.version, event);
     Some(quality)
 }
 
-fn thousandths(quality: f64) -> u32 {
+fn to_thousandths(quality: f64) -> u32 {
     let micros = Duration::from_secs_f64(quality.clamp(0.0, 1.0)).as_micros();
     u32::try_from(micros / 1000).unwrap_or(1000)
 }
--- a/crates/node/src/versions/rollouts.rs
+++ b/crates/node/src/versions/rollouts.rs
@@ -1,5 +1,5 @@
-//! Follows the roll-outs: judges, reads the records of the store and writes
-//! what is to last.
+//! Drives the roll-outs: evaluates them, reads their records from the store and
+//! writes halts and steps to it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,98 +14,102 @@
 use crate::shared::{Shared, lock};
 use crate::stop::Stop;
 
-/// Time between two judgements.
-const PERIOD: Duration = Duration::from_millis(500);
-/// Milliseconds between two looks at the store, one call each: 340 instances
-/// make 68 a second. Peers are faster; the store is for those who were away.
-const READ_MS: u64 = 5_000;
+/// Interval between two evaluations of the roll-outs.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval in milliseconds between two reads of the store, one call each: 340
+/// instances make 68 calls a second. Peers pass changes on sooner; the store
+/// serves instances that were down or unreachable in the meantime.
+const STORE_READ_INTERVAL_MS: u64 = 5_000;
 
-/// What was read of the store.
+/// State of the reads from the store.
 #[derive(Default)]
-struct Seen {
+struct StoreReads {
+    /// Version of each record that was read, by its key.
     versions: BTreeMap<String, u64>,
-    read_at: Instant,
+    /// When the store is read next.
+    next_at: Instant,
 }
 
-/// Follows the roll-outs until `stop` is set.
+/// Evaluates the roll-outs until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
-    let mut seen = Seen::default();
-    while !stop.wait(PERIOD) {
+    let mut reads = StoreReads::default();
+    while !stop.wait(EVALUATION_INTERVAL) {
         let force = shared.force();
         if force.catalog.revision == 0 {
             continue;
         }
         let now = shared.now();
         shared.versions.configure(now, &force);
-        if now >= seen.read_at {
-            seen.read_at = now.plus_millis(READ_MS);
-            if read(shared, &mut seen).is_err() {
+        if now >= reads.next_at {
+            reads.next_at = now.plus_millis(STORE_READ_INTERVAL_MS);
+            if read_changed(shared, &mut reads).is_err() {
                 shared.metrics.count("rollouts.store_failed");
             }
         }
-        let instances = super::instances(shared);
+        let instances = super::instance_count(shared);
         let mut registry = lock(&shared.versions.rollouts);
         registry.set_instances(instances);
-        let acts = registry.decide(now);
+        let writes = registry.decide(now);
         drop(registry);
-        for act in acts {
-            if perform(shared, &act).is_err() {
+        for store_write in writes {
+            if perform(shared, &store_write).is_err() {
                 shared.metrics.count("rollouts.store_failed");
             }
         }
     }
 }
 
-/// Reads the records that have changed.
-fn read(shared: &Shared, seen: &mut Seen) -> Result<()> {
+/// Reads the records that have changed since the last read.
+fn read_changed(shared: &Shared, reads: &mut StoreReads) -> Result<()> {
     let keys = shared.store.keys(record::PREFIX)?;
     for item in keys.items {
-        if seen.versions.get(&item.key) == Some(&item.version) {
+        if reads.versions.get(&item.key) == Some(&item.version) {
             continue;
         }
         let Some(model) = item.key.strip_prefix(record::PREFIX) else {
             continue;
         };
         read_record(shared, model)?;
-        seen.versions.insert(item.key.clone(), item.version);
+        reads.versions.insert(item.key.clone(), item.version);
     }
     lock(&shared.versions.rollouts).mark_informed();
     Ok(())
 }
 
-/// Reads one record and takes it over; returns it with its version.
+/// Reads and merges one record; returns it with its version in the store.
 fn read_record(shared: &Shared, model: &str) -> Result<(u64, Record)> {
     let value = shared.store.get(&record::key(model))?;
     let Some(value) = value else {
         return Ok((0, Record::default()));
     };
-    let found: Record = serde_json::from_slice(&value.bytes).context("a roll-out's record")?;
-    take_over(shared, model, &found);
+    let found: Record = serde_json::from_slice(&value.bytes).context("parse a roll-out record")?;
+    merge(shared, model, &found);
     Ok((value.version, found))
 }
 
-fn take_over(shared: &Shared, model: &str, found: &Record) {
+/// Merges a record that stands in the store into the registry.
+fn merge(shared: &Shared, model: &str, found: &Record) {
     let now = shared.now();
     let mut registry = lock(&shared.versions.rollouts);
     registry.set_stored_record(model, found);
-    let news = registry.merge_stored_record(now, model, found);
+    let has_changed = registry.merge_stored_record(now, model, found);
     drop(registry);
-    if news {
-        log::info!(model = model; "a roll-out's record was news");
+    if has_changed {
+        log::info!(model = model; "merged new halts or steps from the store's roll-out record");
         shared.versions.reconfigure(now, &shared.force());
     }
 }
 
-fn perform(shared: &Shared, act: &StoreWrite) -> Result<()> {
-    match act {
+fn perform(shared: &Shared, store_write: &StoreWrite) -> Result<()> {
+    match store_write {
         StoreWrite::Halts(model) => {
             shared.metrics.count("rollouts.halts_to_keep");
             write(shared, model, None)
         }
         StoreWrite::Step(model, candidate, step) => {
-            // All instances come to this conclusion at about the same time and
-            // one write is enough.
-            let instances = super::instances(shared);
+            // All instances decide this step at about the same time and one
+            // write is enough: each writes with probability 1 / `instances`.
+            let instances = super::instance_count(shared);
             if !shared.random().is_multiple_of(u64::from(instances)) {
                 return Ok(());
             }
@@ -114,9 +118,9 @@
     }
 }
 
-/// Swaps what is known of a model, and perhaps a step, into the store. An
-/// answer that is lost is no matter: the record is read again, and both halts
-/// and steps only rise.
+/// Swaps the local record of a model, and a step if given, into the store. A
+/// lost answer does no harm: the record is read again, and both halts and steps
+/// only ever increase.
 fn write(shared: &Shared, model: &str, step: Option<(&String, Step)>) -> Result<()> {
     let (version, mut merged) = read_record(shared, model)?;
     merged.merge(&lock(&shared.versions.rollouts).record(model));
@@ -131,9 +135,9 @@
         .store
         .swap(&record::key(model), version, bytes, None)?;
     if let Swap::Swapped(_) = swapped {
-        log::info!(model = model; "a roll-out's record was kept");
+        log::info!(model = model; "wrote a roll-out record to the store");
         shared.metrics.count("rollouts.kept");
-        take_over(shared, model, &merged);
+        merge(shared, model, &merged);
     }
     Ok(())
 }
--- a/crates/node/src/versions/suspects.rs
+++ b/crates/node/src/versions/suspects.rs
@@ -1,5 +1,5 @@
-//! Requests that crash servers: telling a crash from a cut, permits from the
-//! store, and word to all peers at once.
+//! Requests that crash servers: telling a crash from a broken connection,
+//! permits from the store, and immediate updates to all peers.
 
 use std::collections::BTreeSet;
 use std::net::{TcpStream, ToSocketAddrs as _};
@@ -15,62 +15,65 @@
 
 use crate::shared::{Shared, lock};
 
-/// Time within which a living server takes a connection.
-const PROBE: Duration = Duration::from_millis(250);
-/// Pause before a server that still takes connections is looked at again.
-const SECOND_LOOK: Duration = Duration::from_millis(50);
-/// Tries to swap a permit before the request is refused.
-const TRIES: usize = 3;
+/// Time within which a running server accepts a connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Delay before a server that still accepts connections is probed again.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(50);
+/// Number of attempts to swap a permit before the request is refused.
+const PERMIT_SWAP_ATTEMPTS: usize = 3;
 
-/// Returns whether a server that broke off has crashed: it takes no
-/// connection. An engine needs far longer to load its model than this takes.
+/// Returns whether a server whose connection broke has crashed: it accepts no
+/// new connection. A restarted engine is not taken for one that kept running,
+/// because loading its model takes far longer than the two probes.
 ///
-/// The connections of a dying process end one after the other, and its
-/// listening socket may be the last: a single look right after the break finds
-/// it open, and the crash goes uncounted. So a server that still takes a
-/// connection is looked at once more.
+/// The sockets of a dying process close one after the other, and its listening
+/// socket may be the last. A single probe right after the break would find it
+/// open and miss the crash. So a server that accepts the first probe is probed
+/// again.
 fn has_crashed(address: &str) -> bool {
     let addresses = address.to_socket_addrs();
     let Some(address) = addresses.ok().and_then(|mut found| found.next()) else {
         return false;
     };
-    if TcpStream::connect_timeout(&address, PROBE).is_err() {
+    if TcpStream::connect_timeout(&address, PROBE_TIMEOUT).is_err() {
         return true;
     }
-    std::thread::sleep(SECOND_LOOK);
-    TcpStream::connect_timeout(&address, PROBE).is_err()
+    std::thread::sleep(SECOND_PROBE_DELAY);
+    TcpStream::connect_timeout(&address, PROBE_TIMEOUT).is_err()
 }
 
-/// Returns whether a request may run; blocks on the store if it is suspected.
+/// Returns whether a request may run; blocks on the store if it needs a permit.
+/// When the store gives no answer, it may.
 fn may_run(shared: &Shared, fingerprint: Fingerprint) -> bool {
     let now = shared.now();
     let verdict = lock(&shared.versions.suspects).verdict(now, fingerprint);
-    let may = match verdict {
+    let is_allowed = match verdict {
         Verdict::Run => true,
         Verdict::Refuse => false,
-        Verdict::Permit => permit(shared, fingerprint).unwrap_or(true),
+        Verdict::Permit => take_permit(shared, fingerprint).unwrap_or(true),
     };
-    if !may {
+    if !is_allowed {
         shared.metrics.count("suspects.refused");
     }
-    may
+    is_allowed
 }
 
-/// Takes the permit of the second run from the store.
+/// Takes the permit for the second run from the store; returns whether it was
+/// free.
 ///
 /// # Errors
 ///
-/// When the store gives no answer.
-fn permit(shared: &Shared, fingerprint: Fingerprint) -> Result<bool> {
+/// When the store gives no answer or its record cannot be parsed.
+fn take_permit(shared: &Shared, fingerprint: Fingerprint) -> Result<bool> {
     let key = fingerprint.key();
     let holder = &shared.incarnation;
     let lost = lock(&shared.versions.suspects).lost(fingerprint);
-    for _ in 0..TRIES {
+    for _ in 0..PERMIT_SWAP_ATTEMPTS {
         let value = shared.store.get(&key)?;
         let (version, record) = match value {
             Some(value) => (
                 value.version,
-                serde_json::from_slice(&value.bytes).context("a suspicion's record")?,
+                serde_json::from_slice(&value.bytes).context("parse a suspect record")?,
             ),
             None => (0, Record::default()),
         };
@@ -87,33 +90,33 @@
     Ok(false)
 }
 
-/// Has all peers told at once.
-fn press(shared: &Shared) {
+/// Triggers an immediate exchange with all peers.
+fn notify_peers(shared: &Shared) {
     lock(&shared.member).mark_urgent();
     shared.wake.notify_one();
 }
 
-/// Notes that a server crashed under a request; returns whether the request is
-/// thereby condemned.
-fn note_crash(shared: &Shared, fingerprint: Fingerprint, server: &str) -> bool {
+/// Records that a server crashed while it ran a request; returns whether the
+/// request is refused from now on.
+fn record_crash(shared: &Shared, fingerprint: Fingerprint, server: &str) -> bool {
     let now = shared.now();
     let mut suspects = lock(&shared.versions.suspects);
     suspects.record_crash(now, fingerprint, server);
-    let condemned = suspects.verdict(now, fingerprint) == Verdict::Refuse;
+    let is_refused = suspects.verdict(now, fingerprint) == Verdict::Refuse;
     drop(suspects);
     shared.metrics.count("suspects.crashes");
-    // The caller may send it again at once, through any instance.
-    press(shared);
-    log::warn!(server = server; "a backend server crashed under a request");
-    condemned
+    // The caller may send the request again at once, through any instance.
+    notify_peers(shared);
+    log::warn!(server = server; "a backend server crashed while running a request");
+    is_refused
 }
 
-/// An attempt as far as its end tells of its version and of its request.
+/// The attributes of an attempt that its outcome is recorded under.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Version that was to answer.
+    /// Version that the attempt asked for.
     pub version: key::Version,
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Server.
     pub server: key::Server,
@@ -121,8 +124,9 @@
     pub address: String,
 }
 
-/// Notes how an attempt ended; blocks for a moment if its server broke off.
-pub fn ended(shared: &Shared, attempt: &Attempt, result: Result<(), &Fault>) {
+/// Records how an attempt ended; blocks for the probes of its server if the
+/// connection broke.
+pub fn record_end(shared: &Shared, attempt: &Attempt, result: Result<(), &Fault>) {
     let crashed = matches!(result, Err(Fault::Unknown(_))) && has_crashed(&attempt.address);
     let now = shared.now();
     lock(&shared.versions.suspects).release(attempt.fingerprint);
@@ -131,21 +135,21 @@
             let name = lock(&shared.routes)
                 .get(attempt.server)
                 .map_or_else(|| attempt.address.clone(), |server| server.id.clone());
-            if note_crash(shared, attempt.fingerprint, &name) {
-                // The request did it, whatever the version.
+            if record_crash(shared, attempt.fingerprint, &name) {
+                // The request caused the crash, not the version.
                 return;
             }
             Event::Crashed(attempt.server)
         }
-        // The request was wrong, the server is full or never heard of it:
-        // none of these says anything of the version.
+        // The request was invalid, the server is full, or the request never
+        // reached it: none of these is a failure of the version.
         Err(Fault::Refused { status, .. }) if *status < 500 || *status == 503 => return,
         Err(Fault::NotSent(_)) => return,
         Err(_) => Event::Failed(attempt.server),
         Ok(()) => {
             if lock(&shared.versions.suspects).record_survival(attempt.fingerprint) {
-                // Until they hear, the others would refuse an innocent request.
-                press(shared);
+                // Until they are notified, peers would refuse a harmless request.
+                notify_peers(shared);
             }
             return;
         }
@@ -153,24 +157,25 @@
     lock(&shared.versions.rollouts).observe(now, attempt.version, event);
 }
 
-/// Notes that an attempt was given up before its end.
-pub fn left(shared: &Shared, attempt: &Attempt) {
+/// Records that an attempt was given up before its end.
+pub fn record_abandoned(shared: &Shared, attempt: &Attempt) {
     lock(&shared.versions.suspects).release(attempt.fingerprint);
 }
 
-/// Asks whether a request may run, away from the async threads.
+/// Returns whether a request may run; what blocks runs outside the async
+/// threads.
 pub async fn admit(shared: &Arc<Shared>, fingerprint: Fingerprint) -> bool {
     let verdict = lock(&shared.versions.suspects).verdict(shared.now(), fingerprint);
     if verdict == Verdict::Run {
         return true;
     }
     let shared = Arc::clone(shared);
-    let asked = tokio::task::spawn_blocking(move || may_run(&shared, fingerprint));
-    asked.await.unwrap_or(false)
+    let check = tokio::task::spawn_blocking(move || may_run(&shared, fingerprint));
+    check.await.unwrap_or(false)
 }
 
-/// Returns the servers that a request has to avoid besides those it tried: a
-/// suspect does not run where another one does.
+/// Returns the servers that a request must avoid: those it has tried and, for a
+/// suspect, those that run another suspect.
 pub fn avoid(
     shared: &Shared,
     fingerprint: Fingerprint,
@@ -184,7 +189,8 @@
     avoid
 }
 
-/// Notes that a request is about to run on a server; `false` when it may not.
+/// Records that a request is about to run on a server; returns `false` when it
+/// may not, because another crash was reported in the meantime.
 #[must_use]
 pub fn start(shared: &Shared, fingerprint: Fingerprint, server: key::Server) -> bool {
     let now = shared.now();
