--- a/crates/node/src/callers/entry.rs
+++ b/crates/node/src/callers/admit.rs
@@ -7,9 +7,9 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_wire::error::Kind;
 
-use super::intake::Call;
 use super::reply::Refusal;
-use crate::admission::Place;
+use super::request::Call;
+use crate::admission::Permit;
 use crate::shared::{Shared, lock};
 
 /// Priority of a request that names no class of work.
@@ -20,14 +20,14 @@
 /// # Errors
 ///
 /// When it is turned away; nothing was run.
-pub async fn enter(
+pub async fn admit(
     shared: &Shared,
     call: &Call,
     class: Option<key::Class>,
-) -> Result<Place, Refusal> {
+) -> Result<Permit, Refusal> {
     let ask = ask(shared, call, class);
     rate(shared, call)?;
-    let entered = shared.gate.enter(shared.clock, &ask).await;
+    let entered = shared.gate.admit(shared.clock, &ask).await;
     entered.map_err(|refused| {
         shared.metrics.count("admission.refused");
         refusal(shared.now(), refused.retry_at, "too much work; not run")
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -52,10 +52,10 @@
         let model = self.force.catalog.versions[self.version].model;
         let versions = &self.shared.versions;
         if versions.is_candidate(model, self.version) {
-            return ratings::may_rate(&self.shared, &self.force, Purpose::Candidate);
+            return ratings::try_acquire(&self.shared, &self.force, Purpose::Candidate);
         }
-        self.shared.dice() < self.force.catalog.limit(ratings::SHARE)
-            && ratings::may_rate(&self.shared, &self.force, Purpose::Sample)
+        self.shared.dice() < self.force.catalog.limit(ratings::SAMPLING_SHARE)
+            && ratings::try_acquire(&self.shared, &self.force, Purpose::Sample)
     }
 
     /// Notes that the first token has come.
@@ -66,7 +66,7 @@
             .and_then(|class| self.force.catalog.classes.get(class));
         let late = class.is_some_and(|class| now > self.start.plus_millis(class.first_token_ms));
         let event = Event::Answered { late };
-        lock(&self.shared.versions.board).observe(now, self.version, event);
+        lock(&self.shared.versions.rollouts).observe(now, self.version, event);
     }
 
     /// Reads a part of the answer.
