--- a/crates/core/src/num.rs
+++ b/crates/core/src/num.rs
@@ -8,7 +8,8 @@
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// Returns the integer part of a number; negative numbers give 0, and numbers beyond `u32` saturate.
+/// Returns the integer part of a number; negative numbers give 0, and numbers beyond `u32`
+/// saturate.
 #[must_use]
 pub fn whole(number: f64) -> usize {
     let bounded = number.clamp(0.0, f64::from(u32::MAX));
--- a/crates/core/src/routed/canary.rs
+++ b/crates/core/src/routed/canary.rs
@@ -40,8 +40,8 @@
 /// Fraction of the given time from which a version may be completed. It leaves a fifth of the time
 /// for the stage under load, in which requests of several seconds accumulate on its servers.
 pub const COMPLETION_FROM: f64 = 0.75;
-/// Share of the allowed exposure that is used by [`COMPLETION_FROM`]. The rest is for the time until
-/// all nodes have received the decision.
+/// Share of the allowed exposure that is used by [`COMPLETION_FROM`]. The rest is for the time
+/// until all nodes have received the decision.
 const USED_SHARE: f64 = 0.9;
 /// Load of the servers in the stage under load, as a multiple of the load of all servers after the
 /// roll-out: a version may fail only where half of the slots are in use, as at a peak.
--- a/crates/core/src/routed/mod.rs
+++ b/crates/core/src/routed/mod.rs
@@ -8,8 +8,8 @@
 //! - [`health`]: which backend servers a node ejects for a while;
 //! - [`outlier`]: which backend servers all nodes eject, by their common counts;
 //! - [`load`]: the load of the peers on each backend server;
-//! - [`escalation`]: which model of a route answers, and when a request with a weak answer goes to a
-//!   stronger one;
+//! - [`escalation`]: which model of a route answers, and when a request with a weak answer goes to
+//!   a stronger one;
 //! - [`wait`]: how long a request waits behind the load on its server;
 //! - [`warmup`]: which nodes may use a server that is warming up, and how often;
 //! - [`budget`]: how many further attempts one node may make;
--- a/crates/core/src/routed/watcher.rs
+++ b/crates/core/src/routed/watcher.rs
@@ -23,11 +23,11 @@
 pub const WATCHER_COUNT: usize = 2;
 /// Milliseconds that a watcher's call waits at the store.
 pub const STORE_WAIT_MS: u64 = 400;
-/// Milliseconds for which changes accumulate before a watcher's next call. In a large fleet, entries
-/// of servers change several times a second, and each change ends a call.
+/// Milliseconds for which changes accumulate before a watcher's next call. In a large fleet,
+/// entries of servers change several times a second, and each change ends a call.
 pub const BATCH_MS: u64 = 400;
-/// Milliseconds for which a node watches the store itself after no watcher was fresh. When the store
-/// sends its watchers nothing for a second, all nodes do so at the same time.
+/// Milliseconds for which a node watches the store itself after no watcher was fresh. When the
+/// store sends its watchers nothing for a second, all nodes do so at the same time.
 pub const DIRECT_WATCH_MS: u64 = 1_000;
 /// Milliseconds that a node's poll waits at a watcher or hub.
 pub const PEER_WAIT_MS: u64 = 400;
--- a/crates/core/tests/all/routed/load.rs
+++ b/crates/core/tests/all/routed/load.rs
@@ -189,7 +189,7 @@
             found.push(work.iter().map(|node_work| node_work[taken]).sum::<f64>() / PROMPT_LOAD);
             work[node][taken] += PROMPT_LOAD;
         }
-        // Each server processes a fixed load a millisecond, divided in proportion between the nodes.
+        // Each server processes a fixed load a millisecond, in proportion from all nodes.
         for index in 0..servers.len() {
             let sum: f64 = work.iter().map(|node_work| node_work[index]).sum();
             let left = (sum - 0.16).max(0.0);
--- a/crates/core/tests/all/routed/watcher.rs
+++ b/crates/core/tests/all/routed/watcher.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Each node is at most two polls away from a watcher, and only hubs poll nodes of other zones: no two
-/// nodes poll each other, and bytes stay within zones.
+/// Each node is at most two polls away from a watcher, and only hubs poll nodes of other zones: no
+/// two nodes poll each other, and bytes stay within zones.
 #[test]
 fn role_polls_end_at_a_watcher() {
     let nodes = nodes(91);
