--- a/crates/node/src/activation.rs
+++ b/crates/node/src/activation.rs
@@ -19,8 +19,8 @@
 use fescuerack_core::store::Backoff;
 use serde_json::json;
 
-use crate::aid::{self, Ask};
-use crate::shared::{Force, Shared, lock};
+use crate::peer_fallback::{self, Request};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Time for which one watch waits at the store.
@@ -55,7 +55,7 @@
 
 /// State of the configuration in one process.
 #[derive(Debug, Default)]
-pub struct Desk {
+pub struct State {
     inner: Mutex<Inner>,
     heard: AtomicU64,
     /// Version of the manifest that was read last.
@@ -75,9 +75,9 @@
     store_out: bool,
 }
 
-impl Desk {
+impl State {
     /// Takes note of the revision at a peer.
-    pub fn hear(&self, revision: u64) {
+    pub fn record_peer_revision(&self, revision: u64) {
         if self.heard.fetch_max(revision, Ordering::SeqCst) < revision {
             self.wake();
         }
@@ -173,7 +173,7 @@
 }
 
 /// Reads the manifest when there is a reason to, until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     let mut backoff = Backoff::new(shared.random());
     loop {
         share(shared);
@@ -197,7 +197,7 @@
 
 /// Keeps to this instance's share of the store's rate.
 fn share(shared: &Shared) {
-    shared.store.share(aid::fleet(shared));
+    shared.store.share(peer_fallback::fleet_size(shared));
 }
 
 fn note_store(shared: &Shared, out: bool) {
@@ -233,7 +233,7 @@
 
 /// Returns a random pause that spreads the fleet's reads after a change.
 fn spread(shared: &Shared) -> Duration {
-    let nodes = u64::from(aid::fleet(shared));
+    let nodes = u64::from(peer_fallback::fleet_size(shared));
     let width_ms = nodes * READS * 1000 / AFTER_CHANGE;
     Duration::from_millis(shared.random() % (width_ms + 1))
 }
@@ -242,8 +242,8 @@
 /// then stays.
 fn put(shared: &Shared, manifest: Manifest, folder: Folder, source: &Source) {
     let revision = manifest.revision;
-    let force = match compile(shared, revision, &folder) {
-        Ok(force) => force,
+    let active = match compile(shared, revision, &folder) {
+        Ok(active) => active,
         Err(problem) => return refuse(shared, revision, &problem),
     };
     let mut inner = lock(&shared.configuration.inner);
@@ -251,7 +251,7 @@
         return;
     }
     inner.follower.activate(revision);
-    let was_put = shared.put_in_force(force);
+    let was_put = shared.activate(active);
     assert!(
         was_put,
         "the follower and the configuration in force differ"
@@ -275,7 +275,7 @@
     inner.problem = Some(problem);
 }
 
-fn compile(shared: &Shared, revision: u64, folder: &Folder) -> Result<Force> {
+fn compile(shared: &Shared, revision: u64, folder: &Folder) -> Result<ActiveConfiguration> {
     let merged = Merged::new(folder)
         .map_err(|problems| anyhow!("{}", problems[0]))
         .context("merge the configuration in force")?;
@@ -283,7 +283,7 @@
         let catalog = Catalog::new(revision, &merged, names)
             .map_err(|problems| anyhow!("{}", problems[0]))
             .context("compile the configuration in force")?;
-        Ok(Force {
+        Ok(ActiveConfiguration {
             catalog,
             names: names.clone(),
         })
@@ -299,8 +299,8 @@
         return;
     }
     let mut offers = Vec::new();
-    for address in aid::some(shared, PEERS_ASKED) {
-        let asking = aid::ask::<Option<Manifest>>(shared, &address, &Ask::Manifest);
+    for address in peer_fallback::random_peers(shared, PEERS_ASKED) {
+        let asking = peer_fallback::call::<Option<Manifest>>(shared, &address, &Request::Manifest);
         match shared.runtime.block_on(asking) {
             Ok(Some(manifest)) => offers.push((manifest, address)),
             Ok(None) => {}
@@ -324,9 +324,10 @@
 fn fetch_from(shared: &Shared, address: &str, manifest: &Manifest) -> Result<Folder> {
     let mut folder = Folder::new();
     for (name, file) in &manifest.files {
-        let content = shared
-            .runtime
-            .block_on(aid::file(shared, address, &file.digest))?;
+        let content =
+            shared
+                .runtime
+                .block_on(peer_fallback::fetch_file(shared, address, &file.digest))?;
         folder = folder.with_file(name, content);
     }
     manifest::verify(manifest, &folder)?;
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -35,9 +35,9 @@
 }
 
 fn ask(shared: &Shared, call: &Call, class: Option<key::Class>) -> Request {
-    let force = shared.force();
-    let organisation = force.catalog.organisations.get(call.organisation);
-    let known = class.and_then(|class| force.catalog.classes.get(class));
+    let active = shared.active_configuration();
+    let organisation = active.catalog.organisations.get(call.organisation);
+    let known = class.and_then(|class| active.catalog.classes.get(class));
     let due = known.map(|class| shared.now().plus_millis(class.deadline_ms));
     Request {
         organisation: call.organisation,
@@ -59,8 +59,8 @@
 }
 
 fn rate(shared: &Shared, call: &Call) -> Result<(), Refusal> {
-    let force = shared.force();
-    let organisation = force.catalog.organisations.get(call.organisation);
+    let active = shared.active_configuration();
+    let organisation = active.catalog.organisations.get(call.organisation);
     let Some(rate) = organisation.and_then(|organisation| organisation.rate) else {
         return Ok(());
     };
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -15,8 +15,8 @@
 use super::prompt::Prompt;
 use super::upstream::{self, Events};
 use crate::admission::Meter;
-use crate::running::LEAVING;
-use crate::shared::{Force, Shared, lock};
+use crate::in_flight::LEAVING;
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::versions::suspects;
 
 /// Attempts that one request may make.
@@ -61,7 +61,7 @@
 /// The attempts of one completion.
 pub struct AttemptRunner {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     attempts: Attempts,
     work: AttemptSpec,
     prompt: Prompt,
@@ -77,7 +77,7 @@
 
 impl AttemptRunner {
     /// Prepares the attempts of `work`; none is made yet.
-    pub fn new(shared: Arc<Shared>, force: Arc<Force>, work: AttemptSpec) -> Self {
+    pub fn new(shared: Arc<Shared>, active: Arc<ActiveConfiguration>, work: AttemptSpec) -> Self {
         Self {
             attempts: Attempts::new(true, work.deadline, MAX_ATTEMPTS),
             prompt: Prompt::new(&work.body),
@@ -85,7 +85,7 @@
             fleet: None,
             hedged: false,
             shared,
-            force,
+            active,
             work,
         }
     }
@@ -127,7 +127,7 @@
 
     /// Sends an attempt to a server that was not tried.
     fn send(&mut self) -> Option<PendingAttempt> {
-        let fleets = &self.force.catalog.versions[self.work.version].fleets;
+        let fleets = &self.active.catalog.versions[self.work.version].fleets;
         let fingerprint = self.work.fingerprint;
         let avoid = suspects::avoid(&self.shared, fingerprint, self.attempts.tried());
         let ask = Request {
@@ -138,7 +138,7 @@
             prefix: self.prompt.prefix,
             adapter: None,
         };
-        let running = self.shared.place_attempt(&ask)?;
+        let running = self.shared.start_attempt_with(&ask)?;
         if !suspects::start(&self.shared, fingerprint, running.server) {
             return None;
         }
@@ -184,7 +184,7 @@
         if self.hedged || suspected || waiting > 0 || self.attempts.made() >= MAX_ATTEMPTS {
             return None;
         }
-        let least_s = self.force.catalog.limit("attempt.hedge-ms") / 1000.0;
+        let least_s = self.active.catalog.limit("attempt.hedge-ms") / 1000.0;
         let remaining = self.work.deadline.since(self.shared.now());
         let routes = lock(&self.shared.routes);
         hedge::delay(routes.first_token_mean(self.fleet?)?, least_s, remaining)
@@ -217,7 +217,8 @@
     }
 
     fn may_retry(&self) -> bool {
-        self.fleet.is_some_and(|fleet| self.shared.may_retry(fleet))
+        self.fleet
+            .is_some_and(|fleet| self.shared.try_take_retry(fleet))
     }
 }
 
--- a/crates/node/src/callers/billing.rs
+++ b/crates/node/src/callers/billing.rs
@@ -9,7 +9,7 @@
 use fescuerack_wire::chat::Usage;
 
 use super::request::Call;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 
 /// What the steps of one request used; one entry bills them all.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,10 +21,10 @@
 
 impl Spent {
     /// Adds a step.
-    pub fn add(&mut self, force: &Force, version: key::Version, usage: Usage) {
+    pub fn add(&mut self, active: &ActiveConfiguration, version: key::Version, usage: Usage) {
         self.input_tokens += usage.prompt_tokens;
         self.output_tokens += usage.completion_tokens;
-        self.cost += cost(force, version, usage);
+        self.cost += cost(active, version, usage);
     }
 
     /// Returns the cost of all steps in micro-euro.
@@ -40,20 +40,20 @@
 /// milliseconds until the entry is safe.
 pub async fn completion(
     shared: &Arc<Shared>,
-    force: &Force,
+    active: &ActiveConfiguration,
     call: &Call,
     version: key::Version,
     usage: Usage,
     mut spent: Spent,
 ) -> u64 {
-    spent.add(force, version, usage);
+    spent.add(active, version, usage);
     let entry = Entry {
         request: shared.random_id(),
-        version: force.names.versions.name(version).to_string(),
+        version: active.names.versions.name(version).to_string(),
         input_tokens: spent.input_tokens,
         output_tokens: spent.output_tokens,
         cost: spent.cost,
-        ..entry(force, call)
+        ..entry(active, call)
     };
     let ticket = shared.ledger.add(entry);
     keep(shared, ticket).await;
@@ -61,20 +61,26 @@
 }
 
 /// Bills an answered call of a plain service under the identity `bill`.
-pub async fn call(shared: &Arc<Shared>, force: &Force, call: &Call, service: &str, bill: String) {
+pub async fn call(
+    shared: &Arc<Shared>,
+    active: &ActiveConfiguration,
+    call: &Call,
+    service: &str,
+    bill: String,
+) {
     let entry = Entry {
         request: bill,
         version: service.to_owned(),
-        ..entry(force, call)
+        ..entry(active, call)
     };
-    let ticket = shared.ledger.add_claimed(entry);
+    let ticket = shared.ledger.add_shared(entry);
     keep(shared, ticket).await;
 }
 
 /// Returns an entry that lacks what was used. Its identity is never the
 /// caller's: two callers may choose the same one.
-fn entry(force: &Force, call: &Call) -> Entry {
-    let organisation = force.names.organisations.name(call.organisation);
+fn entry(active: &ActiveConfiguration, call: &Call) -> Entry {
+    let organisation = active.names.organisations.name(call.organisation);
     Entry {
         organisation: organisation.to_string(),
         label: call.request.clone(),
@@ -85,15 +91,15 @@
 }
 
 /// Returns the cost of an answer in micro-euro.
-fn cost(force: &Force, version: key::Version, usage: Usage) -> u64 {
-    let cost = force.catalog.versions[version].cost;
+fn cost(active: &ActiveConfiguration, version: key::Version, usage: Usage) -> u64 {
+    let cost = active.catalog.versions[version].cost;
     cost.of(usage.prompt_tokens, usage.completion_tokens)
 }
 
 async fn keep(shared: &Arc<Shared>, ticket: Ticket) {
     let start = shared.now();
     let wait = Duration::from_millis(shared.settings.limits.ledger_wait_ms);
-    if !shared.ledger.safe(ticket, wait).await {
+    if !shared.ledger.wait_durable(ticket, wait).await {
         shared.metrics.count("ledger.unsafe");
     }
     let waited = shared.now().since(start);
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -9,7 +9,7 @@
 
 use super::reply::{Refusal, Reply, with_header};
 use super::request::Call;
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 
 /// Priority of a request that names no class of work.
 const DEFAULT_PRIORITY: u8 = 5;
@@ -58,18 +58,18 @@
 /// what others use.
 pub fn choose(
     shared: &Shared,
-    force: &Force,
+    active: &ActiveConfiguration,
     call: &Call,
     asked: &chat::Request,
 ) -> Result<Choice, Refusal> {
     let model = asked.model.as_str();
-    let wanted = wanted(force, model).ok_or_else(forbidden)?;
+    let wanted = wanted(active, model).ok_or_else(forbidden)?;
     let now = shared.now();
-    shared.versions.configure(now, force);
-    let pins = pins(shared, force, call);
+    shared.versions.configure(now, active);
+    let pins = pins(shared, active, call);
     let pinned = pins
         .get(model)
-        .and_then(|name| force.names.versions.get(name));
+        .and_then(|name| active.names.versions.get(name));
     let within = call.deadline.since(now).as_millis();
     let request = cascade::Request {
         organisation: call.organisation,
@@ -83,14 +83,14 @@
         random: if call.session.is_some() {
             1.0
         } else {
-            shared.dice()
+            shared.random_fraction()
         },
     };
     let registry = lock(&shared.versions.rollouts);
     let learner = lock(&shared.versions.learner);
     let world = Context {
-        catalog: &force.catalog,
-        names: &force.names,
+        catalog: &active.catalog,
+        names: &active.names,
         rollouts: &registry,
         learner: &learner,
         now,
@@ -106,12 +106,12 @@
         Selector::Class(class) => Some(class),
         Selector::Version(_) | Selector::Model(_) => None,
     };
-    let priority = class.map(|class| force.catalog.classes[class].priority);
+    let priority = class.map(|class| active.catalog.classes[class].priority);
     Ok(Choice {
         version: chosen.place.version(),
         class,
         priority: priority.unwrap_or(DEFAULT_PRIORITY),
-        session: told(shared, force, call, model, pins, chosen.place),
+        session: told(shared, active, call, model, pins, chosen.place),
         plans: chosen.plans,
     })
 }
@@ -120,35 +120,35 @@
     Refusal::new(Kind::Forbidden, "the organisation may not use this model")
 }
 
-fn wanted(force: &Force, model: &str) -> Option<Selector> {
+fn wanted(active: &ActiveConfiguration, model: &str) -> Option<Selector> {
     if let Some(class) = model.strip_prefix("auto:") {
-        let class = force.names.classes.get(class)?;
-        return force
+        let class = active.names.classes.get(class)?;
+        return active
             .catalog
             .classes
             .contains_key(class)
             .then_some(Selector::Class(class));
     }
-    if let Some(version) = force.names.versions.get(model) {
+    if let Some(version) = active.names.versions.get(model) {
         return Some(Selector::Version(version));
     }
-    force.names.models.get(model).map(Selector::Model)
+    active.names.models.get(model).map(Selector::Model)
 }
 
 /// Returns what the caller's token says, if it is this session's.
-fn pins(shared: &Shared, force: &Force, call: &Call) -> Pins {
+fn pins(shared: &Shared, active: &ActiveConfiguration, call: &Call) -> Pins {
     let (Some(session), Some(token)) = (&call.session, &call.session_token) else {
         return Pins::new();
     };
     let secret = shared.settings.peer_key.as_bytes();
-    let organisation = force.names.organisations.name(call.organisation);
+    let organisation = active.names.organisations.name(call.organisation);
     token::open(secret, organisation, session, token).unwrap_or_default()
 }
 
 /// Returns what the caller is told of its session.
 fn told(
     shared: &Shared,
-    force: &Force,
+    active: &ActiveConfiguration,
     call: &Call,
     model: &str,
     mut pins: Pins,
@@ -158,13 +158,13 @@
     let moved_from = match place {
         Placement::Move { from, .. } => {
             shared.metrics.count("sessions.moved");
-            Some(force.names.versions.name(from).to_string())
+            Some(active.names.versions.name(from).to_string())
         }
         Placement::Start(_) | Placement::Keep(_) => None,
     };
-    pins.set(model, force.names.versions.name(place.version()));
+    pins.set(model, active.names.versions.name(place.version()));
     let secret = shared.settings.peer_key.as_bytes();
-    let organisation = force.names.organisations.name(call.organisation);
+    let organisation = active.names.organisations.name(call.organisation);
     Some(Session {
         token: token::sign(secret, organisation, session, &pins),
         moved_from,
--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -19,12 +19,12 @@
 use super::stream::{self, Stream};
 use super::{admit, billing};
 use crate::admission::Permit;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 
 /// A request that may run.
 struct Job {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     start: Instant,
     call: Call,
     choice: Choice,
@@ -43,8 +43,8 @@
         return refusal.into();
     }
     let start = shared.now();
-    let force = shared.force();
-    let choice = match choice::choose(&shared, &force, &call, &asked) {
+    let active = shared.active_configuration();
+    let choice = match choice::choose(&shared, &active, &call, &asked) {
         Ok(choice) => choice,
         Err(refusal) => return refusal.into(),
     };
@@ -54,7 +54,7 @@
     };
     let job = Job {
         shared,
-        force,
+        active,
         start,
         call,
         choice,
@@ -68,7 +68,7 @@
     async fn run(mut self, asked: chat::Request) -> Reply {
         let runner = PlanRunner {
             shared: &self.shared,
-            force: &self.force,
+            active: &self.active,
             call: &self.call,
             choice: &self.choice,
             asked: &asked,
@@ -94,7 +94,7 @@
         let choice = self.choice;
         let stream = Stream {
             shared: self.shared,
-            force: self.force,
+            active: self.active,
             call: self.call,
             version: choice.version,
             format: self.format,
@@ -106,14 +106,14 @@
     async fn reply_complete(self, answer: Answer, spent: Spent) -> Reply {
         let Self {
             shared,
-            force,
+            active,
             call,
             choice,
             format,
             ..
         } = &self;
         let cost =
-            billing::completion(shared, force, call, choice.version, answer.usage, spent).await;
+            billing::completion(shared, active, call, choice.version, answer.usage, spent).await;
         let labels = self.labels();
         let reply = if format.is_streamed {
             let body = stream::held(&answer, *format, &labels.request, &labels.version, cost);
@@ -152,7 +152,7 @@
         Labels {
             request: self.call.request.clone(),
             version: self
-                .force
+                .active
                 .names
                 .versions
                 .name(self.choice.version)
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -59,7 +59,7 @@
         let message = "this instance is shutting down; not run";
         return Err(Refusal::new(Kind::Unavailable, message));
     }
-    if !shared.is_able() {
+    if !shared.is_initialized() {
         let message = "this instance is starting; not run";
         return Err(Refusal::new(Kind::Unavailable, message));
     }
--- a/crates/node/src/callers/models.rs
+++ b/crates/node/src/callers/models.rs
@@ -10,22 +10,22 @@
 
 /// Answers with models, versions and classes of work.
 pub fn answer(shared: &Shared, call: &Call) -> Reply {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let mut ids = BTreeSet::new();
-    if let Some(organisation) = force.catalog.organisations.get(call.organisation) {
+    if let Some(organisation) = active.catalog.organisations.get(call.organisation) {
         for version in &organisation.allowed {
-            ids.insert(force.names.versions.name(*version).to_string());
-            let model = force.catalog.versions[*version].model;
-            ids.insert(force.names.models.name(model).to_string());
+            ids.insert(active.names.versions.name(*version).to_string());
+            let model = active.catalog.versions[*version].model;
+            ids.insert(active.names.models.name(model).to_string());
         }
-        for (class, entry) in &force.catalog.classes {
+        for (class, entry) in &active.catalog.classes {
             let usable = organisation.allowed.iter().any(|version| {
                 entry
                     .models
-                    .contains(&force.catalog.versions[*version].model)
+                    .contains(&active.catalog.versions[*version].model)
             });
             if usable {
-                ids.insert(format!("auto:{}", force.names.classes.name(class)));
+                ids.insert(format!("auto:{}", active.names.classes.name(class)));
             }
         }
     }
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -10,13 +10,13 @@
 use fescuerack_wire::chat::{Completion, Usage};
 
 use super::collect::Answer;
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::versions::ratings;
 
 /// Observes the answer of one version.
 pub struct Observer {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     version: key::Version,
     class: Option<key::Class>,
     start: Instant,
@@ -27,14 +27,14 @@
     /// Starts to observe; an answer that is rated anyway is not sampled again.
     pub fn new(
         shared: &Arc<Shared>,
-        force: &Arc<Force>,
+        active: &Arc<ActiveConfiguration>,
         version: key::Version,
         class: Option<key::Class>,
         is_judged: bool,
     ) -> Self {
         let mut observer = Self {
             shared: Arc::clone(shared),
-            force: Arc::clone(force),
+            active: Arc::clone(active),
             version,
             class,
             start: shared.now(),
@@ -49,13 +49,13 @@
     /// All answers of a candidate are rated as far as the service keeps up,
     /// and a share of the others.
     fn is_sampled(&self) -> bool {
-        let model = self.force.catalog.versions[self.version].model;
+        let model = self.active.catalog.versions[self.version].model;
         let versions = &self.shared.versions;
         if versions.is_candidate(model, self.version) {
-            return ratings::try_acquire(&self.shared, &self.force, Purpose::Candidate);
+            return ratings::try_acquire(&self.shared, &self.active, Purpose::Candidate);
         }
-        self.shared.dice() < self.force.catalog.limit(ratings::SAMPLING_SHARE)
-            && ratings::try_acquire(&self.shared, &self.force, Purpose::Sample)
+        self.shared.random_fraction() < self.active.catalog.limit(ratings::SAMPLING_SHARE)
+            && ratings::try_acquire(&self.shared, &self.active, Purpose::Sample)
     }
 
     /// Notes that the first token has come.
@@ -63,7 +63,7 @@
         let now = self.shared.now();
         let class = self
             .class
-            .and_then(|class| self.force.catalog.classes.get(class));
+            .and_then(|class| self.active.catalog.classes.get(class));
         let late = class.is_some_and(|class| now > self.start.plus_millis(class.first_token_ms));
         let event = Event::Answered { late };
         lock(&self.shared.versions.rollouts).observe(now, self.version, event);
--- a/crates/node/src/callers/plan_runner.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -25,7 +25,7 @@
 use super::observer::Observer;
 use super::request::Call;
 use crate::admission::Meter;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 use crate::versions::ratings;
 
 /// Milliseconds for which a request waits when no plan's pool has a server.
@@ -40,7 +40,7 @@
     /// State of the process.
     pub shared: &'a Arc<Shared>,
     /// Configuration under which the request runs.
-    pub force: &'a Arc<Force>,
+    pub active: &'a Arc<ActiveConfiguration>,
     /// The request.
     pub call: &'a Call,
     /// What was chosen for it.
@@ -143,7 +143,7 @@
             None => "cascade.not_judged",
         });
         let mut spent = Spent::default();
-        spent.add(self.force, first, answer.usage);
+        spent.add(self.active, first, answer.usage);
         match self.direct(second, spent).await {
             // Better below the target than no answer, if that is their word.
             Err(_) if self.may_miss() => Ok(whole(first, answer)),
@@ -154,7 +154,7 @@
     }
 
     fn may_miss(&self) -> bool {
-        let organisations = &self.force.catalog.organisations;
+        let organisations = &self.active.catalog.organisations;
         let entry = organisations.get(self.call.organisation);
         entry.is_some_and(|entry| entry.below_target)
     }
@@ -177,7 +177,7 @@
     /// Asks for the rating of an answer; `None` when none came in time.
     async fn judge(&self, version: key::Version, answer: &Answer) -> Option<f64> {
         let class = self.choice.class?;
-        if !ratings::try_acquire(self.shared, self.force, Purpose::Cascade) {
+        if !ratings::try_acquire(self.shared, self.active, Purpose::Cascade) {
             self.shared.metrics.count("ratings.over_rate");
             return None;
         }
@@ -195,7 +195,7 @@
 
     fn observer(&self, version: key::Version, is_judged: bool) -> Observer {
         let class = self.choice.class;
-        Observer::new(self.shared, self.force, version, class, is_judged)
+        Observer::new(self.shared, self.active, version, class, is_judged)
     }
 
     fn attempts(&self, version: key::Version) -> AttemptRunner {
@@ -203,11 +203,11 @@
             version,
             path: Endpoint::new(&self.call.path).path(),
             priority: self.choice.priority,
-            fingerprint: fingerprint(self.force, self.call),
-            body: body(self.force, version, self.asked),
+            fingerprint: fingerprint(self.active, self.call),
+            body: body(self.active, version, self.asked),
             deadline: self.call.deadline,
         };
-        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.force), work)
+        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.active), work)
             .with_meter(self.meter.clone())
     }
 }
@@ -223,18 +223,18 @@
 /// Returns the body for the engine: always a stream with its usage, so that an
 /// attempt can be cancelled, its first token is seen as soon as it exists, and
 /// it can be billed.
-fn body(force: &Force, version: key::Version, asked: &chat::Request) -> Bytes {
+fn body(active: &ActiveConfiguration, version: key::Version, asked: &chat::Request) -> Bytes {
     let mut rest = asked.rest.clone();
     ask_for_usage(&mut rest);
     let request = chat::Request {
-        model: force.names.versions.name(version).to_string(),
+        model: active.names.versions.name(version).to_string(),
         stream: true,
         rest,
     };
     Bytes::from(serde_json::to_vec(&request).expect("wire messages have only plain fields"))
 }
 
-fn fingerprint(force: &Force, call: &Call) -> Fingerprint {
-    let organisation = force.names.organisations.name(call.organisation);
+fn fingerprint(active: &ActiveConfiguration, call: &Call) -> Fingerprint {
+    let organisation = active.names.organisations.name(call.organisation);
     Fingerprint::new(organisation, &call.body)
 }
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -133,7 +133,12 @@
             Refusal::new(Kind::Unauthorized, "present a key as Authorization: Bearer")
         })?;
     let digest = folder::digest(presented.as_bytes());
-    let organisation = shared.force().catalog.callers.get(&digest).copied();
+    let organisation = shared
+        .active_configuration()
+        .catalog
+        .callers
+        .get(&digest)
+        .copied();
     organisation
         .ok_or_else(|| Refusal::new(Kind::Unauthorized, "the key belongs to no organisation"))
 }
--- a/crates/node/src/callers/service.rs
+++ b/crates/node/src/callers/service.rs
@@ -14,7 +14,7 @@
 use super::request::Call;
 use super::{admit, billing};
 use crate::claims;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 
 /// Attempts that one call may make; more than one only while it surely has
 /// not run, or when it is idempotent.
@@ -26,7 +26,7 @@
 /// A call of a service.
 struct Job {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     call: Call,
     service: Service,
     name: String,
@@ -42,13 +42,13 @@
 /// Answers a call; `rest` is `<service>/<path>`.
 pub async fn answer(shared: Arc<Shared>, call: Call, rest: &str) -> Reply {
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-    let force = shared.force();
-    let allowed = force
+    let active = shared.active_configuration();
+    let allowed = active
         .catalog
         .organisations
         .get(call.organisation)
         .is_some_and(|organisation| organisation.services.contains(name));
-    let service = force.catalog.services.get(name).filter(|_| allowed);
+    let service = active.catalog.services.get(name).filter(|_| allowed);
     let Some(service) = service.cloned() else {
         return not_run_error(
             Kind::Forbidden,
@@ -70,7 +70,7 @@
         name: name.to_owned(),
         path,
         shared,
-        force,
+        active,
         call,
         service,
     };
@@ -115,7 +115,7 @@
     }
 
     fn claim_name(&self, key: &str) -> Name {
-        let organisation = self.force.names.organisations.name(self.call.organisation);
+        let organisation = self.active.names.organisations.name(self.call.organisation);
         let request = [
             self.call.method.as_bytes(),
             b" ",
@@ -170,7 +170,7 @@
             let agent = if self.service.idempotent {
                 &self.shared.upstream
             } else {
-                &self.shared.once
+                &self.shared.single_use_upstream
             };
             let result = service::call(agent, &call, remaining);
             let end = match &result {
@@ -178,10 +178,10 @@
                 Err(Fault::NotSent(_) | Fault::Refused { .. }) => AttemptOutcome::NotRun,
                 Err(Fault::Unknown(_) | Fault::Malformed(_)) => AttemptOutcome::Unknown,
             };
-            running.called(&result);
+            running.record_service_result(&result);
             let next = attempts.end(self.shared.now(), end, false);
             let next = match next {
-                Next::Retry if end != AttemptOutcome::NotRun && !running.may_retry() => {
+                Next::Retry if end != AttemptOutcome::NotRun && !running.try_take_retry() => {
                     Next::Stop(attempts.outcome())
                 }
                 next => next,
@@ -222,7 +222,7 @@
     /// under the same identity: the instance that ran the call may have been
     /// killed before its entry was kept, and a reader drops doubles.
     fn done(&self, answer: claim::Answer, bill: String) -> Reply {
-        let billing = billing::call(&self.shared, &self.force, &self.call, &self.name, bill);
+        let billing = billing::call(&self.shared, &self.active, &self.call, &self.name, bill);
         self.shared.runtime.block_on(billing);
         let reply = buffered_reply(answer.status, "application/json", answer.body);
         let reply = match answer.content_type {
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -20,14 +20,14 @@
 use super::stream_body::{Sender, StreamBody};
 use super::upstream::Events;
 use crate::admission::Permit;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 
 /// A stream on its way to the caller.
 pub struct Stream {
     /// State of the process.
     pub shared: Arc<Shared>,
     /// Configuration under which the request runs.
-    pub force: Arc<Force>,
+    pub active: Arc<ActiveConfiguration>,
     /// The request.
     pub call: Call,
     /// Version that answers.
@@ -104,7 +104,7 @@
         observer.read(&part);
         if let Some(usage) = part.usage.filter(|_| self.format.has_usage) {
             let mut spent = self.spent;
-            spent.add(&self.force, self.version, usage);
+            spent.add(&self.active, self.version, usage);
             part.cost_micro_euro = Some(spent.cost());
         } else if part.choices.is_empty() {
             return;
@@ -112,7 +112,7 @@
             part.usage = None;
         }
         part.id.clone_from(&self.call.request);
-        part.model = self.force.names.versions.name(self.version).to_string();
+        part.model = self.active.names.versions.name(self.version).to_string();
         lines.extend_from_slice(&event(&part));
     }
 
@@ -137,11 +137,11 @@
     async fn bill(&self, usage: Usage) {
         let Self {
             shared,
-            force,
+            active,
             call,
             ..
         } = self;
-        billing::completion(shared, force, call, self.version, usage, self.spent).await;
+        billing::completion(shared, active, call, self.version, usage, self.spent).await;
     }
 
     /// Ends a stream whose answer is not whole: with a typed error, then by
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -22,7 +22,7 @@
 
 use super::attempts::AttemptSpec;
 use crate::admission::Meter;
-use crate::running::Running;
+use crate::in_flight::InFlight;
 use crate::shared::Shared;
 use crate::versions::suspects;
 
@@ -58,7 +58,7 @@
 }
 
 /// Starts an attempt.
-pub fn start(shared: &Arc<Shared>, running: Running, work: AttemptSpec, meter: Meter) -> Events {
+pub fn start(shared: &Arc<Shared>, running: InFlight, work: AttemptSpec, meter: Meter) -> Events {
     let (sender, receiver) = mpsc::channel(BUFFER);
     let attempt = Attempt {
         address: running.address.clone(),
@@ -163,7 +163,7 @@
     attempt: Attempt,
     deadline: Instant,
     sender: mpsc::Sender<Result<Event, Fault>>,
-    running: Running,
+    running: InFlight,
     meter: Meter,
     watched: suspects::Attempt,
 }
@@ -187,13 +187,13 @@
                 }
                 Ok(Event::End) => {
                     suspects::record_end(&self.shared, &self.watched, Ok(()));
-                    self.running.ended_well();
+                    self.running.record_success();
                     self.meter.whole();
                     let _ = self.sender.blocking_send(Ok(Event::End));
                     return stream.finish();
                 }
                 Ok(part) => {
-                    self.running.answered();
+                    self.running.record_part();
                     self.meter.part(self.shared.now());
                     let _ = self.sender.blocking_send(Ok(part));
                 }
@@ -247,7 +247,7 @@
         let fault = failure.into();
         // Before the request hears of it and tries again.
         suspects::record_end(&self.shared, &self.watched, Err(&fault));
-        self.running.failed(&fault);
+        self.running.record_failure(&fault);
         self.note(&fault);
         let _ = self.sender.blocking_send(Err(fault));
     }
--- a/crates/node/src/running.rs
+++ b/crates/node/src/in_flight.rs
@@ -15,7 +15,7 @@
 pub const LEAVING: &str = "leaving";
 
 /// An attempt that runs on a backend server; dropping it ends the count.
-pub struct Running {
+pub struct InFlight {
     shared: Arc<Shared>,
     /// The server.
     pub server: key::Server,
@@ -27,7 +27,7 @@
     work: u32,
     clear: bool,
     answered: bool,
-    ended: Outcome,
+    outcome: Outcome,
 }
 
 impl Shared {
@@ -38,7 +38,7 @@
         self: &Arc<Self>,
         fleets: &[key::Fleet],
         avoid: &BTreeSet<key::Server>,
-    ) -> Option<Running> {
+    ) -> Option<InFlight> {
         let ask = Request {
             fleets,
             avoid,
@@ -47,12 +47,12 @@
             prefix: None,
             adapter: None,
         };
-        self.place_attempt(&ask)
+        self.start_attempt_with(&ask)
     }
 
     /// Chooses a backend server and counts an attempt on it.
     #[must_use]
-    pub fn place_attempt(self: &Arc<Self>, ask: &Request<'_>) -> Option<Running> {
+    pub fn start_attempt_with(self: &Arc<Self>, ask: &Request<'_>) -> Option<InFlight> {
         let now = self.now();
         let mut routes = lock(&self.routes);
         let server = routes.choose(now, ask, &mut *lock(&self.rng))?;
@@ -63,7 +63,7 @@
         if ask.avoid.is_empty() {
             lock(&self.pools).record_first_attempt(now, fleet);
         }
-        Some(Running {
+        Some(InFlight {
             shared: Arc::clone(self),
             server,
             fleet,
@@ -72,14 +72,14 @@
             work: ask.work,
             clear,
             answered: false,
-            ended: Outcome::Ignored,
+            outcome: Outcome::Ignored,
         })
     }
 }
 
-impl Running {
+impl InFlight {
     /// Records that a part of the answer came; only the first one counts.
-    pub fn answered(&mut self) {
+    pub fn record_part(&mut self) {
         if self.answered {
             return;
         }
@@ -90,13 +90,13 @@
     }
 
     /// Records that the answer is whole.
-    pub fn ended_well(&mut self) {
-        self.ended = Outcome::Success;
+    pub fn record_success(&mut self) {
+        self.outcome = Outcome::Success;
     }
 
     /// Records that the attempt failed.
-    pub fn failed(&mut self, fault: &Fault) {
-        self.ended = match fault {
+    pub fn record_failure(&mut self, fault: &Fault) {
+        self.outcome = match fault {
             Fault::Refused { message, .. } if message.trim() == LEAVING => {
                 lock(&self.shared.routes).mark_leaving(self.shared.now(), self.server);
                 Outcome::Ignored
@@ -111,31 +111,31 @@
     }
 
     /// Records how a call of a plain service ended.
-    pub fn called(&mut self, result: &Result<Answer, Fault>) {
+    pub fn record_service_result(&mut self, result: &Result<Answer, Fault>) {
         match result {
             Ok(answer) => {
-                self.answered();
-                self.ended = if answer.status < 500 {
+                self.record_part();
+                self.outcome = if answer.status < 500 {
                     Outcome::Success
                 } else {
                     Outcome::Failure
                 };
             }
-            Err(fault) => self.failed(fault),
+            Err(fault) => self.record_failure(fault),
         }
     }
 
     /// Takes a retry from the budget of the server's pool.
     #[must_use]
-    pub fn may_retry(&self) -> bool {
-        self.shared.may_retry(self.fleet)
+    pub fn try_take_retry(&self) -> bool {
+        self.shared.try_take_retry(self.fleet)
     }
 }
 
 impl Shared {
     /// Takes a retry from the budget of a pool.
     #[must_use]
-    pub fn may_retry(&self, fleet: key::Fleet) -> bool {
+    pub fn try_take_retry(&self, fleet: key::Fleet) -> bool {
         let may = lock(&self.pools).try_take_retry(self.now(), fleet);
         self.metrics.count(if may {
             "attempts.retried"
@@ -146,14 +146,14 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut routes = lock(&self.shared.routes);
-        routes.end_attempt(now, self.server, self.work, self.ended, self.answered);
+        routes.end_attempt(now, self.server, self.work, self.outcome, self.answered);
         drop(routes);
-        if self.ended != Outcome::Ignored {
-            let well = self.ended == Outcome::Success;
+        if self.outcome != Outcome::Ignored {
+            let well = self.outcome == Outcome::Success;
             lock(&self.shared.pools).record_result(now, self.fleet, well);
         }
     }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -15,7 +15,7 @@
 use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket};
 use tokio::sync::{Notify, watch};
 
-use crate::aid::{self, Ask, LARGEST_BATCH, Peer};
+use crate::peer_fallback::{self, MAX_BATCH_BYTES, Peer, Request};
 use crate::shared::{Shared, lock};
 use crate::stop::Stop;
 
@@ -34,7 +34,7 @@
 
 /// State of the ledger in one process.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Ledger {
     buffer: Mutex<Buffer>,
     added: Condvar,
     copy: Notify,
@@ -46,7 +46,7 @@
     is_late: AtomicBool,
 }
 
-impl Desk {
+impl Ledger {
     /// Creates an empty ledger of one start of a process.
     pub fn new(incarnation: &str) -> Self {
         Self {
@@ -68,7 +68,7 @@
     }
 
     /// Adds an entry that another instance may add too: that of a claim.
-    pub fn add_claimed(&self, entry: Entry) -> Ticket {
+    pub fn add_shared(&self, entry: Entry) -> Ticket {
         let ticket = lock(&self.buffer).add_shared(entry);
         self.wake();
         ticket
@@ -81,7 +81,7 @@
 
     /// Waits until an entry is safe, but not longer than `wait`; returns
     /// whether it is.
-    pub async fn safe(&self, ticket: Ticket, wait: Duration) -> bool {
+    pub async fn wait_durable(&self, ticket: Ticket, wait: Duration) -> bool {
         let mut safe = self.safe.subscribe();
         let waiting = safe.wait_for(|until| *until > ticket);
         matches!(tokio::time::timeout(wait, waiting).await, Ok(Ok(_)))
@@ -140,7 +140,7 @@
 }
 
 /// Keeps entries in the store until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
         shared.ledger.wait(IDLE);
         take_orphans(shared);
@@ -186,7 +186,7 @@
 }
 
 /// Copies entries that the store could not keep in time to a peer.
-pub async fn copy(shared: Arc<Shared>) {
+pub async fn run_copies(shared: Arc<Shared>) {
     let desk = &shared.ledger;
     loop {
         let waited = tokio::time::timeout(IDLE, desk.copy.notified()).await;
@@ -211,17 +211,17 @@
             // What an earlier one held may be gone with it.
             buffer.reset_copies();
         }
-        (buffer.offer(LARGEST_BATCH), buffer.stored_until())
+        (buffer.offer(MAX_BATCH_BYTES), buffer.stored_until())
     };
     if copies.is_empty() && keeper.is_none() {
         return false;
     }
-    let chosen = || Peer::new(&aid::keeper(shared)?).ok();
+    let chosen = || Peer::new(&peer_fallback::copy_holder(shared)?).ok();
     let Some(keeper) = keeper.or_else(chosen) else {
         return false;
     };
     let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
-    let hold = Ask::Hold(Hold {
+    let hold = Request::Hold(Hold {
         owner: shared.owner(),
         kept_until,
         copies,
@@ -267,12 +267,12 @@
 fn hand_off(shared: &Arc<Shared>) -> bool {
     let entries = lock(&shared.ledger.buffer).entries();
     let count = entries.len();
-    let Some(address) = aid::keeper(shared) else {
+    let Some(address) = peer_fallback::copy_holder(shared) else {
         return false;
     };
     for batch in batches(entries) {
-        let adopting = Ask::Adopt(batch);
-        let call = aid::ask::<bool>(shared, &address, &adopting);
+        let adopting = Request::Adopt(batch);
+        let call = peer_fallback::call::<bool>(shared, &address, &adopting);
         if !shared.runtime.block_on(call).unwrap_or(false) {
             // What it has taken is told by its identity if it is written twice.
             return false;
@@ -289,7 +289,7 @@
     let mut size = 0;
     for entry in entries {
         size += entry.size();
-        if size > LARGEST_BATCH {
+        if size > MAX_BATCH_BYTES {
             size = entry.size();
             batches.push(Vec::new());
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,19 +12,19 @@
 
 mod activation;
 mod admission;
-mod aid;
 mod callers;
 mod claims;
 mod clock;
 pub mod commands;
+mod in_flight;
 mod ledger;
 mod loads;
 mod metrics;
 mod node;
 mod operators;
 mod orders;
+mod peer_fallback;
 mod peers;
-mod running;
 mod servers;
 mod settings;
 mod shared;
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -47,8 +47,8 @@
 
 /// Returns the engine whose turn comes after `last`.
 fn after(shared: &Shared, last: Option<key::Server>) -> Option<(key::Server, String)> {
-    let force = shared.force();
-    let fleets = force.catalog.fleets.iter();
+    let active = shared.active_configuration();
+    let fleets = active.catalog.fleets.iter();
     let engines = fleets.filter(|(_, fleet)| fleet.kind == Kind::Engine);
     let routes = lock(&shared.routes);
     let mut servers: Vec<_> = engines
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -55,18 +55,18 @@
         let operators = operators::Port::new(&shared, runtime.handle())?;
         let (peers, peers_handle) = runtime.block_on(peers::serve(Arc::clone(&shared)))?;
         runtime.spawn(peers_handle.stopped());
-        runtime.spawn(peers::follow(Arc::clone(&shared)));
-        runtime.spawn(ledger::copy(Arc::clone(&shared)));
+        runtime.spawn(peers::run(Arc::clone(&shared)));
+        runtime.spawn(ledger::run_copies(Arc::clone(&shared)));
         let stop = Stop::new();
-        spawn("config", &shared, &stop, activation::follow)?;
+        spawn("config", &shared, &stop, activation::run)?;
         spawn("watch", &shared, &stop, activation::watch)?;
         spawn("servers", &shared, &stop, servers::run)?;
-        spawn("orders", &shared, &stop, orders::follow)?;
+        spawn("orders", &shared, &stop, orders::run)?;
         spawn("loads", &shared, &stop, loads::run)?;
         spawn("claims", &shared, &stop, claims::run)?;
         spawn("rollouts", &shared, &stop, versions::rollouts::run)?;
         spawn("ratings", &shared, &stop, versions::ratings::run)?;
-        let ledger = spawn("ledger", &shared, &stop, ledger::follow)?;
+        let ledger = spawn("ledger", &shared, &stop, ledger::run)?;
         log::info!(instance = shared.settings.instance; "started");
         Ok(Self {
             shared,
--- a/crates/node/src/operators/instances.rs
+++ b/crates/node/src/operators/instances.rs
@@ -17,7 +17,7 @@
         incarnation: shared.incarnation.clone(),
         ready: shared.is_ready(),
         draining: shared.draining.load(Ordering::SeqCst),
-        revision: shared.force().catalog.revision,
+        revision: shared.active_configuration().catalog.revision,
     }
 }
 
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -74,10 +74,10 @@
 }
 
 fn orders(shared: &Shared) -> BTreeMap<String, crate::orders::Summary> {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let orders = lock(&shared.orders);
     let named = orders.iter().map(|(fleet, summary)| {
-        let name = force.names.fleets.name(*fleet).to_string();
+        let name = active.names.fleets.name(*fleet).to_string();
         (name, summary.clone())
     });
     named.collect()
--- a/crates/node/src/operators/token.rs
+++ b/crates/node/src/operators/token.rs
@@ -28,11 +28,11 @@
     let Some(presented) = presented.and_then(|value| value.strip_prefix("Bearer ")) else {
         return refuse("present an operator's token as Authorization: Bearer");
     };
-    let force = shared.force();
+    let active = shared.active_configuration();
     let digest = folder::digest(presented.as_bytes());
-    match force.catalog.operators.get(&digest) {
+    match active.catalog.operators.get(&digest) {
         Some(operator) => Ok(Arc::clone(operator)),
-        None if force.catalog.operators.is_empty() => refuse(
+        None if active.catalog.operators.is_empty() => refuse(
             "no operator is configured here; the first configuration goes to the store itself \
              (fescuerack apply --store)",
         ),
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -18,7 +18,7 @@
 use fescuerack_core::route::State;
 use fescuerack_wire::order::{Action, Order};
 
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Time between two rounds.
@@ -33,7 +33,7 @@
 
 /// One fleet's orders at this instance.
 #[derive(Clone, Debug, Default)]
-pub struct Desk {
+pub struct FleetOrders {
     holder: LeaseHolder,
     grace: GracePeriod,
     /// Engine after which the next round goes on.
@@ -50,20 +50,20 @@
 }
 
 /// Gives orders until `stop` is set.
-pub fn follow(shared: &Arc<Shared>, stop: &Stop) {
-    let mut desks: BTreeMap<key::Fleet, Desk> = BTreeMap::new();
+pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+    let mut desks: BTreeMap<key::Fleet, FleetOrders> = BTreeMap::new();
     while !stop.wait(PERIOD) {
-        let force = shared.force();
-        let fleets = force.catalog.fleets.iter();
+        let active = shared.active_configuration();
+        let fleets = active.catalog.fleets.iter();
         for (fleet, _) in fleets.filter(|(_, fleet)| fleet.kind == Kind::Engine) {
             let desk = desks.entry(fleet).or_default();
-            if hold(shared, &force, fleet, desk) {
-                round(shared, &force, fleet, desk);
+            if hold(shared, &active, fleet, desk) {
+                round(shared, &active, fleet, desk);
             }
         }
         *lock(&shared.orders) = desks
             .iter()
-            .map(|(fleet, desk)| (*fleet, summary(shared, &force, desk)))
+            .map(|(fleet, desk)| (*fleet, summary(shared, &active, desk)))
             .collect();
     }
 }
@@ -76,10 +76,10 @@
     loaded: BTreeMap<String, usize>,
 }
 
-fn summary(shared: &Shared, force: &Force, desk: &Desk) -> Summary {
+fn summary(shared: &Shared, active: &ActiveConfiguration, desk: &FleetOrders) -> Summary {
     let mut loaded = BTreeMap::new();
     for version in desk.seen.values().flatten() {
-        let name = force.names.versions.name(*version).to_string();
+        let name = active.names.versions.name(*version).to_string();
         *loaded.entry(name).or_insert(0) += 1;
     }
     Summary {
@@ -90,7 +90,12 @@
 }
 
 /// Takes or renews the lease; returns whether it is held.
-fn hold(shared: &Shared, force: &Force, fleet: key::Fleet, desk: &mut Desk) -> bool {
+fn hold(
+    shared: &Shared,
+    active: &ActiveConfiguration,
+    fleet: key::Fleet,
+    desk: &mut FleetOrders,
+) -> bool {
     let now = shared.now();
     if let Some(lease) = desk.holder.renewal_due(now) {
         match shared.store.renew(lease) {
@@ -104,7 +109,7 @@
         return true;
     }
     desk.holder.clear();
-    let name = force.names.fleets.name(fleet);
+    let name = active.names.fleets.name(fleet);
     let ranks_first = {
         let member = lock(&shared.member);
         let key = format!("order/{name}");
@@ -117,7 +122,7 @@
     desk.holder.is_held(shared.now())
 }
 
-fn take(shared: &Shared, fleet: &str, desk: &mut Desk) -> Result<(), Fault> {
+fn take(shared: &Shared, fleet: &str, desk: &mut FleetOrders) -> Result<(), Fault> {
     let sent = shared.now();
     let lease = shared
         .store
@@ -136,12 +141,12 @@
 }
 
 /// Looks at some engines and orders what is missing.
-fn round(shared: &Shared, force: &Force, fleet: key::Fleet, desk: &mut Desk) {
+fn round(shared: &Shared, active: &ActiveConfiguration, fleet: key::Fleet, desk: &mut FleetOrders) {
     let targets = targets(shared, fleet);
     let known: BTreeSet<key::Server> = targets.iter().map(|target| target.server).collect();
     desk.seen.retain(|server, _| known.contains(server));
-    look(shared, force, &targets, desk);
-    let wanted: BTreeSet<key::Version> = force.catalog.fleets[fleet]
+    look(shared, active, &targets, desk);
+    let wanted: BTreeSet<key::Version> = active.catalog.fleets[fleet]
         .versions
         .iter()
         .copied()
@@ -159,21 +164,21 @@
         .flat_map(|engine| engine.loaded.difference(&wanted).copied())
         .collect();
     let unload = desk.grace.update(shared.now(), &idle);
-    let loads = loads(force);
-    let fences = force.catalog.fleets[fleet].fences;
+    let loads = loads(active);
+    let fences = active.catalog.fleets[fleet].fences;
     for plan in order::plan(&wanted, &unload, &engines, loads) {
         let Some(permit) = desk.holder.permit(shared.now(), fences) else {
             return;
         };
-        give(shared, force, &targets, permit, plan, desk);
+        give(shared, active, &targets, permit, plan, desk);
     }
 }
 
 /// Loads that one round may order: the weight store's rate is for all fleets.
-fn loads(force: &Force) -> usize {
-    let fleets = force.catalog.fleets.values();
+fn loads(active: &ActiveConfiguration) -> usize {
+    let fleets = active.catalog.fleets.values();
     let engines = fleets.filter(|fleet| fleet.kind == Kind::Engine).count();
-    let limit = fescuerack_core::num::whole(force.catalog.limit("orders.loads-per-second"));
+    let limit = fescuerack_core::num::whole(active.catalog.limit("orders.loads-per-second"));
     (limit / engines.max(1)).max(1)
 }
 
@@ -191,7 +196,7 @@
     targets
 }
 
-fn look(shared: &Shared, force: &Force, targets: &[Target], desk: &mut Desk) {
+fn look(shared: &Shared, active: &ActiveConfiguration, targets: &[Target], desk: &mut FleetOrders) {
     let start = targets.partition_point(|target| Some(target.server) <= desk.last);
     let turn = targets[start..].iter().chain(&targets[..start]).take(LOOK);
     for target in turn {
@@ -203,18 +208,18 @@
             continue;
         };
         let names = loaded.versions.iter();
-        let versions = names.filter_map(|name| force.names.versions.get(name));
+        let versions = names.filter_map(|name| active.names.versions.get(name));
         desk.seen.insert(target.server, versions.collect());
     }
 }
 
 fn give(
     shared: &Shared,
-    force: &Force,
+    active: &ActiveConfiguration,
     targets: &[Target],
     permit: Permit,
     plan: PlannedOrder,
-    desk: &mut Desk,
+    desk: &mut FleetOrders,
 ) {
     let (server, version, action) = match plan {
         PlannedOrder::Load(server, version) => (server, version, Action::Load),
@@ -226,7 +231,7 @@
     let order = Order {
         number: permit.fencing_token,
         action,
-        version: force.names.versions.name(version).to_string(),
+        version: active.names.versions.name(version).to_string(),
     };
     let now = shared.now();
     if !permit.is_valid(now) {
@@ -234,7 +239,12 @@
     }
     let within = permit.deadline.since(now).min(GIVE);
     // A connection of its own: one that was idle could hold the order back.
-    match fescuerack_client::order::give(&shared.once, &target.address, &order, within) {
+    match fescuerack_client::order::give(
+        &shared.single_use_upstream,
+        &target.address,
+        &order,
+        within,
+    ) {
         Ok(()) => {
             desk.given += 1;
             shared.metrics.count("orders.given");
--- a/crates/node/src/aid.rs
+++ b/crates/node/src/peer_fallback.rs
@@ -25,9 +25,9 @@
 use crate::shared::{Shared, lock};
 
 /// Largest answer, in bytes: one file of the configuration, as JSON text.
-pub const LARGEST_ANSWER: u32 = 4 << 20;
+pub const MAX_ANSWER_BYTES: u32 = 4 << 20;
 /// Bytes of entries that go into one call; the port takes 64 KB.
-pub const LARGEST_BATCH: usize = 32 << 10;
+pub const MAX_BATCH_BYTES: usize = 32 << 10;
 /// Time within which a peer must answer.
 const TIMEOUT: Duration = Duration::from_millis(500);
 /// Name of the JSON-RPC method.
@@ -38,7 +38,7 @@
 /// What one instance asks of another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ask {
+pub enum Request {
     /// The manifest in force; none when there is none.
     Manifest,
     /// The content of a file of the configuration in force, by its digest.
@@ -58,7 +58,7 @@
     module.register_method(METHOD, |params, shared, _| {
         let sealed: Sealed = params.one()?;
         let key = shared.settings.peer_key.as_bytes();
-        let ask: Ask = peer::open(key, &sealed).map_err(|refusal| {
+        let ask: Request = peer::open(key, &sealed).map_err(|refusal| {
             shared.metrics.count("aid.refused");
             ErrorObjectOwned::owned(REFUSED, refusal.to_string(), None::<()>)
         })?;
@@ -67,13 +67,13 @@
     Ok(())
 }
 
-fn answer(shared: &Shared, ask: Ask) -> Sealed {
+fn answer(shared: &Shared, ask: Request) -> Sealed {
     let key = shared.settings.peer_key.as_bytes();
     match ask {
-        Ask::Manifest => peer::seal(key, &shared.configuration.manifest()),
-        Ask::File(digest) => peer::seal(key, &shared.configuration.file(&digest)),
-        Ask::Hold(hold) => peer::seal(key, &shared.ledger.hold(shared, hold)),
-        Ask::Adopt(entries) => {
+        Request::Manifest => peer::seal(key, &shared.configuration.manifest()),
+        Request::File(digest) => peer::seal(key, &shared.configuration.file(&digest)),
+        Request::Hold(hold) => peer::seal(key, &shared.ledger.hold(shared, hold)),
+        Request::Adopt(entries) => {
             let takes = !shared.leaving.load(Ordering::SeqCst) && shared.ledger.adopt(entries);
             peer::seal(key, &takes)
         }
@@ -95,7 +95,7 @@
     pub fn new(address: &str) -> Result<Self> {
         let client = HttpClientBuilder::default()
             .request_timeout(TIMEOUT)
-            .max_response_size(LARGEST_ANSWER)
+            .max_response_size(MAX_ANSWER_BYTES)
             .build(format!("http://{address}"))?;
         Ok(Self { client })
     }
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// When there is no usable answer; the peer may have done what was asked.
-    pub async fn ask<R: DeserializeOwned>(&self, shared: &Shared, ask: &Ask) -> Result<R> {
+    pub async fn ask<R: DeserializeOwned>(&self, shared: &Shared, ask: &Request) -> Result<R> {
         let key = shared.settings.peer_key.as_bytes();
         let parameters = rpc_params![peer::seal(key, ask)];
         let sealed: Sealed = self.client.request(METHOD, parameters).await?;
@@ -118,13 +118,13 @@
 /// # Errors
 ///
 /// When there is no usable answer; the peer may have done what was asked.
-pub async fn ask<R: DeserializeOwned>(shared: &Shared, address: &str, ask: &Ask) -> Result<R> {
+pub async fn call<R: DeserializeOwned>(shared: &Shared, address: &str, ask: &Request) -> Result<R> {
     Peer::new(address)?.ask(shared, ask).await
 }
 
 /// Returns the addresses of at most `most` random instances that are live.
-pub fn some(shared: &Shared, most: usize) -> Vec<String> {
-    let mut others = others(shared);
+pub fn random_peers(shared: &Shared, most: usize) -> Vec<String> {
+    let mut others = live_peers(shared);
     others.sort_by_cached_key(|_| shared.random());
     let addresses = others.into_iter().map(|(_, address)| address);
     addresses.take(most).collect()
@@ -132,15 +132,15 @@
 
 /// Returns the address of a random live instance, in another availability zone
 /// if there is one, which is to hold copies of the ledger.
-pub fn keeper(shared: &Shared) -> Option<String> {
+pub fn copy_holder(shared: &Shared) -> Option<String> {
     let own = &shared.settings.zone;
-    let mut others = others(shared);
+    let mut others = live_peers(shared);
     others.sort_by_cached_key(|(zone, _)| (zone == own, shared.random()));
     others.into_iter().next().map(|(_, address)| address)
 }
 
 /// Returns zone and address of every live instance but the own one.
-fn others(shared: &Shared) -> Vec<(String, String)> {
+fn live_peers(shared: &Shared) -> Vec<(String, String)> {
     let now = shared.now();
     let member = lock(&shared.member);
     let view = &member.view;
@@ -150,7 +150,7 @@
 }
 
 /// Returns how many instances share the store's rate.
-pub fn fleet(shared: &Shared) -> u32 {
+pub fn fleet_size(shared: &Shared) -> u32 {
     let size = lock(&shared.member).view.size();
     u32::try_from(size).unwrap_or(u32::MAX)
 }
@@ -160,8 +160,8 @@
 /// # Errors
 ///
 /// When the peer does not give it.
-pub async fn file(shared: &Shared, address: &str, digest: &str) -> Result<String> {
-    let file: Option<String> = ask(shared, address, &Ask::File(digest.to_owned())).await?;
+pub async fn fetch_file(shared: &Shared, address: &str, digest: &str) -> Result<String> {
+    let file: Option<String> = call(shared, address, &Request::File(digest.to_owned())).await?;
     let file = file.context("the peer does not have the file")?;
     if file.len() > MAX_VALUE_BYTES {
         bail!("the peer's file is larger than the store holds");
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -19,8 +19,8 @@
 use jsonrpsee::types::ErrorObjectOwned;
 use jsonrpsee::{RpcModule, rpc_params};
 
-use crate::aid;
 use crate::clock;
+use crate::peer_fallback;
 use crate::shared::{Shared, lock};
 use crate::versions;
 
@@ -42,7 +42,7 @@
     let listen = shared.settings.listen.peers.clone();
     let config = jsonrpsee::server::ServerConfig::builder()
         .max_request_body_size(LARGEST)
-        .max_response_body_size(aid::LARGEST_ANSWER)
+        .max_response_body_size(peer_fallback::MAX_ANSWER_BYTES)
         .build();
     let server = ServerBuilder::with_config(config)
         .build(&listen)
@@ -58,12 +58,12 @@
             ErrorObjectOwned::owned(REFUSED, reason, None::<()>)
         })
     })?;
-    aid::register(&mut module)?;
+    peer_fallback::register(&mut module)?;
     Ok((address, server.start(module)))
 }
 
 /// Begins an exchange every period, and at once when something must be told.
-pub async fn follow(shared: Arc<Shared>) {
+pub async fn run(shared: Arc<Shared>) {
     let period = Duration::from_millis(Exchange::PERIOD_MS);
     loop {
         let woken = tokio::time::timeout(period, shared.wake.notified()).await;
@@ -124,7 +124,7 @@
 /// Returns whether servers leave of which peers were not told yet.
 fn tell_leaving(shared: &Shared, digest: &Digest) -> bool {
     let leaving: BTreeSet<String> = digest.words.leaving.keys().cloned().collect();
-    let mut told = lock(&shared.told_leaving);
+    let mut told = lock(&shared.announced_leaving);
     let news = !leaving.is_subset(&told);
     *told = leaving;
     news
@@ -139,30 +139,30 @@
 
 /// Collects what the slices tell their peers.
 fn digest(shared: &Shared) -> Digest {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let now = shared.now();
     Digest {
-        rates: lock(&shared.rates).digest(&force.names, now),
-        pools: lock(&shared.pools).digest(&force.names, now),
+        rates: lock(&shared.rates).digest(&active.names, now),
+        pools: lock(&shared.pools).digest(&active.names, now),
         words: lock(&shared.routes).digest(now),
         rollouts: lock(&shared.versions.rollouts).digest(),
-        quality: lock(&shared.versions.learner).digest(&force.names),
+        quality: lock(&shared.versions.learner).digest(&active.names),
         suspects: lock(&shared.versions.suspects).digest(now),
     }
 }
 
 fn merge(shared: &Shared, from: &str, digest: &Digest) {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let now = shared.now();
-    lock(&shared.rates).merge(&force.names, now, from, &digest.rates);
-    lock(&shared.pools).merge(&force.names, now, from, &digest.pools);
+    lock(&shared.rates).merge(&active.names, now, from, &digest.rates);
+    lock(&shared.pools).merge(&active.names, now, from, &digest.pools);
     lock(&shared.routes).merge(now, &digest.words);
-    versions::merge_digest(shared, &force, digest);
+    versions::merge_digest(shared, &active, digest);
 }
 
 /// Hands to the slices what a peer told.
 fn take_in(shared: &Shared, input: Payload) {
-    shared.configuration.hear(input.revision);
+    shared.configuration.record_peer_revision(input.revision);
     let states: peer::Shared = peer::from_slices(input.states);
     versions::merge_rollout_records(shared, &states.rollouts);
     let digest: Digest = peer::from_slices(input.digests);
@@ -188,13 +188,13 @@
     let input = input.map_err(|refusal| refusal.to_string())?;
     take_in(shared, input);
     shared.metrics.count("peers.answered");
-    let revision = shared.force().catalog.revision;
+    let revision = shared.active_configuration().catalog.revision;
     let message = lock(&shared.member).answer(time, revision, about, &hashes);
     Ok(peer::seal(key, &message))
 }
 
 async fn exchange(shared: &Arc<Shared>) {
-    let revision = shared.force().catalog.revision;
+    let revision = shared.active_configuration().catalog.revision;
     let begun = shared.with_rng(|rng| lock(&shared.member).begin(time(shared), revision, rng));
     let Some((partner, message)) = begun else {
         return;
@@ -260,7 +260,7 @@
 }
 
 async fn revision(shared: &Shared, address: &str) -> Option<u64> {
-    let own = shared.force().catalog.revision;
+    let own = shared.active_configuration().catalog.revision;
     let message = lock(&shared.member).begin_with(time(shared), own);
     let sequence = message.sequence;
     let answer = ask(shared, address, &message).await.ok()?;
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -14,7 +14,7 @@
 
 use crate::admission;
 use crate::peers;
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Time between two readings of the list.
@@ -39,7 +39,7 @@
 }
 
 fn take_over(shared: &Shared, list: Instances) {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let mut listed = Vec::new();
     let mut peers = Vec::new();
     for instance in list.instances {
@@ -53,31 +53,31 @@
                 names.fleets.intern(&instance.fleet),
             )
         });
-        listed.push((key, server(instance, fleet, &force)));
+        listed.push((key, server(instance, fleet, &active)));
     }
     peers.sort_by(|a, b| a.id.cmp(&b.id));
-    let place = place(shared, &force, &peers);
+    let place = place(shared, &active, &peers);
     let mut routes = lock(&shared.routes);
     routes.set_position(place);
     routes.apply_list(shared.now(), listed);
     drop(routes);
     peers::observe(shared, &peers);
-    shared.listed.store(true, Ordering::SeqCst);
+    shared.has_server_list.store(true, Ordering::SeqCst);
 }
 
 /// Place of this process among all: by name, so that all agree.
-fn place(shared: &Shared, force: &Force, peers: &[Instance]) -> Position {
+fn place(shared: &Shared, active: &ActiveConfiguration, peers: &[Instance]) -> Position {
     let own = &shared.settings.instance;
     let before = peers.iter().filter(|peer| peer.id < *own);
     Position {
         index: before.count(),
         instances: peers.len().max(1),
-        size: num::whole(force.catalog.limit("route.subset")),
+        size: num::whole(active.catalog.limit("route.subset")),
     }
 }
 
-fn server(instance: Instance, key: key::Fleet, force: &Force) -> Listed {
-    let fleet = force.catalog.fleets.get(key);
+fn server(instance: Instance, key: key::Fleet, active: &ActiveConfiguration) -> Listed {
+    let fleet = active.catalog.fleets.get(key);
     let retired = fleet.is_some_and(|fleet| fleet.retired.contains(&instance.id));
     Listed {
         id: instance.id,
@@ -95,8 +95,8 @@
 
 /// Lets the decisions under load take note of time and configuration.
 fn tick(shared: &Shared) {
-    let force = shared.force();
-    let catalog = &force.catalog;
+    let active = shared.active_configuration();
+    let catalog = &active.catalog;
     let now = shared.now();
     let places = shared.settings.limits.concurrency;
     shared
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -25,7 +25,7 @@
 
 /// The configuration in force, with the names of its keys.
 #[derive(Clone, Debug, Default)]
-pub struct Force {
+pub struct ActiveConfiguration {
     /// The compiled configuration.
     pub catalog: Catalog,
     /// Names at the time of compilation.
@@ -55,7 +55,7 @@
     /// Connections to backend servers.
     pub upstream: Agent,
     /// Connections that carry one non-idempotent call each.
-    pub once: Agent,
+    pub single_use_upstream: Agent,
     /// What is let in.
     pub gate: Gate,
     /// Backend servers.
@@ -69,26 +69,26 @@
     /// Names; the only writer is [`Shared::names`].
     names: Mutex<Names>,
     /// Entries that are to be kept.
-    pub ledger: ledger::Desk,
+    pub ledger: ledger::Ledger,
     /// Claims of non-idempotent requests.
     pub claims: claims::Queue,
     /// Where the configuration in force comes from.
-    pub configuration: activation::Desk,
+    pub configuration: activation::State,
     /// Other instances and the soft state that is shared with them.
     pub member: Mutex<member::Exchange>,
     /// Servers of which peers were told that they leave.
-    pub told_leaving: Mutex<BTreeSet<String>>,
+    pub announced_leaving: Mutex<BTreeSet<String>>,
     /// What this process orders, by fleet.
     pub orders: Mutex<BTreeMap<key::Fleet, orders::Summary>>,
     /// Wakes the exchange with other instances.
     pub wake: tokio::sync::Notify,
     /// Whether the instance list has been read since the start.
-    pub listed: AtomicBool,
+    pub has_server_list: AtomicBool,
     /// Whether the process has begun to shut down.
     pub leaving: AtomicBool,
     /// Whether new requests are refused.
     pub draining: AtomicBool,
-    force: RwLock<Arc<Force>>,
+    active: RwLock<Arc<ActiveConfiguration>>,
     /// Randomness of decisions.
     pub rng: Mutex<Pcg64Mcg>,
 }
@@ -114,9 +114,9 @@
         let store = HttpStore::new(&settings.platform);
         Ok(Self {
             versions: Versions::new(&incarnation, &settings.platform),
-            ledger: ledger::Desk::new(&incarnation),
+            ledger: ledger::Ledger::new(&incarnation),
             claims: claims::Queue::default(),
-            configuration: activation::Desk::default(),
+            configuration: activation::State::default(),
             incarnation,
             clock: Clock::new(),
             wall: Wall::new(),
@@ -129,7 +129,7 @@
             // A connection that was idle may be closed by the other side while
             // a request is being written, and its outcome would be unknown: a
             // call that must not be repeated gets a connection of its own.
-            once: agent(0),
+            single_use_upstream: agent(0),
             gate: Gate::new(settings.limits.concurrency, rng.random()),
             routes: Mutex::new(route::Table::new(&settings.zone)),
             rates: Mutex::new(RateLimits::new()),
@@ -137,12 +137,12 @@
             names: Mutex::new(Names::new()),
             member: Mutex::new(member::Exchange::new(identity(&settings))),
             orders: Mutex::new(BTreeMap::new()),
-            told_leaving: Mutex::new(BTreeSet::new()),
+            announced_leaving: Mutex::new(BTreeSet::new()),
             wake: tokio::sync::Notify::new(),
-            listed: AtomicBool::new(false),
+            has_server_list: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             draining: AtomicBool::new(false),
-            force: RwLock::new(Arc::new(Force::default())),
+            active: RwLock::new(Arc::new(ActiveConfiguration::default())),
             rng: Mutex::new(rng),
             settings,
         })
@@ -156,34 +156,35 @@
 
     /// Returns the configuration in force.
     #[must_use]
-    pub fn force(&self) -> Arc<Force> {
-        Arc::clone(&self.force.read().unwrap_or_else(PoisonError::into_inner))
+    pub fn active_configuration(&self) -> Arc<ActiveConfiguration> {
+        Arc::clone(&self.active.read().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Puts a configuration in force unless it is older than the present one.
     ///
     /// Returns whether it is in force. An older one may arrive late; taking it
     /// would let an accepted configuration revert.
-    pub fn put_in_force(&self, force: Force) -> bool {
-        let mut current = self.force.write().unwrap_or_else(PoisonError::into_inner);
-        if force.catalog.revision <= current.catalog.revision {
+    pub fn activate(&self, active: ActiveConfiguration) -> bool {
+        let mut current = self.active.write().unwrap_or_else(PoisonError::into_inner);
+        if active.catalog.revision <= current.catalog.revision {
             return false;
         }
-        *current = Arc::new(force);
+        *current = Arc::new(active);
         true
     }
 
     /// Returns whether the process can answer requests: it has a configuration
     /// and knows backend servers.
     #[must_use]
-    pub fn is_able(&self) -> bool {
-        self.force().catalog.revision > 0 && self.listed.load(Ordering::SeqCst)
+    pub fn is_initialized(&self) -> bool {
+        self.active_configuration().catalog.revision > 0
+            && self.has_server_list.load(Ordering::SeqCst)
     }
 
     /// Returns whether the balancer may send callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.is_able() && !self.leaving.load(Ordering::SeqCst)
+        self.is_initialized() && !self.leaving.load(Ordering::SeqCst)
     }
 
     /// Changes the names of the process.
@@ -204,7 +205,7 @@
 
     /// Returns a random number from 0 to 1.
     #[must_use]
-    pub fn dice(&self) -> f64 {
+    pub fn random_fraction(&self) -> f64 {
         lock(&self.rng).random()
     }
 
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -17,7 +17,7 @@
 use fescuerack_core::{cascade, rollout};
 use serde_json::json;
 
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 
 /// State from which versions are chosen.
 pub struct Versions {
@@ -50,26 +50,26 @@
     /// Applies the active configuration if it is newer than the applied one.
     /// Every choice of a version calls this first: with an unconfigured registry
     /// a candidate would look like an ordinary version.
-    pub fn configure(&self, now: Instant, force: &Force) {
-        let revision = force.catalog.revision;
+    pub fn configure(&self, now: Instant, active: &ActiveConfiguration) {
+        let revision = active.catalog.revision;
         if self.configured.load(Ordering::Acquire) >= revision {
             return;
         }
         let mut registry = lock(&self.rollouts);
         if self.configured.load(Ordering::Acquire) < revision {
-            registry.configure(now, &force.catalog, &force.names);
+            registry.configure(now, &active.catalog, &active.names);
             self.configured.store(revision, Ordering::Release);
         }
     }
 
     /// Applies the active configuration again, so that newly received halts and
     /// steps take effect.
-    pub fn reconfigure(&self, now: Instant, force: &Force) {
+    pub fn reconfigure(&self, now: Instant, active: &ActiveConfiguration) {
         let mut registry = lock(&self.rollouts);
-        if self.configured.load(Ordering::Acquire) <= force.catalog.revision {
-            registry.configure(now, &force.catalog, &force.names);
+        if self.configured.load(Ordering::Acquire) <= active.catalog.revision {
+            registry.configure(now, &active.catalog, &active.names);
             self.configured
-                .store(force.catalog.revision, Ordering::Release);
+                .store(active.catalog.revision, Ordering::Release);
         }
     }
 
@@ -100,28 +100,34 @@
     }
     drop(registry);
     if has_changed {
-        shared.versions.reconfigure(now, &shared.force());
+        shared
+            .versions
+            .reconfigure(now, &shared.active_configuration());
     }
 }
 
 /// Merges the counts, quality and suspicions of a peer's digest.
-pub fn merge_digest(shared: &Shared, force: &Force, digest: &fescuerack_wire::peer::Digest) {
+pub fn merge_digest(
+    shared: &Shared,
+    active: &ActiveConfiguration,
+    digest: &fescuerack_wire::peer::Digest,
+) {
     let versions = &shared.versions;
     let now = shared.now();
     lock(&versions.rollouts).merge(now, &digest.rollouts);
-    lock(&versions.learner).merge(&force.catalog, &force.names, &digest.quality);
+    lock(&versions.learner).merge(&active.catalog, &active.names, &digest.quality);
     lock(&versions.suspects).merge(now, &digest.suspects);
 }
 
 /// Returns the part of the state dump about versions.
 pub fn state(shared: &Shared) -> serde_json::Value {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let versions = &shared.versions;
     let now = shared.now();
     let registry = lock(&versions.rollouts);
     let mut rollouts = BTreeMap::new();
-    for model in force.catalog.rollouts.keys() {
-        let name = force.names.models.name(model).to_string();
+    for model in active.catalog.rollouts.keys() {
+        let name = active.names.models.name(model).to_string();
         let share = registry.share(now, model);
         let new_sessions = share.and_then(|share| share.candidate).map(|part| part.1);
         rollouts.insert(
@@ -139,7 +145,7 @@
     json!({
         "informed": informed,
         "rollouts": rollouts,
-        "quality": quality(shared, &force),
+        "quality": quality(shared, &active),
         "suspects": *lock(&versions.suspects),
         "ratings": {
             "available": lock(&versions.learner).can_rate(now),
@@ -150,22 +156,25 @@
 
 /// Returns, by class and version, the mean, lower bound and weight of the
 /// quality estimate.
-fn quality(shared: &Shared, force: &Force) -> BTreeMap<String, BTreeMap<String, [f64; 3]>> {
+fn quality(
+    shared: &Shared,
+    active: &ActiveConfiguration,
+) -> BTreeMap<String, BTreeMap<String, [f64; 3]>> {
     let learner = lock(&shared.versions.learner);
     let mut classes = BTreeMap::new();
-    for (class, entry) in &force.catalog.classes {
+    for (class, entry) in &active.catalog.classes {
         let mut estimates = BTreeMap::new();
         let versions = entry.models.iter().filter_map(|model| {
-            let versions = force.catalog.models.get(*model)?;
+            let versions = active.catalog.models.get(*model)?;
             Some(versions.iter().copied())
         });
         for version in versions.flatten() {
-            let estimate = learner.estimate(&force.catalog, class, version);
+            let estimate = learner.estimate(&active.catalog, class, version);
             let bound = estimate.bound(0, 0.0, cascade::CONFIDENCE);
-            let name = force.names.versions.name(version).to_string();
+            let name = active.names.versions.name(version).to_string();
             estimates.insert(name, [estimate.mean(), bound, estimate.weight()]);
         }
-        classes.insert(force.names.classes.name(class).to_string(), estimates);
+        classes.insert(active.names.classes.name(class).to_string(), estimates);
     }
     classes
 }
--- a/crates/node/src/versions/ratings.rs
+++ b/crates/node/src/versions/ratings.rs
@@ -11,7 +11,7 @@
 use fescuerack_core::rollout::Event;
 use fescuerack_wire::rating;
 
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Maximum number of answers that wait to be rated; further ones are dropped.
@@ -85,8 +85,8 @@
 
 /// Takes a rating for `purpose` from this instance's share of the rate limit;
 /// returns whether one was left.
-pub fn try_acquire(shared: &Shared, force: &Force, purpose: Purpose) -> bool {
-    let rate = force.catalog.limit(RATE_LIMIT) / f64::from(super::instance_count(shared));
+pub fn try_acquire(shared: &Shared, active: &ActiveConfiguration, purpose: Purpose) -> bool {
+    let rate = active.catalog.limit(RATE_LIMIT) / f64::from(super::instance_count(shared));
     let now = shared.now();
     lock(&shared.versions.ratings.bucket).take(now, rate, purpose)
 }
@@ -111,10 +111,10 @@
 /// Requests the rating of an answer and records it; blocks the thread. Returns
 /// `None` when the service fails or its rating is outside 0 to 1.
 pub fn rate(shared: &Shared, answer: &Answer) -> Option<f64> {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let request = rating::Request {
-        class: force.names.classes.name(answer.class).to_string(),
-        version: force.names.versions.name(answer.version).to_string(),
+        class: active.names.classes.name(answer.class).to_string(),
+        version: active.names.versions.name(answer.version).to_string(),
         answer: answer.text.clone(),
     };
     let start = shared.now();
@@ -132,9 +132,9 @@
     shared.metrics.count("ratings.done");
     let mut learner = lock(&versions.learner);
     learner.record_rating_ms(now.since(start).as_secs_f64() * 1000.0);
-    learner.record_rating(&force.catalog, answer.class, answer.version, quality);
+    learner.record_rating(&active.catalog, answer.class, answer.version, quality);
     drop(learner);
-    let class = force.catalog.classes.get(answer.class);
+    let class = active.catalog.classes.get(answer.class);
     let event = Event::Rated {
         quality_milli: to_thousandths(quality),
         bad: class.is_some_and(|class| quality < class.bad_quality),
--- a/crates/node/src/versions/rollouts.rs
+++ b/crates/node/src/versions/rollouts.rs
@@ -34,12 +34,12 @@
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     let mut reads = StoreReads::default();
     while !stop.wait(EVALUATION_INTERVAL) {
-        let force = shared.force();
-        if force.catalog.revision == 0 {
+        let active = shared.active_configuration();
+        if active.catalog.revision == 0 {
             continue;
         }
         let now = shared.now();
-        shared.versions.configure(now, &force);
+        shared.versions.configure(now, &active);
         if now >= reads.next_at {
             reads.next_at = now.plus_millis(STORE_READ_INTERVAL_MS);
             if read_changed(shared, &mut reads).is_err() {
@@ -96,7 +96,9 @@
     drop(registry);
     if has_changed {
         log::info!(model = model; "merged new halts or steps from the store's roll-out record");
-        shared.versions.reconfigure(now, &shared.force());
+        shared
+            .versions
+            .reconfigure(now, &shared.active_configuration());
     }
 }
 
