--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -119,8 +119,8 @@
 /// All nodes choose the same ones.
 fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
-    let trial = rollout::canary(node, order);
-    let count = trial.server_count(trial.stage(now), new.len());
+    let canary = rollout::canary(node, order);
+    let count = canary.server_count(canary.stage(now), new.len());
     new.sort_by_key(|server| (!is_healthy(node, server), affinity::mix(server.identity)));
     new.truncate(count);
     new
@@ -130,8 +130,8 @@
 #[must_use]
 pub fn is_healthy(node: &Node, server: &Server) -> bool {
     let now = now();
-    let grey = node.outliers.borrow();
-    server.health.is_available(now) && !grey.is_ejected(now, load::short_id(server.identity))
+    let outliers = node.outliers.borrow();
+    server.health.is_available(now) && !outliers.is_ejected(now, load::short_id(server.identity))
 }
 
 fn uses_new_version(node: &Node, order: &Order, session: u64) -> bool {
@@ -140,12 +140,12 @@
         Some(Progress::RolledBack) => false,
         Some(Progress::Running) | None => {
             let now = now();
-            let trial = rollout::canary(node, order);
-            let stage = trial.stage(now);
-            let is_moved = trial.includes(stage, session);
-            let goes_on = node.recent_sessions.borrow().is_ongoing(now, session)
+            let canary = rollout::canary(node, order);
+            let stage = canary.stage(now);
+            let is_moved = canary.includes(stage, session);
+            let is_ongoing = node.recent_sessions.borrow().is_ongoing(now, session)
                 || node.peer_sessions.borrow().is_ongoing(now, session);
-            let must_stay = goes_on && stage < Stage::Loaded;
+            let must_stay = is_ongoing && stage < Stage::Loaded;
             !order.is_halted && is_moved && !must_stay
         }
     }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -60,7 +60,7 @@
         if !has_read {
             has_read = read(&node).await;
             if has_read {
-                peer::join_trials(&node).await;
+                peer::join_rollouts(&node).await;
             }
             continue;
         }
--- a/crates/gateway/src/load_report.rs
+++ b/crates/gateway/src/load_report.rs
@@ -1,5 +1,7 @@
-//! Telling other nodes, through hubs, what this one has running and how its attempts ended;
-//! see [`load`] and [`outlier`](fescuerack_core::routed::outlier).
+//! Exchange of load and of attempt counts with the peers, through hubs.
+//!
+//! [`load`] describes how hubs aggregate the reports, and
+//! [`outlier`](fescuerack_core::routed::outlier) what the attempt counts are used for.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -14,157 +16,160 @@
 use crate::message;
 use crate::node::Node;
 
-/// Path on which a hub is told by the nodes of its group.
+/// Path on which a hub receives the reports of the nodes of its group.
 pub const MEMBER_PATH: &str = "/load";
-/// Path on which the top is told by hubs.
+/// Path on which the top receives the reports of the hubs.
 pub const GROUP_PATH: &str = "/load/group";
 
-/// What a node, or a group, has on servers.
+/// Values of a node or a group, by backend server.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Tables {
-    /// Work.
+    /// Load.
     load: Table,
-    /// Ends of attempts within the window.
-    #[serde(default)]
-    ends: Table,
+    /// Packed counts of the attempts that ended within the window.
+    #[serde(default, rename = "ends")]
+    attempts: Table,
 }
 
-/// What a node tells its hub, or a hub the top.
+/// The report of a node to its hub, or of a hub to the top.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Work {
-    /// The node that tells.
+pub struct Report {
+    /// Name of the reporting node.
     node: String,
     tables: Tables,
 }
 
-/// What a hub has been told.
+/// Reports that a node has received as a hub or as the top.
 #[derive(Clone, Debug, Default)]
-pub struct Hubs {
+pub struct Aggregator {
     load: Hub,
-    ends: Hub,
+    attempts: Hub,
 }
 
-impl Hubs {
-    /// Takes in what a node tells and answers with the sum of all others.
-    fn tell(&mut self, work: Work) -> Tables {
+impl Aggregator {
+    /// Records the report of a node and returns the sum of all others.
+    fn receive_report(&mut self, report: Report) -> Tables {
         Tables {
-            load: self.load.report(now(), &work.node, work.tables.load),
-            ends: self.ends.report(now(), &work.node, work.tables.ends),
+            load: self.load.report(now(), &report.node, report.tables.load),
+            attempts: self
+                .attempts
+                .report(now(), &report.node, report.tables.attempts),
         }
     }
 
-    /// Sum of the group, for the top.
-    fn group(&mut self) -> Tables {
+    /// Returns the sum of the group, to be reported to the top.
+    fn group_sum(&mut self) -> Tables {
         Tables {
             load: self.load.group_sum(now()),
-            ends: self.ends.group_sum(now()),
+            attempts: self.attempts.group_sum(now()),
         }
     }
 
-    /// Takes in the sum of the other groups.
-    fn hear(&mut self, elsewhere: Tables) {
-        self.load.receive(now(), elsewhere.load);
-        self.ends.receive(now(), elsewhere.ends);
+    /// Records the sum of the other groups.
+    fn receive_other_groups(&mut self, other_groups: Tables) {
+        self.load.receive(now(), other_groups.load);
+        self.attempts.receive(now(), other_groups.attempts);
     }
 }
 
-/// What this node does, with the address of the one that it tells.
+/// Role of this node, with the address of the node that it reports to.
 enum Role {
     Member(SocketAddr),
     Hub(SocketAddr),
     Top,
 }
 
-/// Tells and hears until the process ends.
+/// Reports to the hub or to the top until the process ends.
 pub async fn run(node: Rc<Node>) {
     let mut was_idle = true;
     loop {
         tokio::time::sleep(Duration::from_millis(load::REPORT_INTERVAL_MS)).await;
-        let tables = own(&node);
+        let tables = local_tables(&node);
         let role = role(&node);
-        // The last telling says that nothing runs any more. A hub goes on: its group may
-        // have work.
-        let has_nothing = tables.load.is_empty() && tables.ends.is_empty();
-        let is_idle = has_nothing && matches!(role, Role::Member(_));
+        // The first report after the last request is sent, so that the hub records that nothing is
+        // running any more. A hub always reports, since its group may have load.
+        let is_empty = tables.load.is_empty() && tables.attempts.is_empty();
+        let is_idle = is_empty && matches!(role, Role::Member(_));
         if is_idle && was_idle {
             continue;
         }
         was_idle = is_idle;
-        let work = Work {
+        let report = Report {
             node: node.settings.borrow().instance.clone(),
             tables,
         };
         match role {
             Role::Member(hub) => {
-                if let Some(others) = tell(&node, hub, MEMBER_PATH, &work).await {
-                    hear(&node, &others);
+                if let Some(others) = send(&node, hub, MEMBER_PATH, &report).await {
+                    apply_peer_sums(&node, &others);
                 }
             }
             Role::Hub(top) => {
-                hear(&node, &receive_member_report(&node, work));
-                let group = group(&node);
-                if let Some(elsewhere) = tell(&node, top, GROUP_PATH, &group).await {
-                    node.hub.borrow_mut().hear(elsewhere);
+                apply_peer_sums(&node, &receive_member_report(&node, report));
+                let group = group_report(&node);
+                if let Some(other_groups) = send(&node, top, GROUP_PATH, &group).await {
+                    node.hub.borrow_mut().receive_other_groups(other_groups);
                 }
             }
             Role::Top => {
-                hear(&node, &receive_member_report(&node, work));
-                let elsewhere = receive_group_report(&node, group(&node));
-                node.hub.borrow_mut().hear(elsewhere);
+                apply_peer_sums(&node, &receive_member_report(&node, report));
+                let other_groups = receive_group_report(&node, group_report(&node));
+                node.hub.borrow_mut().receive_other_groups(other_groups);
             }
         }
     }
 }
 
-fn own(node: &Node) -> Tables {
+fn local_tables(node: &Node) -> Tables {
     Tables {
-        load: own_work(node),
-        ends: node.attempt_counts.borrow_mut().table(now()),
+        load: local_load(node),
+        attempts: node.attempt_counts.borrow_mut().table(now()),
     }
 }
 
-/// Takes in what all others have told.
-fn hear(node: &Node, others: &Tables) {
-    node.peer_load.borrow_mut().receive(now(), &others.load);
-    let own = node.attempt_counts.borrow_mut().table(now());
+/// Applies the sums of all peers: records their load and runs outlier detection.
+fn apply_peer_sums(node: &Node, peers: &Tables) {
+    node.peer_load.borrow_mut().receive(now(), &peers.load);
+    let local = node.attempt_counts.borrow_mut().table(now());
     let mut sums: HashMap<u32, u32> = HashMap::new();
-    for &(server, ends) in own.iter().chain(&others.ends) {
+    for &(server, counts) in local.iter().chain(&peers.attempts) {
         let sum = sums.entry(server).or_default();
-        *sum = sum.saturating_add(ends);
+        *sum = sum.saturating_add(counts);
     }
-    let seen = sums.into_iter();
-    let seen = seen.map(|(server, ends)| (server, AttemptCounts::unpack(ends)));
-    judge(node, &seen.collect());
+    let counts = sums.into_iter();
+    let counts = counts.map(|(server, counts)| (server, AttemptCounts::unpack(counts)));
+    detect_outliers(node, &counts.collect());
 }
 
-/// Leaves out the servers that fail more than the others of their service and version. A
-/// version on trial is judged by [`trials`](crate::rollout): left out here, its one loaded
-/// server would stop to show what it does under load.
-fn judge(node: &Node, seen: &HashMap<u32, AttemptCounts>) {
+/// Ejects the servers that fail more often than the others of their service and version.
+///
+/// A canary version is evaluated by [`rollout`](crate::rollout): if its only loaded server were
+/// ejected here, it would no longer show how it behaves under load.
+fn detect_outliers(node: &Node, counts: &HashMap<u32, AttemptCounts>) {
     let view = node.view.borrow();
-    // In order, so that all nodes leave out the same ones of several.
-    let mut alike: BTreeMap<(&str, &str), BTreeMap<u32, &str>> = BTreeMap::new();
+    // The maps are ordered, so that all nodes choose the same servers if not all can be ejected.
+    let mut groups: BTreeMap<(&str, &str), BTreeMap<u32, &str>> = BTreeMap::new();
     for server in view.servers.values() {
-        let listed = &server.entry;
-        let servers = alike.entry((&listed.service, &listed.version)).or_default();
-        servers.insert(load::short_id(server.identity), &server.entry.id);
+        let entry = &server.entry;
+        let group = groups.entry((&entry.service, &entry.version)).or_default();
+        group.insert(load::short_id(server.identity), &server.entry.id);
     }
-    for ((service, version), names) in alike {
+    for ((service, version), names) in groups {
         let servers: Vec<u32> = names.keys().copied().collect();
-        for server in node.outliers.borrow_mut().detect(now(), &servers, seen) {
+        for server in node.outliers.borrow_mut().detect(now(), &servers, counts) {
             tracing::warn!(
                 event = "server-left-out-by-all",
                 server = names[&server],
                 service,
                 version,
-                failed = seen[&server].failed,
-                of = seen[&server].all
+                failed = counts[&server].failed,
+                of = counts[&server].all
             );
         }
     }
 }
 
-fn own_work(node: &Node) -> Table {
+fn local_load(node: &Node) -> Table {
     let view = node.view.borrow();
     let busy = view.servers.values().filter(|server| server.work > 0.0);
     busy.map(|server| {
@@ -176,10 +181,10 @@
     .collect()
 }
 
-fn group(node: &Node) -> Work {
-    Work {
+fn group_report(node: &Node) -> Report {
+    Report {
         node: node.settings.borrow().instance.clone(),
-        tables: node.hub.borrow_mut().group(),
+        tables: node.hub.borrow_mut().group_sum(),
     }
 }
 
@@ -194,8 +199,8 @@
     }
 }
 
-async fn tell(node: &Node, address: SocketAddr, path: &str, work: &Work) -> Option<Tables> {
-    match message::send(node, address, path, work, message::HEAD_TIMEOUT).await {
+async fn send(node: &Node, address: SocketAddr, path: &str, report: &Report) -> Option<Tables> {
+    match message::send(node, address, path, report, message::HEAD_TIMEOUT).await {
         Ok(tables) => Some(tables),
         Err(error) => {
             tracing::info!(event = "hub-failed", peer = %address, path, reason = %error);
@@ -204,12 +209,12 @@
     }
 }
 
-/// Takes in as a hub what a node of the group tells, and answers with what all others have.
-pub fn receive_member_report(node: &Node, work: Work) -> Tables {
-    node.hub.borrow_mut().tell(work)
+/// Records, as a hub, the report of a node of the group and returns the sum of all other nodes.
+pub fn receive_member_report(node: &Node, report: Report) -> Tables {
+    node.hub.borrow_mut().receive_report(report)
 }
 
-/// Takes in as the top what a hub tells, and answers with what the other groups have.
-pub fn receive_group_report(node: &Node, work: Work) -> Tables {
-    node.top.borrow_mut().tell(work)
+/// Records, as the top, the report of a hub and returns the sum of the other groups.
+pub fn receive_group_report(node: &Node, report: Report) -> Tables {
+    node.top.borrow_mut().receive_report(report)
 }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -21,7 +21,7 @@
 
 use crate::arrival::Arrivals;
 use crate::clock::now;
-use crate::load_report::Hubs;
+use crate::load_report::Aggregator;
 use crate::metrics::Metrics;
 use crate::platform::Platform;
 use crate::publisher::Publisher;
@@ -38,11 +38,11 @@
     /// Version on trial.
     pub version: String,
     /// Counted here.
-    pub own: Counts,
+    pub local: Counts,
     /// Counted by others, by node.
-    pub heard: BTreeMap<String, Counts>,
+    pub peers: BTreeMap<String, Counts>,
     /// Sum that a peer has told.
-    pub told: Counts,
+    pub reported_sum: Counts,
     /// Servers of the version that broke off what they ran, by a short hash, seen by any
     /// node.
     pub crashed: BTreeSet<u32>,
@@ -81,9 +81,9 @@
     /// Servers that all nodes leave out.
     pub outliers: RefCell<Detector>,
     /// What the nodes of its group have told this node as their hub.
-    pub hub: RefCell<Hubs>,
+    pub hub: RefCell<Aggregator>,
     /// What hubs have told this node as the top.
-    pub top: RefCell<Hubs>,
+    pub top: RefCell<Aggregator>,
     /// How long answers usually take, by route and model.
     pub baselines: RefCell<HashMap<u64, Baseline>>,
     /// What this node has learned of how long requests wait, by service.
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -1,16 +1,16 @@
-//! What nodes tell each other.
+//! Exchange of state with peers, and the server for all messages from peers.
 //!
-//! One exchange carries everything: the revision that the asking node has, its
-//! counts of running roll-outs and the requests that it saw crash servers. The
-//! answer carries items that are newer, the sums of the counts that the other has
-//! heard, and its own suspicions. Nodes exchange only while there is a reason:
+//! The request of an exchange carries the revision of the sending node, its counts for running
+//! roll-outs and the digests of the requests that it saw crash servers. The reply carries newer
+//! items, the sums of the counts that the other node has received, and its own suspects. Nodes
+//! exchange only in two cases:
 //!
-//! - the store does not answer this node: it asks any peer for what is newer;
-//! - a roll-out runs: each node tells the collector of its service, which all
-//!   nodes work out alike from the list of nodes, once a second.
+//! - The store does not answer: the node asks a random peer for newer items.
+//! - A roll-out is running: once a second, each node reports to the collector of the service, which
+//!   all nodes derive from the list of nodes in the same way.
 //!
-//! Nodes also tell hubs what runs where ([`share`]) and ask those that watch the store
-//! ([`news`]); this module answers all of it.
+//! [`serve`] also answers the reports to hubs ([`load_report`]), the polls of nodes that follow
+//! this one ([`updates`]) and the requests for large items ([`publisher`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::convert::Infallible;
@@ -44,52 +44,52 @@
 
 /// Path of an exchange.
 const PATH: &str = "/exchange";
-/// Milliseconds between two tellings of a running roll-out's counts.
-const TELL_MS: u64 = 1_000;
+/// Milliseconds between two reports on a running roll-out.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// Counts of a roll-out.
+/// What a node reports on a roll-out.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Told {
+struct RolloutReport {
     version: String,
     counts: Counts,
-    /// Revision of the order, and milliseconds since it.
+    /// Revision of the order, and milliseconds since it was given.
     #[serde(default)]
     order: (u64, u64),
-    /// Servers of the version that broke off what they ran, by a short hash.
+    /// Servers of the version that crashed, by a short hash.
     #[serde(default)]
     crashed: BTreeSet<u32>,
-    /// Sessions that stay on the old version though their hash would move them.
+    /// Sessions that stay on the old version although their hash would move them.
     #[serde(default)]
     sessions: Vec<u64>,
 }
 
-/// What the asking node says.
+/// The request of an exchange.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Message {
+struct ExchangeRequest {
     node: String,
     revision: u64,
     wants_items: bool,
-    /// Whether large items may be told by notices; a program from before knows none.
+    /// Whether the node accepts notices of large items; earlier versions of the program do not.
     #[serde(default)]
     takes_notices: bool,
-    rollouts: BTreeMap<String, Told>,
+    rollouts: BTreeMap<String, RolloutReport>,
     suspects: Vec<(u64, u32)>,
 }
 
-/// What the asked node says.
+/// The reply of an exchange.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-struct Reply {
+struct ExchangeReply {
     items: Vec<Item>,
-    /// Large items that are newer.
+    /// Notices of newer large items.
     #[serde(default)]
     large: Vec<Notice>,
-    rollouts: BTreeMap<String, Told>,
+    rollouts: BTreeMap<String, RolloutReport>,
     suspects: Vec<(u64, u32)>,
 }
 
-/// Asks a random peer for what is newer than this node knows.
+/// Asks a random peer for items that are newer than those of this node.
 pub async fn catch_up(node: &Rc<Node>) {
-    let peers = others(node);
+    let peers = peers(node);
     if peers.is_empty() {
         return;
     }
@@ -98,12 +98,12 @@
     exchange(node, name, *address, true).await;
 }
 
-/// Tells collectors the counts of running roll-outs until the process ends.
+/// Reports the counts of running roll-outs to their collectors until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(TELL_MS)).await;
+        tokio::time::sleep(Duration::from_millis(REPORT_INTERVAL_MS)).await;
         let mut asked: Vec<SocketAddr> = Vec::new();
-        for service in on_trial(&node) {
+        for service in running_rollouts(&node) {
             let Some((name, address)) = collector(&node, &service) else {
                 continue;
             };
@@ -115,22 +115,23 @@
     }
 }
 
-/// Asks, once this node has read the store, how far running roll-outs are. A node that
-/// started while one runs knows neither its age nor which sessions go on, and would move
-/// sessions until it hears of them.
-pub async fn join_trials(node: &Rc<Node>) {
+/// Asks for the state of running roll-outs, once this node has read the store.
+///
+/// A node that starts during a roll-out has neither the time of its order nor the ongoing sessions,
+/// and would move these to the new version until it receives them.
+pub async fn join_rollouts(node: &Rc<Node>) {
     rollout::init_evidence(node);
-    for service in on_trial(node) {
+    for service in running_rollouts(node) {
         match collector(node, &service) {
             Some((name, address)) => exchange(node, &name, address, false).await,
-            // This node is to gather the counts; any other has some of them.
+            // This node is the collector; any other node has some of the counts.
             None => catch_up(node).await,
         }
     }
 }
 
-/// Services with a roll-out that is not decided.
-fn on_trial(node: &Node) -> Vec<Arc<str>> {
+/// Returns the services with a roll-out that is neither completed nor rolled back.
+fn running_rollouts(node: &Node) -> Vec<Arc<str>> {
     let view = node.view.borrow();
     let running = view.orders.values().filter(|order| {
         order
@@ -140,50 +141,50 @@
     running.map(|order| order.rollout.service.clone()).collect()
 }
 
-/// The node that gathers the counts of a service; `None` if it is this one.
+/// Returns the collector, the node that sums up the counts of a service; `None` if it is this node.
 #[must_use]
 pub fn collector(node: &Node, service: &str) -> Option<(String, SocketAddr)> {
     let view = node.view.borrow();
-    let own = node.settings.borrow().instance.clone();
+    let local = node.settings.borrow().instance.clone();
     let salt = affinity::hash(service.as_bytes());
     let member = view.instances().max_by_key(|member| member.rank(salt))?;
     let address = view.nodes[member.name].address;
-    (member.name != own).then(|| (member.name.to_owned(), address))
+    (member.name != local).then(|| (member.name.to_owned(), address))
 }
 
-fn others(node: &Node) -> Vec<(String, SocketAddr)> {
-    let own = node.settings.borrow().instance.clone();
+fn peers(node: &Node) -> Vec<(String, SocketAddr)> {
+    let local = node.settings.borrow().instance.clone();
     let view = node.view.borrow();
-    let others = view.nodes.iter().filter(|(name, _)| **name != own);
-    others
+    let peers = view.nodes.iter().filter(|(name, _)| **name != local);
+    peers
         .map(|(name, peer)| (name.clone(), peer.address))
         .collect()
 }
 
 async fn exchange(node: &Rc<Node>, name: &str, address: SocketAddr, wants_items: bool) {
-    let told = told(node, wants_items);
-    match message::send(node, address, PATH, &told, message::HEAD_TIMEOUT).await {
+    let request = exchange_request(node, wants_items);
+    match message::send(node, address, PATH, &request, message::HEAD_TIMEOUT).await {
         Ok(reply) => {
-            take_reply(node, name, &reply);
+            apply_reply(node, name, &reply);
             fetch::receive_notices(node, &reply.large, address);
         }
         Err(error) => tracing::info!(event = "peer-failed", peer = name, reason = %error),
     }
 }
 
-fn told(node: &Node, wants_items: bool) -> Message {
+fn exchange_request(node: &Node, wants_items: bool) -> ExchangeRequest {
     let evidence = node.evidence.borrow();
     let rollouts = evidence.iter().map(|(service, evidence)| {
-        let told = Told {
+        let report = RolloutReport {
             version: evidence.version.clone(),
             counts: rollout::local_counts(node, service, evidence),
-            order: order(node, service),
+            order: order_age(node, service),
             crashed: evidence.crashed.clone(),
-            sessions: staying(node, service, &node.recent_sessions.borrow()),
+            sessions: sticky_sessions(node, service, &node.recent_sessions.borrow()),
         };
-        (service.to_string(), told)
+        (service.to_string(), report)
     });
-    Message {
+    ExchangeRequest {
         node: node.settings.borrow().instance.clone(),
         revision: node.view.borrow().revision,
         wants_items,
@@ -193,50 +194,51 @@
     }
 }
 
-fn take_reply(node: &Node, peer: &str, reply: &Reply) {
+fn apply_reply(node: &Node, peer: &str, reply: &ExchangeReply) {
     if !reply.items.is_empty() {
         let mut view = node.view.borrow_mut();
-        let mut news = 0;
+        let mut applied = 0;
         for item in &reply.items {
-            news += u32::from(view.apply(now(), &*node.platform, item));
+            applied += u32::from(view.apply(now(), &*node.platform, item));
         }
-        if news > 0 {
+        if applied > 0 {
             tracing::info!(
                 event = "learned-from-peer",
                 peer,
-                news,
+                news = applied,
                 followed = view.revision
             );
         }
     }
     apply::publish_view(node);
     let mut evidence = node.evidence.borrow_mut();
-    for (service, told) in &reply.rollouts {
+    for (service, report) in &reply.rollouts {
         if let Some(known) = evidence.get_mut(service.as_str())
-            && known.version == told.version
+            && known.version == report.version
         {
-            known.told.clone_from(&told.counts);
-            known.crashed.extend(&told.crashed);
-            hear_sessions(node, &told.sessions);
-            hear_order(node, service, told.order);
+            known.reported_sum.clone_from(&report.counts);
+            known.crashed.extend(&report.crashed);
+            receive_sessions(node, &report.sessions);
+            receive_order_age(node, service, report.order);
         }
     }
     drop(evidence);
-    hear_suspects(node, &reply.suspects);
+    receive_suspects(node, &reply.suspects);
 }
 
-/// Sessions among `recent` that the trial of `service` would move.
-fn staying(node: &Node, service: &str, recent: &Recent) -> Vec<u64> {
+/// Returns the ongoing sessions among `recent` that the canary of `service` would move.
+fn sticky_sessions(node: &Node, service: &str, recent: &Recent) -> Vec<u64> {
     let view = node.view.borrow();
     let Some(order) = view.orders.get(service) else {
         return Vec::new();
     };
-    let trial = rollout::canary(node, order);
-    recent.ongoing(now(), |session| trial.includes(Stage::Sampled, session))
+    let canary = rollout::canary(node, order);
+    recent.ongoing(now(), |session| canary.includes(Stage::Sampled, session))
 }
 
-/// Revision of the order for `service`, and milliseconds since it as far as this node knows.
-fn order(node: &Node, service: &str) -> (u64, u64) {
+/// Returns the revision of the order for `service`, and the milliseconds since the earliest time
+/// that this node has recorded for it.
+fn order_age(node: &Node, service: &str) -> (u64, u64) {
     let view = node.view.borrow();
     let order = view.orders.get(service);
     order.map_or((0, 0), |order| {
@@ -245,39 +247,39 @@
     })
 }
 
-/// Takes in how long ago a peer says that the order for `service` was given. A node that
-/// was restarted while a roll-out runs would otherwise begin it anew: send sessions back
-/// to the old version, and decide after the time is over. The age of an order before is
-/// not taken for that of this one, or a version that is ordered again would be given up at
-/// once.
-fn hear_order(node: &Node, service: &str, (ordered, age_ms): (u64, u64)) {
+/// Records how long ago the order for `service` was given, as reported by a peer.
+///
+/// Otherwise a node that restarts during a roll-out would begin it again: it would send sessions
+/// back to the old version, and decide after the time is over. The age of an earlier order is
+/// ignored: otherwise a version that is ordered again would be rejected at once.
+fn receive_order_age(node: &Node, service: &str, (order_revision, age_ms): (u64, u64)) {
     if let Some(order) = node.view.borrow_mut().orders.get_mut(service)
-        && order.order_revision == ordered
+        && order.order_revision == order_revision
     {
         order.ordered_at = order.ordered_at.min(now().minus_millis(age_ms));
     }
 }
 
-fn hear_sessions(node: &Node, sessions: &[u64]) {
+fn receive_sessions(node: &Node, sessions: &[u64]) {
     let pause_ms = node.settings.borrow().session_ms;
-    let mut elsewhere = node.peer_sessions.borrow_mut();
+    let mut peer_sessions = node.peer_sessions.borrow_mut();
     for &session in sessions {
-        elsewhere.record(now(), session, pause_ms);
+        peer_sessions.record(now(), session, pause_ms);
     }
 }
 
-fn hear_suspects(node: &Node, suspects: &[(u64, u32)]) {
+fn receive_suspects(node: &Node, suspects: &[(u64, u32)]) {
     let mut known = node.suspects.borrow_mut();
     for &(digest, crashes) in suspects {
         known.receive(now(), digest, crashes);
     }
 }
 
-/// Answers a peer.
+/// Answers a message from a peer.
 ///
 /// # Errors
 ///
-/// Never: what cannot be read is answered with a status.
+/// Never: a message that cannot be decoded is answered with an error status.
 pub async fn serve(
     node: Rc<Node>,
     request: Request<Incoming>,
@@ -290,66 +292,72 @@
         Ok(body) => body.to_bytes(),
         Err(error) => {
             tracing::info!(event = "peer-message-broken", reason = %error);
-            return Ok(plain(StatusCode::BAD_REQUEST));
+            return Ok(status_response(StatusCode::BAD_REQUEST));
         }
     };
     let received = body.len();
-    let mut place = None;
+    let mut permit = None;
     let answer = match path.as_str() {
         PATH => serde_json::from_slice(&body)
-            .and_then(|message| serde_json::to_vec(&reply(&node, message))),
-        load_report::MEMBER_PATH => serde_json::from_slice(&body)
-            .and_then(|work| serde_json::to_vec(&load_report::receive_member_report(&node, work))),
-        load_report::GROUP_PATH => serde_json::from_slice(&body)
-            .and_then(|work| serde_json::to_vec(&load_report::receive_group_report(&node, work))),
+            .and_then(|request| serde_json::to_vec(&reply(&node, request))),
+        load_report::MEMBER_PATH => serde_json::from_slice(&body).and_then(|report| {
+            serde_json::to_vec(&load_report::receive_member_report(&node, report))
+        }),
+        load_report::GROUP_PATH => serde_json::from_slice(&body).and_then(|report| {
+            serde_json::to_vec(&load_report::receive_group_report(&node, report))
+        }),
         publisher::PATH => match serde_json::from_slice(&body) {
-            Ok(question) => {
-                let (answer, taken) = publisher::tell(&node, &question).await;
-                place = taken;
+            Ok(request) => {
+                let (answer, acquired) = publisher::serve(&node, &request).await;
+                permit = acquired;
                 serde_json::to_vec(&answer)
             }
             Err(error) => Err(error),
         },
         updates::PATH => match serde_json::from_slice(&body) {
-            Ok(question) => serde_json::to_vec(&updates::serve(&node, question).await),
+            Ok(request) => serde_json::to_vec(&updates::serve(&node, request).await),
             Err(error) => Err(error),
         },
-        _ => return Ok(plain(StatusCode::NOT_FOUND)),
+        _ => return Ok(status_response(StatusCode::NOT_FOUND)),
     };
     match answer {
         Ok(body) => {
             message::count_bytes(&node, &path, Direction::In, received);
             message::count_bytes(&node, &path, Direction::Out, body.len());
-            Ok(Response::new(Paced::new(Bytes::from(body), place)))
+            Ok(Response::new(Paced::new(Bytes::from(body), permit)))
         }
         Err(error) => {
             tracing::warn!(event = "peer-message-unreadable", path, reason = %error);
-            Ok(plain(StatusCode::BAD_REQUEST))
+            Ok(status_response(StatusCode::BAD_REQUEST))
         }
     }
 }
 
-fn reply(node: &Node, message: Message) -> Reply {
-    hear_suspects(node, &message.suspects);
+fn reply(node: &Node, request: ExchangeRequest) -> ExchangeReply {
+    receive_suspects(node, &request.suspects);
     let mut evidence = node.evidence.borrow_mut();
     let mut rollouts = BTreeMap::new();
-    for (service, told) in message.rollouts {
+    for (service, report) in request.rollouts {
         let Some(known) = evidence.get_mut(service.as_str()) else {
             continue;
         };
-        if known.version != told.version {
+        if known.version != report.version {
             continue;
         }
-        known.heard.insert(message.node.clone(), told.counts);
-        known.crashed.extend(&told.crashed);
-        hear_sessions(node, &told.sessions);
-        hear_order(node, &service, told.order);
-        let mut sessions = staying(node, &service, &node.recent_sessions.borrow());
-        sessions.extend(staying(node, &service, &node.peer_sessions.borrow()));
-        let sum = Told {
-            version: told.version,
-            counts: sum(&rollout::local_counts(node, &service, known), &known.heard),
-            order: order(node, &service),
+        known.peers.insert(request.node.clone(), report.counts);
+        known.crashed.extend(&report.crashed);
+        receive_sessions(node, &report.sessions);
+        receive_order_age(node, &service, report.order);
+        let mut sessions = sticky_sessions(node, &service, &node.recent_sessions.borrow());
+        sessions.extend(sticky_sessions(
+            node,
+            &service,
+            &node.peer_sessions.borrow(),
+        ));
+        let sum = RolloutReport {
+            version: report.version,
+            counts: sum_counts(&rollout::local_counts(node, &service, known), &known.peers),
+            order: order_age(node, &service),
             crashed: known.crashed.clone(),
             sessions,
         };
@@ -357,12 +365,12 @@
     }
     drop(evidence);
     let view = node.view.borrow();
-    let (items, large) = match (message.wants_items, message.takes_notices) {
+    let (items, large) = match (request.wants_items, request.takes_notices) {
         (false, _) => (Vec::new(), Vec::new()),
-        (true, false) => (view.items_since(message.revision), Vec::new()),
-        (true, true) => view.updates_since(message.revision),
+        (true, false) => (view.items_since(request.revision), Vec::new()),
+        (true, true) => view.updates_since(request.revision),
     };
-    Reply {
+    ExchangeReply {
         items,
         large,
         rollouts,
@@ -370,17 +378,17 @@
     }
 }
 
-/// Sums own counts and those of others.
+/// Returns the sum of the local counts and those of the peers.
 #[must_use]
-pub fn sum(own: &Counts, heard: &BTreeMap<String, Counts>) -> Counts {
-    let mut sum = own.clone();
-    for counts in heard.values() {
+pub fn sum_counts(local: &Counts, peers: &BTreeMap<String, Counts>) -> Counts {
+    let mut sum = local.clone();
+    for counts in peers.values() {
         canary::add(&mut sum, counts);
     }
     sum
 }
 
-fn plain(status: StatusCode) -> Response<Paced> {
+fn status_response(status: StatusCode) -> Response<Paced> {
     let mut response = Response::new(Paced::new(Bytes::new(), None));
     *response.status_mut() = status;
     response
--- a/crates/gateway/src/publisher.rs
+++ b/crates/gateway/src/publisher.rs
@@ -68,7 +68,7 @@
 }
 
 /// Answers a question; the place is held until the answer has left.
-pub async fn tell(node: &Node, question: &Question) -> (Answer, Option<Permit>) {
+pub async fn serve(node: &Node, question: &Question) -> (Answer, Option<Permit>) {
     let is_here = {
         let view = node.view.borrow();
         view.item(&question.key, question.revision).is_some()
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/registration.rs
@@ -1,7 +1,7 @@
-//! The node's own entry in the store, by which peers find it.
+//! Registration of the node: its entry in the store, by which peers discover it.
 //!
-//! The entry is bound to a lease, so that it goes when the node does. It is a hint
-//! for peers; nothing that must hold depends on it.
+//! The entry is bound to a lease, so that it expires when the node fails. It is only a hint for
+//! peers; no guarantee depends on it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,26 +11,28 @@
 use crate::platform::{StoreRequest, StoreResponse};
 use crate::store::Fault;
 
-/// Milliseconds that the lease lasts: three renewals may fail.
-const LEASE_MS: u64 = 16_000;
+/// Time to live of the lease in milliseconds: three renewals in a row may fail.
+const LEASE_TTL_MS: u64 = 16_000;
 /// Milliseconds between renewals; each costs a tenth of a read.
-const RENEW_MS: u64 = 5_000;
-/// Milliseconds until a failed entry is tried again.
-const RETRY_MS: u64 = 1_000;
+const RENEWAL_INTERVAL_MS: u64 = 5_000;
+/// Milliseconds until a failed registration is retried.
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// Keeps the entry until the process ends.
+/// Keeps the node registered until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        match enter(&node).await {
+        match register(&node).await {
             Ok(Some(lease)) => renew(&node, lease).await,
             Ok(None) => {}
             Err(fault) => tracing::info!(event = "entry-failed", reason = %fault),
         }
-        tokio::time::sleep(Duration::from_millis(RETRY_MS)).await;
+        tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
 }
 
-async fn enter(node: &Node) -> Result<Option<u64>, Fault> {
+/// Writes the entry; returns its lease, or `None` if the store did not grant it or refused the
+/// entry.
+async fn register(node: &Node) -> Result<Option<u64>, Fault> {
     let (key, value, ttl_ms) = {
         let settings = node.settings.borrow();
         let key = format!("{NODES}{}", settings.instance);
@@ -39,7 +41,7 @@
             zone: settings.zone.clone(),
             link_mbps: settings.link_mbps,
         };
-        (key, peer.value(), settings.lease_ms.max(LEASE_MS))
+        (key, peer.value(), settings.lease_ms.max(LEASE_TTL_MS))
     };
     let StoreResponse::Done(lease) = node.store.call(&StoreRequest::Grant { ttl_ms }).await? else {
         return Ok(None);
@@ -50,15 +52,15 @@
         revision: None,
         lease: Some(lease),
     };
-    let is_entered = matches!(node.store.call(&put).await?, StoreResponse::Done(_));
-    tracing::info!(event = "entry", key, lease, entered = is_entered);
-    Ok(is_entered.then_some(lease))
+    let is_registered = matches!(node.store.call(&put).await?, StoreResponse::Done(_));
+    tracing::info!(event = "entry", key, lease, entered = is_registered);
+    Ok(is_registered.then_some(lease))
 }
 
-/// Renews the lease until it is gone.
+/// Renews the lease until it has expired.
 async fn renew(node: &Node, lease: u64) {
     loop {
-        tokio::time::sleep(Duration::from_millis(RENEW_MS)).await;
+        tokio::time::sleep(Duration::from_millis(RENEWAL_INTERVAL_MS)).await;
         if node.is_stopping.get() {
             std::future::pending::<()>().await;
         }
@@ -68,7 +70,7 @@
                 return;
             }
             Ok(_) => {}
-            // The lease may last still; the next renewal tells.
+            // The lease may still be valid; the next renewal detects whether it is.
             Err(fault) => tracing::info!(event = "renewal-failed", lease, reason = %fault),
         }
     }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -149,7 +149,7 @@
 /// What this node has seen of a roll-out, slow answers that have not ended included.
 #[must_use]
 pub fn local_counts(node: &Node, service: &str, known: &Evidence) -> canary::Counts {
-    let mut counts = known.own.clone();
+    let mut counts = known.local.clone();
     let awaited = node.pending_attempts.borrow();
     let of_service = awaited
         .iter()
@@ -198,7 +198,7 @@
     // Servers under load, and cold ones, are slower whatever their version is, but not silent for twice the target.
     let is_loaded = canary(node, &order).stage(now()) == Stage::Loaded;
     let slow_counts = ended == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
-    let pair = known.own.entry(route.to_owned()).or_default();
+    let pair = known.local.entry(route.to_owned()).or_default();
     let side = if is_new { &mut pair.new } else { &mut pair.old };
     side.all += 1;
     side.bad += u32::from(ended == AnswerOutcome::Failed);
@@ -267,15 +267,15 @@
         };
     }
     let own = local_counts(node, &order.rollout.service, known);
-    let heard = peer::sum(&own, &known.heard);
+    let heard = peer::sum_counts(&own, &known.peers);
     let size = |counts: &canary::Counts| -> u32 {
         counts
             .values()
             .map(|pair| pair.old.all + pair.new.all)
             .sum()
     };
-    let counts = if size(&known.told) > size(&heard) {
-        known.told.clone()
+    let counts = if size(&known.reported_sum) > size(&heard) {
+        known.reported_sum.clone()
     } else {
         heard
     };
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -1,5 +1,4 @@
-//! Asking a watcher of the store for news, and telling them as one; see
-//! [`watcher`].
+//! Long polling of a watcher of the store for updates; see [`watcher`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,23 +13,23 @@
 use crate::node::Node;
 use crate::platform::Item;
 
-/// Path on which a watcher is asked.
+/// Path on which a watcher is polled.
 pub const PATH: &str = "/follow";
-/// What a question to a watcher gets besides its wait there.
-const MARGIN: Duration = Duration::from_millis(300);
+/// Time that a poll may take beyond its wait at the watcher.
+const POLL_MARGIN: Duration = Duration::from_millis(300);
 
-/// What a node asks a watcher.
+/// A poll, as a node sends it to a watcher.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Question {
-    /// Revision that it would go on from.
+pub struct PollRequest {
+    /// Revision after which the node needs updates.
     after: u64,
-    /// Whether it takes notices of large items. A program from before knows none and would
-    /// go on without them, so it is told the items.
+    /// Whether the node accepts notices of large items. Earlier versions of the program do not, and
+    /// would continue without these items, so they receive the items themselves.
     #[serde(default)]
     takes_notices: bool,
 }
 
-/// What a watcher answers.
+/// A watcher's response to a poll.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Updates {
     /// Items that changed.
@@ -38,58 +37,58 @@
     /// Large items that changed.
     #[serde(default)]
     pub large: Vec<Notice>,
-    /// When the changes came to the node that heard of them first.
+    /// When the changes arrived at the first node that received them.
     #[serde(default)]
     pub arrivals: Vec<Arrival>,
     /// Revision up to which the watcher has followed the store.
     pub revision: u64,
     /// Milliseconds since the store last answered the watcher.
     pub age_ms: u64,
-    /// Whether the watcher remembers every change since the asked revision.
+    /// Whether the watcher has recorded every change since the revision of the poll.
     pub is_whole: bool,
 }
 
-/// Asks a watcher for what changed after `after`; waits there for news.
+/// Polls a watcher for changes after the revision `after`; the poll waits there for updates.
 ///
 /// # Errors
 ///
-/// When no answer comes in time.
+/// When no response arrives in time.
 pub async fn poll(node: &Node, address: SocketAddr, after: u64) -> anyhow::Result<Updates> {
-    let patience = Duration::from_millis(watcher::PEER_WAIT_MS) + MARGIN;
-    let question = Question {
+    let timeout = Duration::from_millis(watcher::PEER_WAIT_MS) + POLL_MARGIN;
+    let request = PollRequest {
         after,
         takes_notices: true,
     };
-    message::send(node, address, PATH, &question, patience).await
+    message::send(node, address, PATH, &request, timeout).await
 }
 
-/// Waits for news and tells them.
-pub async fn serve(node: &Node, question: Question) -> Updates {
+/// Answers a poll as soon as there are updates, or after [`watcher::PEER_WAIT_MS`].
+pub async fn serve(node: &Node, request: PollRequest) -> Updates {
     if node.store_age_ms() > watcher::MAX_AGE_MS {
-        // Whoever asks must look elsewhere, and soon.
-        return known_since(node, question);
+        // This node is stale: the polling node must poll another one without delay.
+        return updates_since(node, request);
     }
-    let mut changes = node.followed_revision.subscribe();
+    let mut followed = node.followed_revision.subscribe();
     let wait = Duration::from_millis(watcher::PEER_WAIT_MS);
-    let has_news = changes.wait_for(|revision| *revision > question.after);
-    // Without news the answer says how fresh the watcher is.
-    let _ = tokio::time::timeout(wait, has_news).await;
-    known_since(node, question)
+    let has_updates = followed.wait_for(|revision| *revision > request.after);
+    // A response without updates still reports how fresh this node is.
+    let _ = tokio::time::timeout(wait, has_updates).await;
+    updates_since(node, request)
 }
 
-fn known_since(node: &Node, question: Question) -> Updates {
+fn updates_since(node: &Node, request: PollRequest) -> Updates {
     let view = node.view.borrow();
-    let (items, large) = if question.takes_notices {
-        view.updates_since(question.after)
+    let (items, large) = if request.takes_notices {
+        view.updates_since(request.after)
     } else {
-        (view.items_since(question.after), Vec::new())
+        (view.items_since(request.after), Vec::new())
     };
     Updates {
         items,
         large,
-        arrivals: node.arrivals.borrow().since(now(), question.after),
+        arrivals: node.arrivals.borrow().since(now(), request.after),
         revision: view.revision,
         age_ms: node.store_age_ms(),
-        is_whole: view.has_changes_since(question.after),
+        is_whole: view.has_changes_since(request.after),
     }
 }
