--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,7 +1,8 @@
-//! What a node knows to be in force: catalog, backend servers, roll-outs, nodes.
+//! The view: a node's copy of the store, with the catalog, the backend servers, the roll-outs and
+//! the nodes that are active on it.
 //!
-//! The view follows the store by revisions and each key only moves forward, from
-//! wherever a change is heard: the node's own watch, a full read or a peer.
+//! Changes arrive from the node's own watch, from full reads and from peers, in any order. Each key
+//! keeps the change with the highest revision; older ones are ignored.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,67 +19,67 @@
 use crate::platform::{Change, Item, Platform, Progress, Rollout, ServerEntry, ServerState};
 use crate::server::Server;
 
-/// Items of removed keys that are remembered so that peers hear of the removal.
-const REMOVED: usize = 512;
+/// Maximum number of removed keys whose tombstones are kept, from which peers learn of the removal.
+const MAX_TOMBSTONES: usize = 512;
 
-/// A roll-out as this node sees it.
+/// An ordered roll-out and its state on this node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     /// What was ordered.
     pub rollout: Rollout,
-    /// Revision of the order in the store: the same version may be ordered again.
+    /// Revision of the order in the store. It distinguishes orders for the same version.
     pub order_revision: u64,
-    /// When the order was given, as far as this node or a peer knows: a node that starts
-    /// while a roll-out runs hears of the order late.
+    /// When the order was given: the earliest time that this node or a peer has recorded. A node
+    /// that starts during a roll-out receives the order late.
     pub ordered_at: Instant,
-    /// How far it is, as far as the store says.
+    /// Progress according to the record in the store.
     pub progress: Option<Progress>,
-    /// Revision of the record of its progress; zero if there is none.
+    /// Revision of that record; zero if there is none.
     pub record_revision: u64,
-    /// Whether this node has halted it on its own evidence.
+    /// Whether this node has halted it because of its own evidence.
     pub is_halted: bool,
 }
 
-/// The view.
+/// The view of one node.
 #[derive(Debug, Default)]
 pub struct View {
-    /// Configuration in force.
+    /// Active configuration.
     pub catalog: Option<Arc<Catalog>>,
     /// Backend servers by identifier.
     pub servers: HashMap<Arc<str>, Server>,
     /// Roll-outs by service.
     pub orders: BTreeMap<Arc<str>, Order>,
-    /// All nodes by name, this one included once it has heard of its own entry.
+    /// All nodes by name, including this one once it has received its own entry.
     pub nodes: BTreeMap<String, Peer>,
-    /// Availability zones whose servers are to get nothing, and since when this node knows.
+    /// Evacuated availability zones, whose servers get no requests, and when this node received the
+    /// order.
     pub evacuated: BTreeMap<Arc<str>, Instant>,
     /// Outages of the store.
     pub outage: Outage,
-    /// Revision up to which the store was followed without a gap. Items that were
-    /// heard of from peers or written here do not move it: what lies between is
-    /// still to be heard.
+    /// Revision up to which the store was followed without a gap. Items that were received from
+    /// peers or written by this node do not advance it, since changes before them may be missing.
     pub revision: u64,
-    /// Items that nodes tell each other by notices.
+    /// Large items, for which nodes exchange notices.
     pub large: LargeItems,
-    /// Entries that could not be read so far.
+    /// Number of entries so far that could not be decoded.
     pub unreadable: u64,
-    /// What came in force since the last [`take_fresh`](Self::take_activated).
-    fresh: Vec<(ChangeKind, u64)>,
-    /// Addresses at which a server started again, for [`take_restarted`](Self::take_restarted).
+    /// Changes that became active since the last [`take_activated`](Self::take_activated).
+    activated: Vec<(ChangeKind, u64)>,
+    /// Addresses at which a server restarted, for [`take_restarted`](Self::take_restarted).
     restarted: Vec<SocketAddr>,
     items: HashMap<String, Item>,
-    /// Highest revision of a removal that is no longer remembered.
-    forgotten: u64,
+    /// Tombstones of revisions before this one were dropped.
+    pruned_before: u64,
 }
 
 impl View {
-    /// Whether requests can be routed.
+    /// Whether the node has a configuration, so that requests can be routed.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.catalog.is_some()
     }
 
-    /// Takes in one item; returns whether it was news.
+    /// Decodes and applies an item. Returns whether it is newer than the previous one of its key.
     pub fn apply(&mut self, now: Instant, platform: &dyn Platform, item: &Item) -> bool {
         if item.revision <= self.revision_of(&item.key) {
             return false;
@@ -86,20 +87,20 @@
         self.apply_change(now, item, platform.decode_item(item))
     }
 
-    /// Takes in one item and what it means; returns whether it was news.
+    /// Applies an item that was decoded to `change`. Returns whether it is newer than the previous
+    /// one of its key.
     pub fn apply_change(&mut self, now: Instant, item: &Item, change: Change) -> bool {
         if item.revision <= self.revision_of(&item.key) {
             return false;
         }
-        self.fresh.push((change.kind(), item.revision));
+        self.activated.push((change.kind(), item.revision));
         let before = self.items.insert(item.key.clone(), item.clone());
         self.large.record_item(before, item);
-        self.take(now, change, item);
+        self.apply_decoded(now, change, item);
         true
     }
 
-    /// Takes in a whole read of the store as of `revision`: keys that it lacks are
-    /// removed.
+    /// Applies a full read of the store as of `revision`: keys that it does not contain are removed.
     pub fn replace(
         &mut self,
         now: Instant,
@@ -130,26 +131,26 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Whether [`items_since`](Self::items_since) tells every change after `revision`.
+    /// Whether [`items_since`](Self::items_since) returns every change after `revision`.
     #[must_use]
     pub const fn has_changes_since(&self, revision: u64) -> bool {
-        revision >= self.forgotten
+        revision >= self.pruned_before
     }
 
-    /// The item at `key`, if its revision is `least` or newer and it was not removed.
+    /// Returns the item of `key`, if its revision is at least `min_revision` and it was not removed.
     #[must_use]
-    pub fn item(&self, key: &str, least: u64) -> Option<&Item> {
+    pub fn item(&self, key: &str, min_revision: u64) -> Option<&Item> {
         let item = self.items.get(key)?;
-        (item.revision >= least && item.value.is_some()).then_some(item)
+        (item.revision >= min_revision && item.value.is_some()).then_some(item)
     }
 
-    /// Revision of the last change of `key` that is in force here; zero if there is none.
+    /// Returns the revision of the last change of `key` on this node; zero if there is none.
     #[must_use]
     pub fn revision_of(&self, key: &str) -> u64 {
         self.items.get(key).map_or(0, |item| item.revision)
     }
 
-    /// The value that `key` has or had at `revision`, if it is still known.
+    /// Returns the value that `key` has or had at `revision`, if it is still kept.
     #[must_use]
     pub fn value_at(&self, key: &str, revision: u64) -> Option<&str> {
         let item = self.items.get(key)?;
@@ -159,11 +160,11 @@
         self.large.former_value(key, revision)
     }
 
-    /// Takes in that a large item has changed, as a peer at `teller` says; returns whether
-    /// it is news.
-    pub fn record_notice(&mut self, now: Instant, notice: &Notice, teller: SocketAddr) -> bool {
+    /// Records a notice of a large item from the node at `peer`. Returns whether it announces a
+    /// newer revision than all before.
+    pub fn record_notice(&mut self, now: Instant, notice: &Notice, peer: SocketAddr) -> bool {
         let known = self.revision_of(&notice.key);
-        self.large.record_notice(now, notice, known, teller)
+        self.large.record_notice(now, notice, known, peer)
     }
 
     /// Returns the small items that changed after `revision`, and notices of the large ones.
@@ -177,7 +178,7 @@
         (items, notices)
     }
 
-    /// Returns the items that changed after `revision`.
+    /// Returns all items that changed after `revision`, including the large ones.
     #[must_use]
     pub fn items_since(&self, revision: u64) -> Vec<Item> {
         let mut items: Vec<Item> = self
@@ -190,7 +191,8 @@
         items
     }
 
-    /// Drops servers whose entries have not come back; returns their number.
+    /// Ends the warm-up of servers whose time is over, and drops the servers whose entries vanished
+    /// in an outage and were not restored in time. Returns the number of dropped servers.
     pub fn sweep(&mut self, now: Instant) -> usize {
         for server in self.servers.values_mut() {
             server.expire_cold(now);
@@ -198,11 +200,11 @@
         let before = self.servers.len();
         self.servers
             .retain(|_, server| server.expires_at.is_none_or(|expires_at| now < expires_at));
-        self.forget_removed();
+        self.drop_tombstones();
         before - self.servers.len()
     }
 
-    /// All nodes as they have entered themselves.
+    /// Returns all nodes by their entries.
     pub fn instances(&self) -> impl Iterator<Item = Instance<'_>> {
         self.nodes.iter().map(|(name, peer)| Instance {
             name,
@@ -211,37 +213,37 @@
         })
     }
 
-    /// Number of nodes, this one included.
+    /// Returns the number of nodes, including this one.
     #[must_use]
     pub fn node_count(&self) -> usize {
         self.nodes.len().max(1)
     }
 
-    fn forget_removed(&mut self) {
+    fn drop_tombstones(&mut self) {
         let removed = self.items.values().filter(|item| item.value.is_none());
         let mut revisions: Vec<u64> = removed.map(|item| item.revision).collect();
-        if revisions.len() <= REMOVED {
+        if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        let oldest = revisions[revisions.len() - REMOVED / 2];
-        self.forgotten = oldest;
+        let oldest = revisions[revisions.len() - MAX_TOMBSTONES / 2];
+        self.pruned_before = oldest;
         self.items
             .retain(|_, item| item.value.is_some() || item.revision >= oldest);
     }
 
-    fn take(&mut self, now: Instant, change: Change, item: &Item) {
+    fn apply_decoded(&mut self, now: Instant, change: Change, item: &Item) {
         match change {
-            Change::Catalog(catalog) => self.take_catalog(catalog),
-            Change::Server(listed) => self.take_server(now, listed, item.revision),
-            Change::ServerGone(id) => self.lose_server(now, &id),
+            Change::Catalog(catalog) => self.apply_catalog(catalog),
+            Change::Server(entry) => self.apply_server(now, entry, item.revision),
+            Change::ServerGone(id) => self.remove_server(now, &id),
             Change::ServerUnreadable(id, reason) => {
-                self.note_unreadable(item, &reason);
-                // The server may still run, but nothing says as what: what it was before is not
-                // what the entry says now.
+                self.record_unreadable(item, &reason);
+                // The server may still run, but its service and version are unknown: the new entry
+                // may state others than the previous one.
                 self.servers.remove(&id);
             }
-            Change::Rollout(rollout) => self.take_rollout(now, rollout, item.revision),
+            Change::Rollout(rollout) => self.apply_rollout(now, rollout, item.revision),
             Change::RolloutGone(service) => {
                 self.orders.remove(&service);
                 tracing::info!(
@@ -272,14 +274,14 @@
                 }
             }
             Change::Evacuation { zone, is_ordered } => {
-                self.take_evacuation(now, zone, is_ordered, item.revision);
+                self.apply_evacuation(now, zone, is_ordered, item.revision);
             }
-            Change::Internal => self.take_own(item),
-            Change::Unreadable(reason) => self.note_unreadable(item, &reason),
+            Change::Internal => self.apply_node_entry(item),
+            Change::Unreadable(reason) => self.record_unreadable(item, &reason),
         }
     }
 
-    fn note_unreadable(&mut self, item: &Item, reason: &str) {
+    fn record_unreadable(&mut self, item: &Item, reason: &str) {
         self.unreadable += 1;
         tracing::error!(
             event = "unreadable-item",
@@ -289,18 +291,18 @@
         );
     }
 
-    /// Returns what has come in force since the last call, with its revision.
+    /// Returns the kind and revision of each change that became active since the last call.
     pub fn take_activated(&mut self) -> Vec<(ChangeKind, u64)> {
-        std::mem::take(&mut self.fresh)
+        std::mem::take(&mut self.activated)
     }
 
-    /// Returns the addresses at which a server has started again since the last call:
-    /// connections from before lead nowhere.
+    /// Returns the addresses at which a server has restarted since the last call. Connections to
+    /// its earlier process are dead.
     pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.restarted)
     }
 
-    fn take_catalog(&mut self, catalog: Arc<Catalog>) {
+    fn apply_catalog(&mut self, catalog: Arc<Catalog>) {
         let before = self.catalog.as_ref().map_or(0, |known| known.version);
         tracing::info!(
             event = "configuration",
@@ -312,24 +314,24 @@
         self.catalog = Some(catalog);
     }
 
-    fn take_server(&mut self, now: Instant, listed: ServerEntry, revision: u64) {
+    fn apply_server(&mut self, now: Instant, entry: ServerEntry, revision: u64) {
         tracing::info!(
             event = "server",
-            server = &*listed.id,
-            service = &*listed.service,
-            version = &*listed.version,
-            state = ?listed.state
+            server = &*entry.id,
+            service = &*entry.service,
+            version = &*entry.version,
+            state = ?entry.state
         );
-        if let Some(known) = self.servers.get_mut(&listed.id) {
-            if known.entry.started_ms == listed.started_ms {
-                known.update(now, listed, revision);
+        if let Some(known) = self.servers.get_mut(&entry.id) {
+            if known.entry.started_ms == entry.started_ms {
+                known.update(now, entry, revision);
                 return;
             }
             tracing::info!(
                 event = "server-restarted",
-                server = &*listed.id,
+                server = &*entry.id,
                 before_ms = known.entry.started_ms,
-                started_ms = listed.started_ms,
+                started_ms = entry.started_ms,
                 running = known.running
             );
             self.restarted.push(known.entry.address);
@@ -337,14 +339,14 @@
         let warmup_ms = self
             .catalog
             .as_ref()
-            .map_or(0, |catalog| catalog.warmup_ms(&listed.service));
-        let server = Server::new(now, listed, warmup_ms);
+            .map_or(0, |catalog| catalog.warmup_ms(&entry.service));
+        let server = Server::new(now, entry, warmup_ms);
         self.servers.insert(server.entry.id.clone(), server);
     }
 
-    /// Takes in an order to evacuate `zone`, or its withdrawal. The servers of a zone that is given
-    /// back may have gone cold meanwhile, and their entries tell so a moment later.
-    fn take_evacuation(&mut self, now: Instant, zone: Arc<str>, is_ordered: bool, revision: u64) {
+    /// Applies an order to evacuate `zone`, or its withdrawal. The servers of a returned zone may
+    /// have gone cold in the meantime, and their entries state it only a moment later.
+    fn apply_evacuation(&mut self, now: Instant, zone: Arc<str>, is_ordered: bool, revision: u64) {
         if is_ordered {
             tracing::info!(event = "zone-evacuated", zone = &*zone, revision);
             self.evacuated.entry(zone).or_insert(now);
@@ -364,8 +366,8 @@
         }
     }
 
-    fn lose_server(&mut self, now: Instant, id: &str) {
-        let held = self.outage.hold_until(now);
+    fn remove_server(&mut self, now: Instant, id: &str) {
+        let hold_until = self.outage.hold_until(now);
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
@@ -373,9 +375,9 @@
         tracing::info!(
             event = "server-gone",
             server = id,
-            held_s = held.map(|until| until.since(now).as_secs_f64())
+            held_s = hold_until.map(|until| until.since(now).as_secs_f64())
         );
-        match held {
+        match hold_until {
             Some(until) if !is_draining => server.expires_at = Some(until),
             _ => {
                 self.servers.remove(id);
@@ -383,7 +385,7 @@
         }
     }
 
-    fn take_rollout(&mut self, now: Instant, rollout: Rollout, order_revision: u64) {
+    fn apply_rollout(&mut self, now: Instant, rollout: Rollout, order_revision: u64) {
         tracing::info!(
             event = "rollout-ordered",
             service = &*rollout.service,
@@ -405,7 +407,7 @@
         self.orders.insert(order.rollout.service.clone(), order);
     }
 
-    fn take_own(&mut self, item: &Item) {
+    fn apply_node_entry(&mut self, item: &Item) {
         let Some(name) = item.key.strip_prefix(NODES) else {
             return;
         };
