--- a/crates/node/src/commands/gateway.rs
+++ b/crates/node/src/commands/gateway.rs
@@ -6,13 +6,13 @@
 use anyhow::Result;
 use clap::Args;
 use fescuerack_gateway::process;
-use fescuerack_platform::{Adapter, SETTINGS, read_settings};
+use fescuerack_platform::{Adapter, SETTINGS_FILE_ENV, read_settings};
 
 /// Routes callers' requests on the users' platform.
 #[derive(Debug, Args)]
 pub struct Gateway {
     /// Settings file of the machine, in the platform's format.
-    #[arg(long, value_name = "FILE", env = SETTINGS)]
+    #[arg(long, value_name = "FILE", env = SETTINGS_FILE_ENV)]
     settings: PathBuf,
 }
 
