--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -10,26 +10,26 @@
 use crate::server::Server;
 use crate::view::View;
 
-/// Milliseconds for which it is cached whether this node is among the users of a server. Servers are
-/// picked more often than nodes come and go.
+/// Milliseconds for which a node caches whether it is a sender for a server. Servers are picked
+/// more often than nodes join and leave.
 const MEMBERSHIP_TTL_MS: u64 = 500;
 
-/// The membership of this node in the users of each server that is warming up, by the hash of the
-/// server's identity.
+/// Whether this node is a sender for each server that is warming up, by the hash of the server's
+/// identity.
 #[derive(Debug)]
 pub struct Warming {
-    /// From when this node counts itself among the users.
+    /// Time from which this node may be a sender.
     ready_at: Instant,
     memberships: HashMap<u64, Membership>,
 }
 
-/// Whether this node is a user of one server, and when it may send the next request.
+/// Whether this node is a sender for one server, and when it may send the next request.
 #[derive(Clone, Copy, Debug)]
 struct Membership {
-    is_user: bool,
-    /// Until when `is_user` is valid.
+    is_sender: bool,
+    /// Time until which `is_sender` is valid.
     until: Instant,
-    turn: Pacer,
+    pacer: Pacer,
 }
 
 impl Warming {
@@ -66,19 +66,19 @@
     let cached = warming.memberships.get(&server.identity).copied();
     let cached = cached.filter(|cached| now < cached.until);
     let membership = cached.unwrap_or_else(|| {
-        let turn = warming
+        let pacer = warming
             .memberships
             .get(&server.identity)
-            .map(|cached| cached.turn);
+            .map(|cached| cached.pacer);
         let membership = Membership {
-            is_user: is_user(node, view, server, limit),
+            is_sender: is_sender(node, view, server, limit),
             until: now.plus_millis(MEMBERSHIP_TTL_MS),
-            turn: turn.unwrap_or_default(),
+            pacer: pacer.unwrap_or_default(),
         };
         warming.memberships.insert(server.identity, membership);
         membership
     });
-    membership.is_user && membership.turn.is_due(now)
+    membership.is_sender && membership.pacer.is_due(now)
 }
 
 /// Records that a request is sent to `server` now.
@@ -96,7 +96,7 @@
         .memberships
         .get_mut(&server.identity)
     {
-        membership.turn.record_send(now, spacing_ms);
+        membership.pacer.record_send(now, spacing_ms);
     }
     let service = &*server.entry.service;
     node.metrics
@@ -105,11 +105,12 @@
         .inc();
 }
 
-fn is_user(node: &Node, view: &View, server: &Server, limit: Limit) -> bool {
+/// Returns whether this node is a sender for the server.
+fn is_sender(node: &Node, view: &View, server: &Server, limit: Limit) -> bool {
     let settings = node.settings.borrow();
     let names = view.nodes.keys().map(String::as_str);
-    let users = limit.senders(view.node_count());
-    warmup::is_sender(&settings.instance, names, server.identity, users)
+    let senders = limit.senders(view.node_count());
+    warmup::is_sender(&settings.instance, names, server.identity, senders)
 }
 
 /// Returns the limit of the server while it is cold; `None` if its service states none.
