--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -15,7 +15,7 @@
 use super::prompt::Prompt;
 use super::upstream::{self, Events};
 use crate::admission::Meter;
-use crate::in_flight::LEAVING;
+use crate::in_flight::LEAVING_MESSAGE;
 use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::versions::suspects;
 
@@ -249,7 +249,9 @@
 pub fn outcome_of(fault: &Fault) -> AttemptOutcome {
     match fault {
         Fault::NotSent(_) => AttemptOutcome::NotRun,
-        Fault::Refused { message, .. } if message.trim() == LEAVING => AttemptOutcome::NotRun,
+        Fault::Refused { message, .. } if message.trim() == LEAVING_MESSAGE => {
+            AttemptOutcome::NotRun
+        }
         Fault::Unknown(_) | Fault::Malformed(_) => AttemptOutcome::Unknown,
         Fault::Refused { .. } => AttemptOutcome::Failed,
     }
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -1,4 +1,6 @@
-//! An attempt that runs on a backend server: what it tells the tables.
+//! Attempts in flight on backend servers: chooses the server of an attempt and
+//! records the attempt's progress and outcome in the route table and in the
+//! pools.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,10 +13,10 @@
 
 use crate::shared::{Shared, lock};
 
-/// What a server that leaves says in a refusal.
-pub const LEAVING: &str = "leaving";
+/// Message with which a server that shuts down refuses a request.
+pub const LEAVING_MESSAGE: &str = "leaving";
 
-/// An attempt that runs on a backend server; dropping it ends the count.
+/// An attempt in flight on a backend server. Dropping it records its end.
 pub struct InFlight {
     shared: Arc<Shared>,
     /// The server.
@@ -25,21 +27,21 @@
     pub address: String,
     start: Instant,
     work: u32,
-    clear: bool,
-    answered: bool,
+    had_free_slot: bool,
+    has_answered: bool,
     outcome: Outcome,
 }
 
 impl Shared {
-    /// Chooses a backend server for a call of a plain service and counts an
-    /// attempt on it.
+    /// Chooses a backend server for a call of a plain service and starts an
+    /// attempt on it. Returns `None` when no server is available.
     #[must_use]
     pub fn start_attempt(
         self: &Arc<Self>,
         fleets: &[key::Fleet],
         avoid: &BTreeSet<key::Server>,
     ) -> Option<InFlight> {
-        let ask = Request {
+        let request = Request {
             fleets,
             avoid,
             work: 1,
@@ -47,20 +49,21 @@
             prefix: None,
             adapter: None,
         };
-        self.start_attempt_with(&ask)
+        self.start_attempt_with(&request)
     }
 
-    /// Chooses a backend server and counts an attempt on it.
+    /// Chooses a backend server for a request and starts an attempt on it.
+    /// Returns `None` when no server is available.
     #[must_use]
-    pub fn start_attempt_with(self: &Arc<Self>, ask: &Request<'_>) -> Option<InFlight> {
+    pub fn start_attempt_with(self: &Arc<Self>, request: &Request<'_>) -> Option<InFlight> {
         let now = self.now();
         let mut routes = lock(&self.routes);
-        let server = routes.choose(now, ask, &mut *lock(&self.rng))?;
-        let clear = routes.start_attempt(now, server, ask.work);
+        let server = routes.choose(now, request, &mut *lock(&self.rng))?;
+        let had_free_slot = routes.start_attempt(now, server, request.work);
         let found = routes.get(server)?;
         let (fleet, address) = (found.fleet, found.address.clone());
         drop(routes);
-        if ask.avoid.is_empty() {
+        if request.avoid.is_empty() {
             lock(&self.pools).record_first_attempt(now, fleet);
         }
         Some(InFlight {
@@ -69,27 +72,28 @@
             fleet,
             address,
             start: now,
-            work: ask.work,
-            clear,
-            answered: false,
+            work: request.work,
+            had_free_slot,
+            has_answered: false,
             outcome: Outcome::Ignored,
         })
     }
 }
 
 impl InFlight {
-    /// Records that a part of the answer came; only the first one counts.
+    /// Records that a part of the answer has arrived. Only the first part
+    /// counts: it gives the time to first token.
     pub fn record_part(&mut self) {
-        if self.answered {
+        if self.has_answered {
             return;
         }
-        self.answered = true;
+        self.has_answered = true;
         let now = self.shared.now();
         let took = now.since(self.start).as_secs_f64();
-        lock(&self.shared.routes).record_first_token(now, self.server, took, self.clear);
+        lock(&self.shared.routes).record_first_token(now, self.server, took, self.had_free_slot);
     }
 
-    /// Records that the answer is whole.
+    /// Records that the answer is complete.
     pub fn record_success(&mut self) {
         self.outcome = Outcome::Success;
     }
@@ -97,12 +101,12 @@
     /// Records that the attempt failed.
     pub fn record_failure(&mut self, fault: &Fault) {
         self.outcome = match fault {
-            Fault::Refused { message, .. } if message.trim() == LEAVING => {
+            Fault::Refused { message, .. } if message.trim() == LEAVING_MESSAGE => {
                 lock(&self.shared.routes).mark_leaving(self.shared.now(), self.server);
                 Outcome::Ignored
             }
-            // The request was wrong, or the server has too much to do: neither
-            // says that it is sick.
+            // The request was invalid or the server is overloaded: neither
+            // means that the server is unhealthy.
             Fault::Refused { status, .. } if *status < 500 || *status == 503 => Outcome::Ignored,
             Fault::Refused { .. } | Fault::NotSent(_) | Fault::Unknown(_) | Fault::Malformed(_) => {
                 Outcome::Failure
@@ -110,7 +114,7 @@
         };
     }
 
-    /// Records how a call of a plain service ended.
+    /// Records the result of a call of a plain service.
     pub fn record_service_result(&mut self, result: &Result<Answer, Fault>) {
         match result {
             Ok(answer) => {
@@ -125,7 +129,8 @@
         }
     }
 
-    /// Takes a retry from the budget of the server's pool.
+    /// Takes a retry from the budget of the server's pool; returns whether the
+    /// budget allowed it.
     #[must_use]
     pub fn try_take_retry(&self) -> bool {
         self.shared.try_take_retry(self.fleet)
@@ -133,16 +138,17 @@
 }
 
 impl Shared {
-    /// Takes a retry from the budget of a pool.
+    /// Takes a retry from the budget of a pool; returns whether the budget
+    /// allowed it.
     #[must_use]
     pub fn try_take_retry(&self, fleet: key::Fleet) -> bool {
-        let may = lock(&self.pools).try_take_retry(self.now(), fleet);
-        self.metrics.count(if may {
+        let is_allowed = lock(&self.pools).try_take_retry(self.now(), fleet);
+        self.metrics.count(if is_allowed {
             "attempts.retried"
         } else {
             "attempts.retry_denied"
         });
-        may
+        is_allowed
     }
 }
 
@@ -150,11 +156,11 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut routes = lock(&self.shared.routes);
-        routes.end_attempt(now, self.server, self.work, self.outcome, self.answered);
+        routes.end_attempt(now, self.server, self.work, self.outcome, self.has_answered);
         drop(routes);
         if self.outcome != Outcome::Ignored {
-            let well = self.outcome == Outcome::Success;
-            lock(&self.shared.pools).record_result(now, self.fleet, well);
+            let is_success = self.outcome == Outcome::Success;
+            lock(&self.shared.pools).record_result(now, self.fleet, is_success);
         }
     }
 }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -226,7 +226,7 @@
         kept_until,
         copies,
     });
-    let is_held = matches!(keeper.ask::<bool>(shared, &hold).await, Ok(true));
+    let is_held = matches!(keeper.call::<bool>(shared, &hold).await, Ok(true));
     if !is_held {
         shared.metrics.count("ledger.copy_failed");
         // Another one next time; this one writes what it holds after a while,
--- a/crates/node/src/peer_fallback.rs
+++ b/crates/node/src/peer_fallback.rs
@@ -1,10 +1,10 @@
-//! What instances do for each other while the store is out: they give their
-//! copy of the configuration, hold copies of ledger entries and take over the
-//! ledger of an instance that ends.
+//! Calls by which instances replace the store during a store outage: they serve
+//! their copy of the configuration, hold copies of ledger entries, and take
+//! over the ledger of an instance that shuts down.
 //!
 //! Every call is sealed with the fleet's key, like the exchange of soft state.
-//! A call that is repeated does no harm: a revision only rises, and a reader
-//! of the ledger drops doubles.
+//! A repeated call is harmless: a revision only rises, and readers of the
+//! ledger drop duplicates.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -24,142 +24,152 @@
 
 use crate::shared::{Shared, lock};
 
-/// Largest answer, in bytes: one file of the configuration, as JSON text.
+/// Largest size of an answer: one file of the configuration, as JSON text.
 pub const MAX_ANSWER_BYTES: u32 = 4 << 20;
-/// Bytes of entries that go into one call; the port takes 64 KB.
+/// Largest size of the ledger entries in one call. The peers' port accepts
+/// messages of 64 KB.
 pub const MAX_BATCH_BYTES: usize = 32 << 10;
-/// Time within which a peer must answer.
-const TIMEOUT: Duration = Duration::from_millis(500);
+/// Time-out of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Name of the JSON-RPC method.
 const METHOD: &str = "aid";
-/// JSON-RPC error code of a call that is refused.
+/// JSON-RPC error code of a refused call.
 const REFUSED: i32 = -32_001;
 
-/// What one instance asks of another.
+/// A request from one instance to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
-    /// The manifest in force; none when there is none.
+    /// Returns the active manifest, or `None` without an active configuration.
     Manifest,
-    /// The content of a file of the configuration in force, by its digest.
+    /// Returns the content of a file of the active configuration by its digest.
     File(String),
-    /// To hold copies of ledger entries; answers whether they are held.
+    /// Holds copies of ledger entries; returns whether the peer accepted them.
     Hold(Hold),
-    /// To keep ledger entries as its own; answers whether it does.
+    /// Adds ledger entries to the peer's own ledger; returns whether the peer
+    /// accepted them.
     Adopt(Vec<Entry>),
 }
 
-/// Registers the method at the port for peers.
+/// Registers the JSON-RPC method at the peers' port.
 ///
 /// # Errors
 ///
-/// When the method is registered already.
+/// Returns an error if the method is already registered.
 pub fn register(module: &mut RpcModule<Arc<Shared>>) -> Result<()> {
     module.register_method(METHOD, |params, shared, _| {
         let sealed: Sealed = params.one()?;
         let key = shared.settings.peer_key.as_bytes();
-        let ask: Request = peer::open(key, &sealed).map_err(|refusal| {
+        let request: Request = peer::open(key, &sealed).map_err(|refusal| {
             shared.metrics.count("aid.refused");
             ErrorObjectOwned::owned(REFUSED, refusal.to_string(), None::<()>)
         })?;
-        Ok::<_, ErrorObjectOwned>(answer(shared, ask))
+        Ok::<_, ErrorObjectOwned>(answer(shared, request))
     })?;
     Ok(())
 }
 
-fn answer(shared: &Shared, ask: Request) -> Sealed {
+fn answer(shared: &Shared, request: Request) -> Sealed {
     let key = shared.settings.peer_key.as_bytes();
-    match ask {
+    match request {
         Request::Manifest => peer::seal(key, &shared.configuration.manifest()),
         Request::File(digest) => peer::seal(key, &shared.configuration.file(&digest)),
         Request::Hold(hold) => peer::seal(key, &shared.ledger.hold(shared, hold)),
         Request::Adopt(entries) => {
-            let takes = !shared.leaving.load(Ordering::SeqCst) && shared.ledger.adopt(entries);
-            peer::seal(key, &takes)
+            let is_accepted =
+                !shared.leaving.load(Ordering::SeqCst) && shared.ledger.adopt(entries);
+            peer::seal(key, &is_accepted)
         }
     }
 }
 
-/// A peer that is asked again and again; keeps its connection.
+/// A client for repeated calls to one peer, which keeps its connection open.
 #[derive(Clone, Debug)]
 pub struct Peer {
     client: HttpClient,
 }
 
 impl Peer {
-    /// Prepares to ask the peer at `address`.
+    /// Creates a client of the peer at `address`.
     ///
     /// # Errors
     ///
-    /// When the address is malformed.
+    /// Returns an error if the address is malformed.
     pub fn new(address: &str) -> Result<Self> {
         let client = HttpClientBuilder::default()
-            .request_timeout(TIMEOUT)
+            .request_timeout(CALL_TIMEOUT)
             .max_response_size(MAX_ANSWER_BYTES)
             .build(format!("http://{address}"))?;
         Ok(Self { client })
     }
 
-    /// Asks the peer.
+    /// Sends a request to the peer and returns its answer.
     ///
     /// # Errors
     ///
-    /// When there is no usable answer; the peer may have done what was asked.
-    pub async fn ask<R: DeserializeOwned>(&self, shared: &Shared, ask: &Request) -> Result<R> {
+    /// Returns an error if no usable answer arrives. The peer may nevertheless
+    /// have executed the request.
+    pub async fn call<R: DeserializeOwned>(&self, shared: &Shared, request: &Request) -> Result<R> {
         let key = shared.settings.peer_key.as_bytes();
-        let parameters = rpc_params![peer::seal(key, ask)];
+        let parameters = rpc_params![peer::seal(key, request)];
         let sealed: Sealed = self.client.request(METHOD, parameters).await?;
         Ok(peer::open(key, &sealed)?)
     }
 }
 
-/// Asks the peer at `address` once.
+/// Sends one request to the peer at `address` and returns its answer.
 ///
 /// # Errors
 ///
-/// When there is no usable answer; the peer may have done what was asked.
-pub async fn call<R: DeserializeOwned>(shared: &Shared, address: &str, ask: &Request) -> Result<R> {
-    Peer::new(address)?.ask(shared, ask).await
+/// Returns an error if no usable answer arrives. The peer may nevertheless have
+/// executed the request.
+pub async fn call<R: DeserializeOwned>(
+    shared: &Shared,
+    address: &str,
+    request: &Request,
+) -> Result<R> {
+    Peer::new(address)?.call(shared, request).await
 }
 
-/// Returns the addresses of at most `most` random instances that are live.
-pub fn random_peers(shared: &Shared, most: usize) -> Vec<String> {
-    let mut others = live_peers(shared);
-    others.sort_by_cached_key(|_| shared.random());
-    let addresses = others.into_iter().map(|(_, address)| address);
-    addresses.take(most).collect()
+/// Returns the addresses of up to `max_count` random live peers.
+pub fn random_peers(shared: &Shared, max_count: usize) -> Vec<String> {
+    let mut peers = live_peers(shared);
+    peers.sort_by_cached_key(|_| shared.random());
+    let addresses = peers.into_iter().map(|(_, address)| address);
+    addresses.take(max_count).collect()
 }
 
-/// Returns the address of a random live instance, in another availability zone
-/// if there is one, which is to hold copies of the ledger.
+/// Chooses a random live peer to hold copies of the ledger, in another
+/// availability zone if there is one; returns its address.
 pub fn copy_holder(shared: &Shared) -> Option<String> {
-    let own = &shared.settings.zone;
-    let mut others = live_peers(shared);
-    others.sort_by_cached_key(|(zone, _)| (zone == own, shared.random()));
-    others.into_iter().next().map(|(_, address)| address)
+    let local_zone = &shared.settings.zone;
+    let mut peers = live_peers(shared);
+    peers.sort_by_cached_key(|(zone, _)| (zone == local_zone, shared.random()));
+    peers.into_iter().next().map(|(_, address)| address)
 }
 
-/// Returns zone and address of every live instance but the own one.
+/// Returns the availability zone and the address of every live peer.
 fn live_peers(shared: &Shared) -> Vec<(String, String)> {
     let now = shared.now();
     let member = lock(&shared.member);
     let view = &member.view;
     let live = view.iter().filter(|(key, _)| view.is_live(now, *key));
-    live.map(|(_, other): (_, &member::Instance)| (other.zone.clone(), other.address.clone()))
+    live.map(|(_, peer): (_, &member::Instance)| (peer.zone.clone(), peer.address.clone()))
         .collect()
 }
 
-/// Returns how many instances share the store's rate.
+/// Returns the number of instances that share the store's request rate.
 pub fn fleet_size(shared: &Shared) -> u32 {
     let size = lock(&shared.member).view.size();
     u32::try_from(size).unwrap_or(u32::MAX)
 }
 
-/// Reads a file of the configuration from a peer.
+/// Fetches a file of the configuration from a peer by its digest.
 ///
 /// # Errors
 ///
-/// When the peer does not give it.
+/// Returns an error if the peer does not return the file, or if the file is
+/// larger than a value in the store may be.
 pub async fn fetch_file(shared: &Shared, address: &str, digest: &str) -> Result<String> {
     let file: Option<String> = call(shared, address, &Request::File(digest.to_owned())).await?;
     let file = file.context("the peer does not have the file")?;
