--- a/crates/node/src/activation.rs
+++ b/crates/node/src/activation.rs
@@ -1,11 +1,11 @@
-//! Follows the manifest and puts each accepted configuration in force.
+//! Follows the manifest in the store and activates each accepted configuration.
 //!
-//! Every instance waits at the store for a change, in long waits, since each
-//! counts as a call. An event that is missed shows in the next message of a
-//! peer, which names its revision. While the store is out, peers give their
-//! verified copy: to an instance that has just started, and to one that hears
-//! of a newer revision. See `docs/design/configuration.md` for the ways that
-//! were weighed.
+//! Every instance watches the manifest with long polls, because each poll
+//! counts as a call against the store's rate. An instance that misses an event
+//! learns of the revision from the next message of a peer, which carries the
+//! peer's revision. During a store outage an instance fetches a verified copy
+//! from its peers if it has no configuration yet or has learned of a newer
+//! revision. `docs/design/configuration.md` compares the alternatives.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -24,45 +24,49 @@
 use crate::stop::Stop;
 
 /// Time for which one watch waits at the store.
-const WATCH: Duration = Duration::from_secs(30);
-/// Time between two reads of the manifest without any event. An instance that
-/// misses its event and hears no peer is late by this at most.
-const READ_EVERY: Duration = Duration::from_secs(30);
-/// The same while a newer revision is known to exist, or none is in force yet.
-const READ_AGAIN: Duration = Duration::from_millis(200);
-/// Pause of the watch after an event.
-const BETWEEN_WATCHES: Duration = Duration::from_millis(20);
-/// Reads per second that the fleet may spend when all read after a change.
-const AFTER_CHANGE: u64 = 900;
-/// Reads of one instance after a change: the wait, the manifest, one file.
-const READS: u64 = 3;
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two reads of the manifest without an event. An instance that
+/// misses an event and receives no message of a peer is late by at most this.
+const READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Time between two reads while a newer revision is known to exist, or while no
+/// configuration is active yet.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(200);
+/// Pause between an event and the next watch.
+const WATCH_PAUSE: Duration = Duration::from_millis(20);
+/// Store calls per second that all instances of the fleet together may make
+/// after a change.
+const FLEET_CALLS_PER_SECOND: u64 = 900;
+/// Store calls of one instance after a change: the watch, the manifest and one
+/// file.
+const CALLS_PER_CHANGE: u64 = 3;
 
-/// Peers that are asked for their copy.
+/// Number of peers that are asked for their copy.
 const PEERS_ASKED: usize = 5;
 
-/// Where the configuration in force came from.
+/// Source of the active configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
-    /// Nowhere yet.
+    /// There is no active configuration yet.
     #[default]
     None,
     /// The store.
     Store,
-    /// A peer, since the store was out.
+    /// A peer, because the store was unavailable.
     Peer(String),
 }
 
-/// State of the configuration in one process.
+/// State of the active configuration in one process.
 #[derive(Debug, Default)]
 pub struct State {
     inner: Mutex<Inner>,
-    heard: AtomicU64,
-    /// Version of the manifest that was read last.
-    seen: AtomicU64,
+    /// Highest revision that a peer has reported.
+    peer_revision: AtomicU64,
+    /// Store version of the manifest that was read last.
+    manifest_version: AtomicU64,
     /// Whether there is a reason to read the manifest.
-    due: Mutex<bool>,
-    changed: Condvar,
+    is_read_due: Mutex<bool>,
+    read_due: Condvar,
 }
 
 #[derive(Debug, Default)]
@@ -72,57 +76,57 @@
     folder: Folder,
     source: Source,
     problem: Option<String>,
-    store_out: bool,
+    is_store_out: bool,
 }
 
 impl State {
-    /// Takes note of the revision at a peer.
+    /// Records the revision of a peer.
     pub fn record_peer_revision(&self, revision: u64) {
-        if self.heard.fetch_max(revision, Ordering::SeqCst) < revision {
-            self.wake();
+        if self.peer_revision.fetch_max(revision, Ordering::SeqCst) < revision {
+            self.request_read();
         }
     }
 
-    fn wake(&self) {
-        *lock(&self.due) = true;
-        self.changed.notify_all();
+    fn request_read(&self) {
+        *lock(&self.is_read_due) = true;
+        self.read_due.notify_all();
     }
 
-    /// Waits for a reason to read the manifest, but not longer than `wait`.
-    fn wait(&self, wait: Duration) {
-        let due = lock(&self.due);
-        let (mut due, _) = self
-            .changed
-            .wait_timeout_while(due, wait, |due| !*due)
+    /// Waits for a reason to read the manifest, for at most `timeout`.
+    fn wait(&self, timeout: Duration) {
+        let is_due = lock(&self.is_read_due);
+        let (mut is_due, _) = self
+            .read_due
+            .wait_timeout_while(is_due, timeout, |is_due| !*is_due)
             .unwrap_or_else(PoisonError::into_inner);
-        *due = false;
+        *is_due = false;
     }
 
-    /// Returns how long to wait for a reason to read: shortly while there is
-    /// no configuration, or while a peer has a newer one than the last read
-    /// showed.
-    fn pause(&self) -> Duration {
+    /// Returns the time until the next read without an event. It is short while
+    /// there is no configuration, and while a peer has a newer revision than
+    /// the last read returned.
+    fn read_interval(&self) -> Duration {
         let inner = lock(&self.inner);
-        let heard = self.heard.load(Ordering::SeqCst);
+        let peer_revision = self.peer_revision.load(Ordering::SeqCst);
         let known = inner
             .follower
             .revision()
             .max(inner.follower.refused().unwrap_or(0));
-        if known == 0 || heard > known {
-            READ_AGAIN
+        if known == 0 || peer_revision > known {
+            CATCH_UP_INTERVAL
         } else {
-            READ_EVERY
+            READ_INTERVAL
         }
     }
 
-    /// Returns the manifest in force; none without a configuration.
+    /// Returns the active manifest, or `None` without an active configuration.
     pub fn manifest(&self) -> Option<Manifest> {
         let inner = lock(&self.inner);
         (inner.manifest.revision > 0).then(|| inner.manifest.clone())
     }
 
-    /// Returns the content of a file in force; files are UTF-8, or they would
-    /// not have been accepted.
+    /// Returns the content of a file of the active configuration. Files are
+    /// UTF-8, because others are not accepted.
     pub fn file(&self, digest: &str) -> Option<String> {
         let inner = lock(&self.inner);
         let mut files = inner.manifest.files.iter();
@@ -131,7 +135,7 @@
         std::str::from_utf8(content).ok().map(str::to_owned)
     }
 
-    /// Returns the state for the dump.
+    /// Returns the state for the state dump.
     pub fn state(&self) -> serde_json::Value {
         let inner = lock(&self.inner);
         json!({
@@ -139,21 +143,21 @@
             "source": inner.source,
             "refused": inner.follower.refused(),
             "problem": inner.problem,
-            "store_out": inner.store_out,
-            "heard": self.heard.load(Ordering::SeqCst),
+            "store_out": inner.is_store_out,
+            "heard": self.peer_revision.load(Ordering::SeqCst),
         })
     }
 }
 
-/// Waits at the store for changes until `stop` is set.
+/// Watches the manifest in the store until `stop` is set.
 pub fn watch(shared: &Arc<Shared>, stop: &Stop) {
     let mut backoff = Backoff::new(shared.random());
     loop {
-        let seen = shared.configuration.seen.load(Ordering::SeqCst);
-        let result = shared.store.watch(manifest::KEY, seen, WATCH);
+        let version = shared.configuration.manifest_version.load(Ordering::SeqCst);
+        let result = shared.store.watch(manifest::KEY, version, WATCH_TIMEOUT);
         let now = shared.wall.now();
         let pause = match result {
-            Ok(latest) if latest > seen => spread(shared),
+            Ok(latest) if latest > version => jitter(shared),
             Ok(_) => Duration::ZERO,
             Err(_) => backoff.next(now).since(now),
         };
@@ -163,29 +167,31 @@
         if stop.wait(pause) {
             return;
         }
-        shared.configuration.wake();
-        // The read moves `seen` on; without a pause the same event would come
-        // again before it has.
-        if stop.wait(BETWEEN_WATCHES) {
+        shared.configuration.request_read();
+        // The read advances `manifest_version`. Without a pause, the next watch
+        // would start before that and return the same event again.
+        if stop.wait(WATCH_PAUSE) {
             return;
         }
     }
 }
 
-/// Reads the manifest when there is a reason to, until `stop` is set.
+/// Reads the manifest whenever there is a reason to, until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     let mut backoff = Backoff::new(shared.random());
     loop {
-        share(shared);
-        let is_read = look(shared).is_ok();
-        note_store(shared, !is_read);
+        update_store_share(shared);
+        let is_read = read_manifest(shared).is_ok();
+        record_store_state(shared, !is_read);
         let pause = if is_read {
             backoff.reset();
-            shared.configuration.wait(shared.configuration.pause());
+            shared
+                .configuration
+                .wait(shared.configuration.read_interval());
             Duration::ZERO
         } else {
             shared.metrics.count("force.store_failed");
-            ask_peers(shared);
+            fetch_from_peers(shared);
             let now = shared.wall.now();
             backoff.next(now).since(now)
         };
@@ -195,52 +201,52 @@
     }
 }
 
-/// Keeps to this instance's share of the store's rate.
-fn share(shared: &Shared) {
+/// Sets this instance's share of the store's rate from the size of the fleet.
+fn update_store_share(shared: &Shared) {
     shared.store.share(peer_fallback::fleet_size(shared));
 }
 
-fn note_store(shared: &Shared, out: bool) {
+fn record_store_state(shared: &Shared, is_out: bool) {
     let mut inner = lock(&shared.configuration.inner);
-    if inner.store_out == out {
+    if inner.is_store_out == is_out {
         return;
     }
-    inner.store_out = out;
-    if out {
+    inner.is_store_out = is_out;
+    if is_out {
         log::warn!("the configuration store gives no answer");
     } else {
         log::info!("the configuration store answers again");
     }
 }
 
-/// Reads the manifest and puts it in force. The version that was read, and not
-/// the one of the event, is waited on next: after an old read the same event
-/// must come again.
-fn look(shared: &Shared) -> Result<()> {
+/// Reads the manifest and activates its configuration. The next watch waits on
+/// the version that was read and not on the version of the event: if the read
+/// returned an old version, the same event must be returned again.
+fn read_manifest(shared: &Shared) -> Result<()> {
     let Some((version, manifest)) = manifest::read(&shared.store)? else {
         return Ok(());
     };
-    let desk = &shared.configuration;
-    desk.seen.fetch_max(version, Ordering::SeqCst);
-    let decision = lock(&desk.inner).follower.decide(&manifest);
+    let state = &shared.configuration;
+    state.manifest_version.fetch_max(version, Ordering::SeqCst);
+    let decision = lock(&state.inner).follower.decide(&manifest);
     if decision == Decision::Fetch {
-        let have = lock(&desk.inner).folder.clone();
-        let folder = manifest::fetch_with(&shared.store, &manifest, &have)?;
-        put(shared, manifest, folder, &Source::Store);
+        let current = lock(&state.inner).folder.clone();
+        let folder = manifest::fetch_with(&shared.store, &manifest, &current)?;
+        activate(shared, manifest, folder, &Source::Store);
     }
     Ok(())
 }
 
-/// Returns a random pause that spreads the fleet's reads after a change.
-fn spread(shared: &Shared) -> Duration {
+/// Returns a random delay that spreads the reads of the fleet after a change.
+fn jitter(shared: &Shared) -> Duration {
     let nodes = u64::from(peer_fallback::fleet_size(shared));
-    let width_ms = nodes * READS * 1000 / AFTER_CHANGE;
+    let width_ms = nodes * CALLS_PER_CHANGE * 1000 / FLEET_CALLS_PER_SECOND;
     Duration::from_millis(shared.random() % (width_ms + 1))
 }
 
-/// Puts a verified configuration in force, or refuses it whole; the old one
-/// then stays.
-fn put(shared: &Shared, manifest: Manifest, folder: Folder, source: &Source) {
+/// Activates a verified configuration. If it does not compile, it is refused as
+/// a whole and the previous one stays active.
+fn activate(shared: &Shared, manifest: Manifest, folder: Folder, source: &Source) {
     let revision = manifest.revision;
     let active = match compile(shared, revision, &folder) {
         Ok(active) => active,
@@ -251,10 +257,10 @@
         return;
     }
     inner.follower.activate(revision);
-    let was_put = shared.activate(active);
+    let is_activated = shared.activate(active);
     assert!(
-        was_put,
-        "the follower and the configuration in force differ"
+        is_activated,
+        "the follower and the active configuration differ"
     );
     inner.manifest = manifest;
     inner.folder = folder;
@@ -263,7 +269,7 @@
     drop(inner);
     shared.metrics.count("force.changed");
     let source = format!("{source:?}");
-    log::info!(revision, source; "configuration in force");
+    log::info!(revision, source; "configuration activated");
 }
 
 fn refuse(shared: &Shared, revision: u64, problem: &anyhow::Error) {
@@ -290,18 +296,18 @@
     })
 }
 
-/// Takes the highest verified revision from peers, when this instance has
-/// none or has heard of a newer one.
-fn ask_peers(shared: &Arc<Shared>) {
+/// Activates the highest revision that a peer offers and whose files verify, if
+/// this instance has no configuration or has learned of a newer revision.
+fn fetch_from_peers(shared: &Arc<Shared>) {
     let revision = lock(&shared.configuration.inner).follower.revision();
-    let heard = shared.configuration.heard.load(Ordering::SeqCst);
-    if revision > 0 && heard <= revision {
+    let peer_revision = shared.configuration.peer_revision.load(Ordering::SeqCst);
+    if revision > 0 && peer_revision <= revision {
         return;
     }
     let mut offers = Vec::new();
     for address in peer_fallback::random_peers(shared, PEERS_ASKED) {
-        let asking = peer_fallback::call::<Option<Manifest>>(shared, &address, &Request::Manifest);
-        match shared.runtime.block_on(asking) {
+        let call = peer_fallback::call::<Option<Manifest>>(shared, &address, &Request::Manifest);
+        match shared.runtime.block_on(call) {
             Ok(Some(manifest)) => offers.push((manifest, address)),
             Ok(None) => {}
             Err(_) => shared.metrics.count("force.peer_failed"),
@@ -309,19 +315,19 @@
     }
     offers.sort_by_key(|(manifest, _)| std::cmp::Reverse(manifest.revision));
     for (manifest, address) in offers {
-        let seen = lock(&shared.configuration.inner).follower.decide(&manifest);
-        if seen != Decision::Fetch {
+        let decision = lock(&shared.configuration.inner).follower.decide(&manifest);
+        if decision != Decision::Fetch {
             continue;
         }
-        if let Ok(folder) = fetch_from(shared, &address, &manifest) {
-            return put(shared, manifest, folder, &Source::Peer(address));
+        if let Ok(folder) = fetch_files(shared, &address, &manifest) {
+            return activate(shared, manifest, folder, &Source::Peer(address));
         }
         shared.metrics.count("force.peer_failed");
     }
 }
 
 /// Fetches the files of a manifest from a peer and verifies them.
-fn fetch_from(shared: &Shared, address: &str, manifest: &Manifest) -> Result<Folder> {
+fn fetch_files(shared: &Shared, address: &str, manifest: &Manifest) -> Result<Folder> {
     let mut folder = Folder::new();
     for (name, file) in &manifest.files {
         let content =
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -1,10 +1,11 @@
-//! Keeps the ledger: in the store, and beside it with a peer.
+//! Writes the billing ledger to the store, and copies entries to a peer while
+//! the store is slow.
 //!
-//! An answer's end waits until its entry is safe: kept in the store, or copied
-//! to a peer when the store cannot keep it in time, for
-//! [`crate::Limits::ledger_wait_ms`] at most. The
-//! first token waits for nothing. See `docs/design/ledger.md` for the ways that
-//! were weighed and their figures.
+//! The end of an answer waits until its ledger entry is durable, for at most
+//! [`crate::Limits::ledger_wait_ms`]. An entry is durable once the store holds
+//! it, or once a peer holds a copy because the store did not store it in time.
+//! The first token never waits. `docs/design/ledger.md` compares the
+//! alternatives, with measurements.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -19,55 +20,57 @@
 use crate::shared::{Shared, lock};
 use crate::stop::Stop;
 
-/// Time that the store has before entries are copied to a peer. When the last
-/// write took longer, the store has no time at all: it is slow, out, or this
-/// instance's share of its rate is used up.
-const STORE_FIRST: Duration = Duration::from_millis(2);
-/// Time of a write, its token included, from which the store counts as late:
-/// twice what it takes in good order.
-const LATE: Duration = Duration::from_millis(5);
-/// Time between two looks when nothing happens, and between two words to the
+/// Time that the store has to store an entry before it is copied to a peer.
+/// After a late write the copy is sent without this delay, because the store is
+/// slow or unavailable, or this instance's share of its rate is used up.
+const COPY_DELAY: Duration = Duration::from_millis(2);
+/// Duration of a write, the wait for its rate token included, above which the
+/// store counts as late. It is twice the usual duration.
+const LATE_WRITE: Duration = Duration::from_millis(5);
+/// Time between two checks without new entries, and between two reports to the
 /// peer that holds copies.
-const IDLE: Duration = Duration::from_secs(1);
-/// Time between two tries while the store is out.
-const RETRY: Duration = Duration::from_millis(200);
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two attempts while the store is unavailable.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// State of the ledger in one process.
+/// The ledger of one process: entries that are not yet stored, and copies of
+/// peers' entries.
 #[derive(Debug)]
 pub struct Ledger {
     buffer: Mutex<Buffer>,
     added: Condvar,
-    copy: Notify,
-    safe: watch::Sender<Ticket>,
+    copy_wanted: Notify,
+    /// Entries before this ticket are durable.
+    durable_until: watch::Sender<Ticket>,
     peer_copies: Mutex<PeerCopies>,
-    /// The peer that holds our copies.
-    keeper: Mutex<Option<Peer>>,
+    /// The peer that holds copies of this process's entries.
+    copy_holder: Mutex<Option<Peer>>,
     /// Whether the last write was late.
-    is_late: AtomicBool,
+    is_store_late: AtomicBool,
 }
 
 impl Ledger {
-    /// Creates an empty ledger of one start of a process.
+    /// Creates an empty ledger for one incarnation of a process.
     pub fn new(incarnation: &str) -> Self {
         Self {
             buffer: Mutex::new(Buffer::new(incarnation, Limits::default())),
             added: Condvar::new(),
-            copy: Notify::new(),
-            safe: watch::Sender::new(Ticket::default()),
+            copy_wanted: Notify::new(),
+            durable_until: watch::Sender::new(Ticket::default()),
             peer_copies: Mutex::new(PeerCopies::new()),
-            keeper: Mutex::new(None),
-            is_late: AtomicBool::new(false),
+            copy_holder: Mutex::new(None),
+            is_store_late: AtomicBool::new(false),
         }
     }
 
-    /// Adds an entry; it will be kept.
+    /// Adds an entry, which will be written to the store.
     pub fn add(&self, entry: Entry) -> Ticket {
         let ticket = lock(&self.buffer).add(entry);
         self.wake();
         ticket
     }
 
-    /// Adds an entry that another instance may add too: that of a claim.
+    /// Adds an entry that another instance may add too: the entry of a claim.
     pub fn add_shared(&self, entry: Entry) -> Ticket {
         let ticket = lock(&self.buffer).add_shared(entry);
         self.wake();
@@ -76,27 +79,28 @@
 
     fn wake(&self) {
         self.added.notify_one();
-        self.copy.notify_one();
+        self.copy_wanted.notify_one();
     }
 
-    /// Waits until an entry is safe, but not longer than `wait`; returns
-    /// whether it is.
-    pub async fn wait_durable(&self, ticket: Ticket, wait: Duration) -> bool {
-        let mut safe = self.safe.subscribe();
-        let waiting = safe.wait_for(|until| *until > ticket);
-        matches!(tokio::time::timeout(wait, waiting).await, Ok(Ok(_)))
+    /// Waits until an entry is durable, for at most `timeout`; returns whether
+    /// it is.
+    pub async fn wait_durable(&self, ticket: Ticket, timeout: Duration) -> bool {
+        let mut durable_until = self.durable_until.subscribe();
+        let waiting = durable_until.wait_for(|until| *until > ticket);
+        matches!(tokio::time::timeout(timeout, waiting).await, Ok(Ok(_)))
     }
 
-    fn tell(&self) {
+    /// Wakes the answers whose entries have become durable.
+    fn publish_durable(&self) {
         let until = lock(&self.buffer).durable_until();
-        self.safe.send_if_modified(|safe| {
-            let rises = until > *safe;
-            *safe = until.max(*safe);
-            rises
+        self.durable_until.send_if_modified(|current| {
+            let has_advanced = until > *current;
+            *current = until.max(*current);
+            has_advanced
         });
     }
 
-    /// Returns the state for the dump.
+    /// Returns the state for the state dump.
     pub fn state(&self) -> serde_json::Value {
         let buffer = lock(&self.buffer);
         serde_json::json!({
@@ -107,17 +111,18 @@
         })
     }
 
-    /// Holds copies of a peer's entries; returns whether it did.
-    pub fn hold(&self, shared: &Shared, asked: Hold) -> bool {
+    /// Holds copies of a peer's entries; returns whether there was room.
+    pub fn hold(&self, shared: &Shared, request: Hold) -> bool {
         let now = shared.wall.now();
-        let is_held = lock(&self.peer_copies).hold(now, asked);
+        let is_held = lock(&self.peer_copies).hold(now, request);
         if !is_held {
             shared.metrics.count("ledger.shelf_full");
         }
         is_held
     }
 
-    /// Takes over the entries of a peer that ends; returns whether it did.
+    /// Takes over the entries of a peer that shuts down; returns whether there
+    /// was room.
     pub fn adopt(&self, entries: Vec<Entry>) -> bool {
         let mut buffer = lock(&self.buffer);
         if !buffer.has_room() {
@@ -130,33 +135,35 @@
         true
     }
 
-    fn wait(&self, wait: Duration) {
+    /// Waits until there is an entry to write, for at most `timeout`.
+    fn wait(&self, timeout: Duration) {
         let buffer = lock(&self.buffer);
         let waited = self
             .added
-            .wait_timeout_while(buffer, wait, |buffer| buffer.is_empty());
+            .wait_timeout_while(buffer, timeout, |buffer| buffer.is_empty());
         drop(waited.unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-/// Keeps entries in the store until `stop` is set.
+/// Writes entries to the store until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
-        shared.ledger.wait(IDLE);
+        shared.ledger.wait(IDLE_INTERVAL);
         take_orphans(shared);
-        if !keep(shared) && stop.wait(RETRY) {
+        if !flush(shared) && stop.wait(RETRY_INTERVAL) {
             return;
         }
     }
 }
 
+/// Takes over the copies whose owner has sent no message for too long.
 fn take_orphans(shared: &Shared) {
     let orphans = lock(&shared.ledger.peer_copies).take_orphans(shared.wall.now());
     if orphans.is_empty() {
         return;
     }
     let count = orphans.len();
-    log::warn!(count; "keeping the ledger entries of a silent peer");
+    log::warn!(count; "taking over the ledger entries of a peer that sends no messages");
     shared.metrics.count("ledger.orphans");
     let mut buffer = lock(&shared.ledger.buffer);
     for entry in orphans {
@@ -164,106 +171,112 @@
     }
 }
 
-/// Writes what the store does not hold yet; returns whether nothing is left.
-pub fn keep(shared: &Shared) -> bool {
-    while let Some(segment) = next(shared) {
-        let begun = shared.now();
+/// Writes all entries that the store does not hold yet; returns whether it
+/// succeeded.
+pub fn flush(shared: &Shared) -> bool {
+    while let Some(segment) = next_segment(shared) {
+        let start = shared.now();
         let written = ledger::write(&shared.ledger_store, &shared.writer(), &segment);
-        let is_late = written.is_err() || shared.now().since(begun) > LATE;
-        shared.ledger.is_late.store(is_late, Ordering::Relaxed);
+        let is_late = written.is_err() || shared.now().since(start) > LATE_WRITE;
+        shared
+            .ledger
+            .is_store_late
+            .store(is_late, Ordering::Relaxed);
         if written.is_err() {
             shared.metrics.count("ledger.store_failed");
             return false;
         }
         lock(&shared.ledger.buffer).mark_stored(segment.sequence);
-        shared.ledger.tell();
+        shared.ledger.publish_durable();
     }
     true
 }
 
-fn next(shared: &Shared) -> Option<Segment> {
+fn next_segment(shared: &Shared) -> Option<Segment> {
     lock(&shared.ledger.buffer).segment().cloned()
 }
 
-/// Copies entries that the store could not keep in time to a peer.
+/// Copies entries to a peer that the store did not store in time.
 pub async fn run_copies(shared: Arc<Shared>) {
-    let desk = &shared.ledger;
+    let ledger = &shared.ledger;
     loop {
-        let waited = tokio::time::timeout(IDLE, desk.copy.notified()).await;
-        if waited.is_ok() && !desk.is_late.load(Ordering::Relaxed) {
-            tokio::time::sleep(STORE_FIRST).await;
+        let waited = tokio::time::timeout(IDLE_INTERVAL, ledger.copy_wanted.notified()).await;
+        if waited.is_ok() && !ledger.is_store_late.load(Ordering::Relaxed) {
+            tokio::time::sleep(COPY_DELAY).await;
         }
-        let mut more = true;
-        while more {
-            more = send(&shared).await;
+        let mut has_more = true;
+        while has_more {
+            has_more = send_copies(&shared).await;
         }
     }
 }
 
-/// Sends a batch of copies, or a word about what is kept, to the peer that
-/// holds ours; returns whether there is more.
-async fn send(shared: &Arc<Shared>) -> bool {
-    let desk = &shared.ledger;
-    let keeper = lock(&desk.keeper).clone();
-    let (copies, kept_until) = {
-        let mut buffer = lock(&desk.buffer);
-        if keeper.is_none() {
-            // What an earlier one held may be gone with it.
+/// Sends a batch of copies to the peer that holds the copies, with a report of
+/// which entries are stored; returns whether there may be more to send.
+async fn send_copies(shared: &Arc<Shared>) -> bool {
+    let ledger = &shared.ledger;
+    let holder = lock(&ledger.copy_holder).clone();
+    let (copies, stored_until) = {
+        let mut buffer = lock(&ledger.buffer);
+        if holder.is_none() {
+            // The copies at the previous holder may be lost with it.
             buffer.reset_copies();
         }
         (buffer.offer(MAX_BATCH_BYTES), buffer.stored_until())
     };
-    if copies.is_empty() && keeper.is_none() {
+    if copies.is_empty() && holder.is_none() {
         return false;
     }
-    let chosen = || Peer::new(&peer_fallback::copy_holder(shared)?).ok();
-    let Some(keeper) = keeper.or_else(chosen) else {
+    let choose = || Peer::new(&peer_fallback::copy_holder(shared)?).ok();
+    let Some(holder) = holder.or_else(choose) else {
         return false;
     };
     let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
     let hold = Request::Hold(Hold {
         owner: shared.owner(),
-        kept_until,
+        kept_until: stored_until,
         copies,
     });
-    let is_held = matches!(keeper.call::<bool>(shared, &hold).await, Ok(true));
+    let is_held = matches!(holder.call::<bool>(shared, &hold).await, Ok(true));
     if !is_held {
         shared.metrics.count("ledger.copy_failed");
-        // Another one next time; this one writes what it holds after a while,
-        // and a reader drops the doubles.
-        *lock(&desk.keeper) = None;
+        // The next call chooses another peer. This one writes its copies to the
+        // store after a while, and readers of the ledger drop the duplicates.
+        *lock(&ledger.copy_holder) = None;
         return false;
     }
     let Some(until) = until else {
-        let done = !lock(&desk.buffer).has_unstored_copies();
-        *lock(&desk.keeper) = (!done).then_some(keeper);
+        let is_done = !lock(&ledger.buffer).has_unstored_copies();
+        *lock(&ledger.copy_holder) = (!is_done).then_some(holder);
         return false;
     };
-    *lock(&desk.keeper) = Some(keeper);
-    lock(&desk.buffer).mark_copied(until);
-    desk.tell();
+    *lock(&ledger.copy_holder) = Some(holder);
+    lock(&ledger.buffer).mark_copied(until);
+    ledger.publish_durable();
     shared.metrics.count("ledger.copied");
     true
 }
 
-/// Ends the ledger of a process that ends: what the store does not take goes
-/// to a peer, and what no peer takes goes to the log as a last resort.
+/// Writes out the ledger of a process that shuts down. Entries that the store
+/// does not accept are handed to a peer; entries that no peer accepts before
+/// the deadline are written to the log as a last resort.
 pub fn finish(shared: &Arc<Shared>, deadline: fescuerack_core::clock::Instant) {
     let held = lock(&shared.ledger.peer_copies).drain();
     for entry in held {
         lock(&shared.ledger.buffer).add_shared(entry);
     }
-    while !keep(shared) {
+    while !flush(shared) {
         if hand_off(shared) {
             return;
         }
         if shared.now() >= deadline {
-            return leave(shared);
+            return log_entries(shared);
         }
-        std::thread::sleep(RETRY);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
+/// Hands all entries to a peer; returns whether the peer accepted them.
 fn hand_off(shared: &Arc<Shared>) -> bool {
     let entries = lock(&shared.ledger.buffer).entries();
     let count = entries.len();
@@ -271,10 +284,11 @@
         return false;
     };
     for batch in batches(entries) {
-        let adopting = Request::Adopt(batch);
-        let call = peer_fallback::call::<bool>(shared, &address, &adopting);
+        let adopt = Request::Adopt(batch);
+        let call = peer_fallback::call::<bool>(shared, &address, &adopt);
         if !shared.runtime.block_on(call).unwrap_or(false) {
-            // What it has taken is told by its identity if it is written twice.
+            // Entries of earlier batches may be written twice. Readers drop the
+            // duplicates by the identity of the entry.
             return false;
         }
     }
@@ -298,7 +312,7 @@
     batches
 }
 
-fn leave(shared: &Shared) {
+fn log_entries(shared: &Shared) {
     for entry in lock(&shared.ledger.buffer).entries() {
         let entry = serde_json::to_string(&entry).unwrap_or_default();
         log::error!(entry; "a ledger entry is kept nowhere else");
@@ -306,7 +320,7 @@
 }
 
 impl Shared {
-    /// Returns who writes this process's segments.
+    /// Returns the writer of this process's segments.
     pub fn writer(&self) -> Writer {
         Writer {
             instance: self.settings.instance.clone(),
@@ -314,6 +328,7 @@
         }
     }
 
+    /// Returns the owner that this process's entries have at a peer.
     fn owner(&self) -> String {
         format!("{}/{}", self.settings.instance, self.incarnation)
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,14 +1,13 @@
 //! The process that runs on each instance.
 //!
-//! The core's decisions are pure; this crate gives them sockets, threads and
-//! timers. Callers' requests run on an async runtime (`callers`); backend
-//! servers are read by a bounded set of blocking threads; the operators' port
-//! is synchronous (`operators`); other instances are told soft state over
-//! JSON-RPC (`peers`). Background threads keep the configuration, the list
-//! of backend servers and the ledger up to date.
+//! The decisions of the core crate do no I/O; this crate runs them with
+//! sockets, threads and timers. Callers' requests run on an async runtime
+//! (`callers`), and a bounded set of blocking threads reads from backend
+//! servers. The operators' port is synchronous (`operators`). Instances exchange
+//! soft state over JSON-RPC (`peers`). Background threads keep the configuration,
+//! the list of backend servers and the ledger up to date.
 //!
-//! [`Node`] holds all of it and is what the binary, the demo and the tests
-//! start.
+//! [`Node`] is the whole process. The binary, the demo and the tests start it.
 
 mod activation;
 mod admission;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters, kept for the state dump and sent on in the `StatsD` protocol.
+//! Counters and timings: counters for the state dump, and both sent in the
+//! `StatsD` protocol.
 
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
@@ -18,11 +19,12 @@
 impl Metrics {
     const PREFIX: &str = "fescuerack";
 
-    /// Creates counters that are sent to `statsd`, or nowhere if it is empty.
+    /// Creates counters that are sent to the address `statsd`, or nowhere if it
+    /// is empty.
     ///
     /// # Errors
     ///
-    /// When the address is malformed or no socket can be had.
+    /// Returns an error if the address is malformed or no socket can be bound.
     pub fn new(statsd: &str) -> Result<Self> {
         let client = if statsd.is_empty() {
             StatsdClient::from_sink(Self::PREFIX, NopMetricSink)
@@ -43,13 +45,14 @@
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         *counters.entry(name).or_insert(0) += 1;
         drop(counters);
-        // A lost datagram loses a count at the receiver; the dump still has it.
+        // If the datagram is lost, only the receiver misses the count: the
+        // state dump still has it.
         let _ = self.client.incr(name);
     }
 
-    /// Records how long something took.
-    pub fn time(&self, name: &'static str, took: Duration) {
-        let _ = self.client.time(name, took);
+    /// Records a duration.
+    pub fn time(&self, name: &'static str, duration: Duration) {
+        let _ = self.client.time(name, duration);
     }
 
     /// Returns all counters.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -17,13 +17,13 @@
 use crate::stop::Stop;
 use crate::{activation, claims, ledger, loads, orders, servers, versions};
 
-/// Stack of one thread, in bytes. Threads that read backend servers are many
-/// and shallow.
-const STACK: usize = 512 << 10;
-/// Threads beside those that read backend servers.
+/// Stack size of a thread. It is small because there are many threads that read
+/// from backend servers, and their call depth is low.
+const STACK_BYTES: usize = 512 << 10;
+/// Blocking threads in addition to those that read from backend servers.
 const SPARE_THREADS: usize = 64;
-/// Time between two looks at the work that still runs at shutdown.
-const WORK_PERIOD: Duration = Duration::from_millis(5);
+/// Time between two checks for running work at shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A running process.
 pub struct Node {
@@ -37,16 +37,17 @@
 }
 
 impl Node {
-    /// Starts a process. It takes callers once it has a configuration.
+    /// Starts a process. It accepts callers once it has a configuration and a
+    /// list of backend servers.
     ///
     /// # Errors
     ///
-    /// When a port cannot be bound.
+    /// Returns an error if a port cannot be bound or a thread cannot be started.
     pub fn new(settings: Settings) -> Result<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(settings.limits.workers)
             .max_blocking_threads(settings.limits.concurrency + SPARE_THREADS)
-            .thread_stack_size(STACK)
+            .thread_stack_size(STACK_BYTES)
             .enable_all()
             .build()
             .context("start the runtime")?;
@@ -97,22 +98,25 @@
         self.peers
     }
 
-    /// Returns whether the process takes callers.
+    /// Returns whether the process accepts callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Returns how many instances the process knows, itself among them.
+    /// Returns the number of known instances, including this one.
     #[must_use]
     pub fn fleet_size(&self) -> usize {
         crate::shared::lock(&self.shared.member).view.size()
     }
 
-    /// Ends the process without cutting a request: readiness goes first, so
-    /// that the balancer stops sending callers; new work is taken for as long
-    /// as the balancer may lag, then refused; running work finishes; the
-    /// ledger is kept.
+    /// Shuts the process down gracefully.
+    ///
+    /// First readiness is withdrawn, so that the load balancer stops sending
+    /// callers. New requests are accepted until `drain_lag_ms` has passed,
+    /// because the load balancer reacts late, and are refused afterwards.
+    /// Running requests finish until `drain_deadline_ms` has passed; the ones
+    /// that still run then are cut. Finally the ledger is written out.
     pub fn shutdown(self) {
         let limits = &self.shared.settings.limits;
         let deadline = self.shared.now().plus_millis(limits.drain_deadline_ms);
@@ -123,13 +127,13 @@
         std::thread::sleep(Duration::from_millis(limits.drain_lag_ms));
         self.shared.draining.store(true, Ordering::SeqCst);
         let remaining = deadline.since(self.shared.now());
-        let all_ended = self.runtime.block_on(self.callers.finish(remaining));
-        // A call of a service runs on when its caller has gone; its end must
-        // still be recorded.
+        let has_finished = self.runtime.block_on(self.callers.finish(remaining));
+        // A call of a plain service continues after its caller has
+        // disconnected, and its outcome must still be recorded.
         while self.shared.gate.load().0 > 0 && self.shared.now() < deadline {
-            std::thread::sleep(WORK_PERIOD);
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
-        if !all_ended {
+        if !has_finished {
             self.shared.metrics.count("callers.cut_at_shutdown");
             log::warn!(running = self.shared.gate.load().0; "requests cut: drain_deadline_ms is over");
         }
@@ -153,23 +157,23 @@
     let stop = stop.clone();
     std::thread::Builder::new()
         .name(name.to_owned())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(move || {
-            let _fatal = Fatal;
+            let _abort = AbortOnPanic;
             body(&shared, &stop);
         })
         .with_context(|| format!("start thread {name}"))
 }
 
-/// Ends the process when its thread panics. A broken invariant must not leave
-/// an instance behind that answers without following the configuration or
-/// keeping the ledger; another instance takes its place.
-struct Fatal;
+/// Aborts the process if its thread panics. Otherwise the instance would keep
+/// answering requests without following the configuration or writing the
+/// ledger. Another instance takes over its work.
+struct AbortOnPanic;
 
-impl Drop for Fatal {
+impl Drop for AbortOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            log::error!("a background thread met a broken invariant");
+            log::error!("a background thread panicked; aborting the process");
             std::process::abort();
         }
     }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,5 @@
-//! What the threads of a process share.
+//! State that the threads of a process share, with its clocks, clients and
+//! counters.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,7 +24,7 @@
 use crate::versions::Versions;
 use crate::{activation, claims, ledger, orders};
 
-/// The configuration in force, with the names of its keys.
+/// The active configuration, with the names of its keys.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfiguration {
     /// The compiled configuration.
@@ -32,53 +33,54 @@
     pub names: Names,
 }
 
-/// State of the process.
+/// State of one process, shared by its threads and tasks.
 pub struct Shared {
     /// Settings.
     pub settings: Settings,
-    /// Name of this start of the process; differs after every restart.
+    /// Identifier of this start of the process, new at every restart.
     pub incarnation: String,
-    /// Clock.
+    /// Monotonic clock of the process.
     pub clock: Clock,
-    /// Clock whose times other instances read; it never goes back.
+    /// Wall clock for times that other instances read. It never goes backwards.
     pub wall: Wall,
-    /// Runs async work for threads.
+    /// Runs async work on behalf of threads.
     pub runtime: Handle,
     /// Counters.
     pub metrics: Metrics,
-    /// Key-value service.
+    /// Client of the key-value store.
     pub store: HttpStore,
-    /// The same, with the ledger's share of the rate.
+    /// Client of the key-value store with the ledger's share of the rate.
     pub ledger_store: HttpStore,
-    /// Instance list.
+    /// Client of the platform's instance list.
     pub directory: HttpDirectory,
-    /// Connections to backend servers.
+    /// Pooled connections to backend servers.
     pub upstream: Agent,
-    /// Connections that carry one non-idempotent call each.
+    /// Connections to backend servers for one non-idempotent call each.
     pub single_use_upstream: Agent,
-    /// What is let in.
+    /// Admission control.
     pub gate: Gate,
-    /// Backend servers.
+    /// Route table of the backend servers.
     pub routes: Mutex<route::Table>,
-    /// Organisations' limits across instances.
+    /// Rate limits of the organisations across all instances.
     pub rates: Mutex<RateLimits>,
     /// Pools of backend servers and their retry budgets.
     pub pools: Mutex<Pools>,
-    /// Roll-outs, quality, sessions, suspects.
+    /// State of the versions: roll-outs, quality, sessions, and requests
+    /// suspected of crashing servers.
     pub versions: Versions,
-    /// Names; the only writer is [`Shared::names`].
+    /// Names; changed only through [`Shared::names`].
     names: Mutex<Names>,
-    /// Entries that are to be kept.
+    /// Ledger entries that are not yet stored.
     pub ledger: ledger::Ledger,
     /// Claims of non-idempotent requests.
     pub claims: claims::Queue,
-    /// Where the configuration in force comes from.
+    /// State of the active configuration and its source.
     pub configuration: activation::State,
     /// Other instances and the soft state that is shared with them.
     pub member: Mutex<member::Exchange>,
-    /// Servers of which peers were told that they leave.
+    /// Backend servers that peers have been notified are leaving.
     pub announced_leaving: Mutex<BTreeSet<String>>,
-    /// What this process orders, by fleet.
+    /// Summaries of the engine orders of this process, by fleet.
     pub orders: Mutex<BTreeMap<key::Fleet, orders::Summary>>,
     /// Wakes the exchange with other instances.
     pub wake: tokio::sync::Notify,
@@ -89,25 +91,25 @@
     /// Whether new requests are refused.
     pub draining: AtomicBool,
     active: RwLock<Arc<ActiveConfiguration>>,
-    /// Randomness of decisions.
+    /// Random number generator for decisions.
     pub rng: Mutex<Pcg64Mcg>,
 }
 
-/// Locks a mutex; a panic elsewhere does not make its data unusable, because
-/// every section under these locks is complete in itself.
+/// Locks a mutex and ignores poisoning: every critical section under these locks
+/// leaves its data consistent, so a panic elsewhere does not make it unusable.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
-    /// Idle connections kept to one backend server.
-    const IDLE: usize = 32;
+    /// Maximum number of idle connections to one backend server.
+    const MAX_IDLE_CONNECTIONS: usize = 32;
 
     /// Creates the state of a process that has no configuration yet.
     ///
     /// # Errors
     ///
-    /// When the metrics' address is malformed.
+    /// Returns an error if the address for metrics is malformed.
     pub fn new(settings: Settings, runtime: Handle) -> Result<Self> {
         let mut rng = Pcg64Mcg::from_rng(&mut rand::rng());
         let incarnation = format!("{:016x}", rng.random::<u64>());
@@ -125,10 +127,10 @@
             ledger_store: store.for_ledger(),
             store,
             directory: HttpDirectory::new(&settings.platform),
-            upstream: agent(Self::IDLE),
-            // A connection that was idle may be closed by the other side while
-            // a request is being written, and its outcome would be unknown: a
-            // call that must not be repeated gets a connection of its own.
+            upstream: agent(Self::MAX_IDLE_CONNECTIONS),
+            // The other side may close an idle connection while a request is
+            // being written, and the outcome would be unknown. A call that must
+            // not be repeated therefore gets a new connection.
             single_use_upstream: agent(0),
             gate: Gate::new(settings.limits.concurrency, rng.random()),
             routes: Mutex::new(route::Table::new(&settings.zone)),
@@ -154,16 +156,17 @@
         self.clock.now()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn active_configuration(&self) -> Arc<ActiveConfiguration> {
         Arc::clone(&self.active.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Puts a configuration in force unless it is older than the present one.
+    /// Activates a configuration if its revision is higher than the active one;
+    /// returns whether it did.
     ///
-    /// Returns whether it is in force. An older one may arrive late; taking it
-    /// would let an accepted configuration revert.
+    /// An older configuration may arrive late. Activating it would revert an
+    /// accepted change.
     pub fn activate(&self, active: ActiveConfiguration) -> bool {
         let mut current = self.active.write().unwrap_or_else(PoisonError::into_inner);
         if active.catalog.revision <= current.catalog.revision {
@@ -173,26 +176,26 @@
         true
     }
 
-    /// Returns whether the process can answer requests: it has a configuration
-    /// and knows backend servers.
+    /// Returns whether the process can answer requests: it has an active
+    /// configuration and has read the list of backend servers.
     #[must_use]
     pub fn is_initialized(&self) -> bool {
         self.active_configuration().catalog.revision > 0
             && self.has_server_list.load(Ordering::SeqCst)
     }
 
-    /// Returns whether the balancer may send callers.
+    /// Returns whether the load balancer may send callers to this process.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_initialized() && !self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Changes the names of the process.
+    /// Runs `change` with the names of the process.
     pub fn names<R>(&self, change: impl FnOnce(&mut Names) -> R) -> R {
         change(&mut lock(&self.names))
     }
 
-    /// Draws on the process's randomness.
+    /// Runs `draw` with the random number generator of the process.
     pub fn with_rng<R>(&self, draw: impl FnOnce(&mut Pcg64Mcg) -> R) -> R {
         draw(&mut lock(&self.rng))
     }
@@ -203,13 +206,13 @@
         format!("{:016x}{:016x}", self.random(), self.random())
     }
 
-    /// Returns a random number from 0 to 1.
+    /// Returns a random number in the range 0 to 1, 1 excluded.
     #[must_use]
     pub fn random_fraction(&self) -> f64 {
         lock(&self.rng).random()
     }
 
-    /// Returns a random number.
+    /// Returns a random integer.
     #[must_use]
     pub fn random(&self) -> u64 {
         lock(&self.rng).next_u64()
@@ -222,9 +225,9 @@
         id: settings.instance.clone(),
         zone: settings.zone.clone(),
         address: String::new(),
-        // A later start has a later time, which is all that is needed: a clock
-        // that was set back makes peers pass over the new start's word until
-        // it has caught up, and costs no promise.
+        // A later start has a later time, which is all that is needed. If the
+        // clock was set back, peers ignore the messages of the new start until
+        // the clock has caught up, and no guarantee is violated.
         incarnation: clock::wall().0,
     }
 }
