--- a/crates/node/src/commands/check.rs
+++ b/crates/node/src/commands/check.rs
@@ -16,11 +16,11 @@
 }
 
 impl Check {
-    /// Prints `ok` when the file can be used.
+    /// Prints `ok` if the file is valid.
     ///
     /// # Errors
     ///
-    /// What is wrong with the file, with its line.
+    /// Returns every problem of the file, with its line.
     pub fn execute(self) -> Result<()> {
         Settings::read(&self.settings)?;
         println!("{}: ok", self.settings.display());
--- a/crates/node/src/commands/gateway.rs
+++ b/crates/node/src/commands/gateway.rs
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// When the settings are wrong or a port cannot be bound.
+    /// Returns an error if the settings are invalid or a port cannot be bound.
     pub fn execute(self) -> Result<()> {
         process::run(Arc::new(Adapter::new()), || read_settings(&self.settings))
     }
--- a/crates/node/src/commands/mod.rs
+++ b/crates/node/src/commands/mod.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Whatever keeps the subcommand from succeeding.
+    /// Returns the error of the subcommand.
     pub fn execute(self) -> Result<()> {
         match self.command {
             Command::Run(run) => run.execute(),
--- a/crates/node/src/commands/run.rs
+++ b/crates/node/src/commands/run.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// When the settings are wrong or a port cannot be bound.
+    /// Returns an error if the settings are invalid or a port cannot be bound.
     pub fn execute(self) -> Result<()> {
         let settings = Settings::read(&self.settings)?;
         let _logger = start_logger(&settings.logs)?;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Prints the addresses in use, which a settings file with port 0 leaves open.
+/// Prints the bound addresses, because a settings file may name port 0.
 fn print_addresses(node: &Node) -> Result<()> {
     let addresses = json!({
         "callers": node.callers(),
--- a/crates/node/src/operators/changes.rs
+++ b/crates/node/src/operators/changes.rs
@@ -1,4 +1,5 @@
-//! `POST /v1/plans` and `/v1/changes`.
+//! `POST /v1/plans` and `POST /v1/changes`: proposed changes of the
+//! configuration.
 
 use std::io::Read as _;
 
@@ -9,25 +10,26 @@
 
 use crate::shared::Shared;
 
-/// Largest body, in bytes: several files of the largest size that the store
-/// holds.
-const LARGEST_BODY: u64 = 8 << 20;
+/// Largest size of a body: several files of the largest size that the store
+/// accepts.
+const MAX_BODY_BYTES: u64 = 8 << 20;
 
-/// Says what a proposal would do, and changes nothing.
+/// Returns what a proposal would change, without changing anything.
 ///
 /// # Errors
 ///
-/// Why the proposal would not be accepted.
+/// Returns the reason why the proposal would not be accepted.
 pub fn plan(shared: &Shared, request: &Request, operator: &Operator) -> Result<Plan, Error> {
     let proposal = read(request)?;
     admin::Draft::new(&shared.store, &proposal, Some(operator)).map(|draft| draft.plan())
 }
 
-/// Puts a proposal in force.
+/// Submits a proposal to the store.
 ///
 /// # Errors
 ///
-/// Why it was not accepted, and whether that is sure.
+/// Returns the reason why the proposal was not accepted, or reports that the
+/// outcome is unknown.
 pub fn submit(shared: &Shared, request: &Request, operator: &Operator) -> Result<Accepted, Error> {
     let proposal = read(request)?;
     let accepted = admin::submit(&shared.store, &proposal, &operator.name, Some(operator))?;
@@ -46,10 +48,10 @@
     let body = request.data();
     let body = body.ok_or_else(|| invalid("the body is missing".to_owned()))?;
     let mut bytes = Vec::new();
-    let read = body.take(LARGEST_BODY + 1).read_to_end(&mut bytes);
+    let read = body.take(MAX_BODY_BYTES + 1).read_to_end(&mut bytes);
     read.map_err(|error| invalid(format!("the body was cut: {error}")))?;
-    if u64::try_from(bytes.len()).is_ok_and(|length| length > LARGEST_BODY) {
-        let message = format!("the body is over {LARGEST_BODY} bytes");
+    if u64::try_from(bytes.len()).is_ok_and(|length| length > MAX_BODY_BYTES) {
+        let message = format!("the body is over {MAX_BODY_BYTES} bytes");
         return Err(Error::new(Kind::TooLarge, message));
     }
     serde_json::from_slice(&bytes).map_err(|error| invalid(error.to_string()))
--- a/crates/node/src/operators/configuration.rs
+++ b/crates/node/src/operators/configuration.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/configuration`, `/v1/history` and `/v1/ledger`.
+//! `GET /v1/configuration`, `GET /v1/history` and `GET /v1/ledger`.
 
 use fescuerack_client::admin as store;
 use fescuerack_client::manifest::File;
@@ -7,17 +7,18 @@
 
 use crate::shared::Shared;
 
-/// Changes that are shown when the request names no number.
-const DEFAULT_MOST: usize = 20;
-/// Changes that are shown at most.
-const LARGEST_MOST: usize = 1000;
+/// Number of changes that are returned if the request has no `?most=`.
+const DEFAULT_HISTORY: usize = 20;
+/// Maximum number of changes that are returned.
+const MAX_HISTORY: usize = 1000;
 
-/// Returns the latest configuration; the copy in force here when the store
-/// gives no answer.
+/// Returns the latest configuration from the store, or the active configuration
+/// of this instance if the store does not answer.
 ///
 /// # Errors
 ///
-/// When the store gives no answer and nothing is in force here.
+/// Returns an error if the store does not answer and this instance has no active
+/// configuration.
 pub fn read(shared: &Shared) -> Result<Configuration, Error> {
     let error = match store::configuration(&shared.store) {
         Ok(configuration) => return Ok(configuration),
@@ -48,26 +49,26 @@
     })
 }
 
-/// Returns the last changes; `?most=` limits their number.
+/// Returns the latest changes. `?most=` limits their number.
 ///
 /// # Errors
 ///
-/// When the store gives no answer.
+/// Returns an error if `most` is invalid or the store does not answer.
 pub fn history(shared: &Shared, request: &Request) -> Result<History, Error> {
-    let asked = request.get_param("most");
-    let most = asked.map_or(Ok(DEFAULT_MOST), |text| text.parse());
-    let Some(most) = most.ok().filter(|most| (1..=LARGEST_MOST).contains(most)) else {
-        let message = format!("most: a whole number, 1 to {LARGEST_MOST}");
+    let parameter = request.get_param("most");
+    let count = parameter.map_or(Ok(DEFAULT_HISTORY), |text| text.parse());
+    let Some(count) = count.ok().filter(|count| (1..=MAX_HISTORY).contains(count)) else {
+        let message = format!("most: a whole number, 1 to {MAX_HISTORY}");
         return Err(Error::new(Kind::InvalidRequest, message));
     };
-    store::history(&shared.store, most)
+    store::history(&shared.store, count)
 }
 
 /// Returns the ledger's totals.
 ///
 /// # Errors
 ///
-/// When the store gives no answer.
+/// Returns an error if the store does not answer.
 pub fn ledger(shared: &Shared) -> Result<Ledger, Error> {
     store::totals(&shared.store)
 }
--- a/crates/node/src/operators/instances.rs
+++ b/crates/node/src/operators/instances.rs
@@ -1,4 +1,5 @@
-//! The process in short, and what its peers have in force.
+//! `GET /v1/status` and `GET /v1/instances`: the status of this process, and
+//! the active revisions of all instances.
 
 use std::sync::atomic::Ordering;
 
@@ -9,7 +10,7 @@
 use crate::peers;
 use crate::shared::{Shared, lock};
 
-/// Returns the process in short.
+/// Returns the status of the process.
 pub fn status(shared: &Shared) -> Status {
     Status {
         instance: shared.settings.instance.clone(),
@@ -21,18 +22,18 @@
     }
 }
 
-/// Asks every listed instance which revision it has in force.
+/// Queries the active revision of every listed instance.
 pub fn all(context: &Context) -> Instances {
     let shared = &context.shared;
-    let known: Vec<_> = {
+    let peers: Vec<_> = {
         let member = lock(&shared.member);
         member.view.iter().map(|(_, peer)| peer.clone()).collect()
     };
-    let addresses: Vec<_> = known.iter().map(|peer| peer.address.clone()).collect();
+    let addresses: Vec<_> = peers.iter().map(|peer| peer.address.clone()).collect();
     let revisions = context
         .runtime
         .block_on(peers::revisions(shared, &addresses));
-    let mut instances: Vec<_> = known
+    let mut instances: Vec<_> = peers
         .into_iter()
         .zip(revisions)
         .map(|(peer, revision)| Instance {
--- a/crates/node/src/operators/mod.rs
+++ b/crates/node/src/operators/mod.rs
@@ -1,14 +1,14 @@
-//! The operators' port: health, the dump of the process's state, and the
+//! The operators' port: health checks, the dump of the process's state, and the
 //! administration API. `docs/openapi.yaml` describes its paths.
 //!
-//! It listens only where `listen.operators` says. Health and readiness answer
-//! everybody, because balancers hold no token. Everything else needs an
-//! operator's token ([`token`]); reading is opened to all by
-//! `operators.open_reads` in the settings of the process, changing never is.
+//! It listens on the address in `listen.operators`. Health and readiness need no
+//! token, because load balancers have none. Everything else needs an operator's
+//! token ([`token`]). `operators.open_reads` in the settings of the process
+//! allows reads without a token; changes always need one.
 //!
-//! A request here must not slow callers: rouille serves it on threads of its
-//! own, the store is asked with deadlines, and what is read of the shared state
-//! is read under short locks.
+//! Requests to this port must not slow down callers. rouille serves them on
+//! separate threads, calls of the store have deadlines, and the shared state is
+//! locked only for short reads.
 
 mod changes;
 mod configuration;
@@ -28,24 +28,24 @@
 
 /// A running operators' port.
 pub struct Port {
-    /// Address that is served.
+    /// Address that the port listens on.
     pub address: std::net::SocketAddr,
     thread: std::thread::JoinHandle<()>,
     stop: std::sync::mpsc::Sender<()>,
 }
 
-/// What a request is answered from.
+/// Data from which requests are answered.
 struct Context {
     shared: Arc<Shared>,
     runtime: Handle,
 }
 
 impl Port {
-    /// Starts serving.
+    /// Binds the port and starts serving.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn new(shared: &Arc<Shared>, runtime: &Handle) -> Result<Self> {
         let listen = shared.settings.listen.operators.clone();
         let context = Context {
@@ -65,7 +65,7 @@
 
     /// Stops serving.
     pub fn stop(self) {
-        // The receiver is gone only when the thread has already ended.
+        // Sending fails only if the thread has already ended.
         let _ = self.stop.send(());
         let _ = self.thread.join();
     }
--- a/crates/node/src/operators/reply.rs
+++ b/crates/node/src/operators/reply.rs
@@ -1,15 +1,15 @@
-//! Answers of the administration API.
+//! Responses of the administration API.
 
 use fescuerack_wire::admin::{Error, Failure, Kind};
 use rouille::Response;
 use serde::Serialize;
 
-/// Returns an answer in JSON.
+/// Returns a JSON response.
 pub fn json<T: Serialize>(body: &T) -> Response {
     Response::json(body).with_no_cache()
 }
 
-/// Returns an error with its status.
+/// Returns the response to an error, with the HTTP status of its kind.
 pub fn failure(error: &Error) -> Response {
     let body = Failure {
         error: error.clone(),
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -1,7 +1,7 @@
 //! `GET /state`: the dump of the process's state.
 //!
-//! It holds names, numbers and states; no key, no token and no text of a
-//! caller, so that it can be pasted into a report.
+//! The dump contains names, numbers and states, but no keys, no tokens and no
+//! text of callers, so that it can be pasted into a bug report.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
--- a/crates/node/src/operators/token.rs
+++ b/crates/node/src/operators/token.rs
@@ -1,10 +1,10 @@
-//! Who asks: operators' tokens.
+//! Authentication of operators by tokens.
 //!
-//! The configuration holds digests only, so that neither its files nor the
-//! store nor a dump gives a token away. The digest of what is presented is
-//! looked up, never the text, so the time of the look-up tells nothing of a
-//! token. A token that was taken from the configuration is refused on every
-//! instance as soon as that configuration is in force there.
+//! The configuration contains only digests of tokens, so that neither its
+//! files nor the store nor a dump reveals a token. The lookup uses the digest of
+//! the presented token and never its text, so that the duration of the lookup
+//! reveals nothing about a token. A token that is removed from the configuration
+//! is refused on every instance as soon as that configuration is active there.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 ///
-/// When no token of an operator is presented.
+/// Returns an error if the request has no operator's token.
 pub fn operator(shared: &Shared, request: &Request) -> Result<Arc<Operator>, Error> {
     let refuse = |message: &str| {
         shared.metrics.count("operators.refused");
@@ -40,11 +40,12 @@
     }
 }
 
-/// Checks that whoever sent a request may read.
+/// Checks that the sender of a request may read.
 ///
 /// # Errors
 ///
-/// When no token is presented and the settings do not open reads.
+/// Returns an error if the request has no operator's token and the settings do
+/// not allow reads without one.
 pub fn reader(shared: &Shared, request: &Request) -> Result<(), Error> {
     if shared.settings.operators.open_reads {
         return Ok(());
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,8 +1,9 @@
-//! Gives orders to model engines, one instance at a time for each fleet.
+//! Sends orders to model engines to load and unload versions, from one instance
+//! at a time for each fleet.
 //!
-//! The instance that ranks first for a fleet takes the fleet's lease in the
-//! store, looks at what the engines have and orders what is missing. All that
-//! it decides by stands in [`fescuerack_core::order`].
+//! The instance that ranks first for a fleet acquires the fleet's lease in the
+//! store, polls the engines for their loaded versions and orders the missing
+//! ones. [`fescuerack_core::order`] makes the decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,53 +23,53 @@
 use crate::stop::Stop;
 
 /// Time between two rounds.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Time within which an engine must say what it has.
-const ASK: Duration = Duration::from_millis(300);
-/// Time within which an engine must take an order; it loads afterwards.
-const GIVE: Duration = Duration::from_secs(1);
-/// Engines that are looked at in one round: at most about 10 KB of traffic, at
-/// one instance for each fleet.
-const LOOK: usize = 16;
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Time within which an engine must report its loaded versions.
+const POLL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time within which an engine must accept an order. It loads afterwards.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Engines that are polled in one round. This limits the traffic of a round to
+/// about 10 KB, at one instance for each fleet.
+const MAX_POLLED_ENGINES: usize = 16;
 
-/// One fleet's orders at this instance.
+/// Orders of this instance to the engines of one fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetOrders {
     holder: LeaseHolder,
     grace: GracePeriod,
-    /// Engine after which the next round goes on.
-    last: Option<key::Server>,
-    /// What engines had when they were looked at.
-    seen: BTreeMap<key::Server, BTreeSet<key::Version>>,
-    given: u64,
+    /// Engine that was polled last; the next round continues after it.
+    last_polled: Option<key::Server>,
+    /// Loaded versions of the engines, as last polled and with later orders.
+    loaded: BTreeMap<key::Server, BTreeSet<key::Version>>,
+    accepted_orders: u64,
 }
 
-/// An engine that can be ordered.
+/// An engine that orders can be sent to.
 struct Target {
     server: key::Server,
     address: String,
 }
 
-/// Gives orders until `stop` is set.
+/// Sends orders until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
-    let mut desks: BTreeMap<key::Fleet, FleetOrders> = BTreeMap::new();
-    while !stop.wait(PERIOD) {
+    let mut all_orders: BTreeMap<key::Fleet, FleetOrders> = BTreeMap::new();
+    while !stop.wait(ROUND_INTERVAL) {
         let active = shared.active_configuration();
         let fleets = active.catalog.fleets.iter();
         for (fleet, _) in fleets.filter(|(_, fleet)| fleet.kind == Kind::Engine) {
-            let desk = desks.entry(fleet).or_default();
-            if hold(shared, &active, fleet, desk) {
-                round(shared, &active, fleet, desk);
+            let orders = all_orders.entry(fleet).or_default();
+            if ensure_lease(shared, &active, fleet, orders) {
+                run_round(shared, &active, fleet, orders);
             }
         }
-        *lock(&shared.orders) = desks
+        *lock(&shared.orders) = all_orders
             .iter()
-            .map(|(fleet, desk)| (*fleet, summary(shared, &active, desk)))
+            .map(|(fleet, orders)| (*fleet, summary(shared, &active, orders)))
             .collect();
     }
 }
 
-/// What the state dump shows of one fleet.
+/// Summary of the orders of one fleet for the state dump.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Summary {
     held: bool,
@@ -76,39 +77,39 @@
     loaded: BTreeMap<String, usize>,
 }
 
-fn summary(shared: &Shared, active: &ActiveConfiguration, desk: &FleetOrders) -> Summary {
+fn summary(shared: &Shared, active: &ActiveConfiguration, orders: &FleetOrders) -> Summary {
     let mut loaded = BTreeMap::new();
-    for version in desk.seen.values().flatten() {
+    for version in orders.loaded.values().flatten() {
         let name = active.names.versions.name(*version).to_string();
         *loaded.entry(name).or_insert(0) += 1;
     }
     Summary {
-        held: desk.holder.is_held(shared.now()),
-        given: desk.given,
+        held: orders.holder.is_held(shared.now()),
+        given: orders.accepted_orders,
         loaded,
     }
 }
 
-/// Takes or renews the lease; returns whether it is held.
-fn hold(
+/// Acquires or renews the lease; returns whether it is held.
+fn ensure_lease(
     shared: &Shared,
     active: &ActiveConfiguration,
     fleet: key::Fleet,
-    desk: &mut FleetOrders,
+    orders: &mut FleetOrders,
 ) -> bool {
     let now = shared.now();
-    if let Some(lease) = desk.holder.renewal_due(now) {
+    if let Some(lease) = orders.holder.renewal_due(now) {
         match shared.store.renew(lease) {
-            Ok(_) => desk.holder.renew(now),
-            Err(Fault::Refused { .. }) => desk.holder.clear(),
-            // Nothing is known: the lease runs on as it was counted.
+            Ok(_) => orders.holder.renew(now),
+            Err(Fault::Refused { .. }) => orders.holder.clear(),
+            // The outcome is unknown: the lease keeps its previous expiry.
             Err(_) => shared.metrics.count("orders.store_failed"),
         }
     }
-    if desk.holder.is_held(now) {
+    if orders.holder.is_held(now) {
         return true;
     }
-    desk.holder.clear();
+    orders.holder.clear();
     let name = active.names.fleets.name(fleet);
     let ranks_first = {
         let member = lock(&shared.member);
@@ -116,43 +117,49 @@
         member::owner(key.as_bytes(), member.view.live(now))
             == Some(shared.settings.instance.as_str())
     };
-    if ranks_first && take(shared, name, desk).is_err() {
+    if ranks_first && acquire_lease(shared, name, orders).is_err() {
         shared.metrics.count("orders.store_failed");
     }
-    desk.holder.is_held(shared.now())
+    orders.holder.is_held(shared.now())
 }
 
-fn take(shared: &Shared, fleet: &str, desk: &mut FleetOrders) -> Result<(), Fault> {
-    let sent = shared.now();
+fn acquire_lease(shared: &Shared, fleet: &str, orders: &mut FleetOrders) -> Result<(), Fault> {
+    let sent_at = shared.now();
     let lease = shared
         .store
         .grant(Duration::from_millis(order::LEASE_TTL_MS))?;
     let holder = Bytes::from(shared.settings.instance.clone());
-    // The key goes when the lease lapses; its version is the fencing number,
-    // because the store numbers all writes in one row. A lost answer leaves a
-    // key under a lease that nobody renews, which lapses by itself.
+    // The store removes the key when the lease lapses. The version of the key
+    // is the fencing token, because the store numbers all writes in one
+    // sequence. If the answer is lost, the key stays under a lease that nobody
+    // renews, which lapses by itself.
     let key = format!("order/{fleet}");
     if let Swap::Swapped(number) = shared.store.swap(&key, 0, holder, Some(lease.id))? {
-        desk.holder.acquire(sent, lease.id, number);
+        orders.holder.acquire(sent_at, lease.id, number);
         shared.metrics.count("orders.taken");
-        log::info!(fleet, number; "gives orders to the fleet's engines");
+        log::info!(fleet, number; "acquired the lease for orders to the fleet's engines");
     }
     Ok(())
 }
 
-/// Looks at some engines and orders what is missing.
-fn round(shared: &Shared, active: &ActiveConfiguration, fleet: key::Fleet, desk: &mut FleetOrders) {
+/// Polls some engines and sends the orders that are due.
+fn run_round(
+    shared: &Shared,
+    active: &ActiveConfiguration,
+    fleet: key::Fleet,
+    orders: &mut FleetOrders,
+) {
     let targets = targets(shared, fleet);
     let known: BTreeSet<key::Server> = targets.iter().map(|target| target.server).collect();
-    desk.seen.retain(|server, _| known.contains(server));
-    look(shared, active, &targets, desk);
+    orders.loaded.retain(|server, _| known.contains(server));
+    poll_engines(shared, active, &targets, orders);
     let wanted: BTreeSet<key::Version> = active.catalog.fleets[fleet]
         .versions
         .iter()
         .copied()
         .collect();
-    let engines: Vec<Engine> = desk
-        .seen
+    let engines: Vec<Engine> = orders
+        .loaded
         .iter()
         .map(|(server, loaded)| Engine {
             server: *server,
@@ -163,19 +170,20 @@
         .iter()
         .flat_map(|engine| engine.loaded.difference(&wanted).copied())
         .collect();
-    let unload = desk.grace.update(shared.now(), &idle);
-    let loads = loads(active);
+    let unload = orders.grace.update(shared.now(), &idle);
+    let max_loads = max_loads(active);
     let fences = active.catalog.fleets[fleet].fences;
-    for plan in order::plan(&wanted, &unload, &engines, loads) {
-        let Some(permit) = desk.holder.permit(shared.now(), fences) else {
+    for plan in order::plan(&wanted, &unload, &engines, max_loads) {
+        let Some(permit) = orders.holder.permit(shared.now(), fences) else {
             return;
         };
-        give(shared, active, &targets, permit, plan, desk);
+        send_order(shared, active, &targets, permit, plan, orders);
     }
 }
 
-/// Loads that one round may order: the weight store's rate is for all fleets.
-fn loads(active: &ActiveConfiguration) -> usize {
+/// Returns the number of loads that one round may order. The rate of the weight
+/// store is shared by all fleets.
+fn max_loads(active: &ActiveConfiguration) -> usize {
     let fleets = active.catalog.fleets.values();
     let engines = fleets.filter(|fleet| fleet.kind == Kind::Engine).count();
     let limit = fescuerack_core::num::whole(active.catalog.limit("orders.loads-per-second"));
@@ -196,30 +204,37 @@
     targets
 }
 
-fn look(shared: &Shared, active: &ActiveConfiguration, targets: &[Target], desk: &mut FleetOrders) {
-    let start = targets.partition_point(|target| Some(target.server) <= desk.last);
-    let turn = targets[start..].iter().chain(&targets[..start]).take(LOOK);
-    for target in turn {
-        desk.last = Some(target.server);
-        let Ok(loaded) = fescuerack_client::order::loaded(&shared.upstream, &target.address, ASK)
+/// Polls the next [`MAX_POLLED_ENGINES`] engines for their loaded versions.
+fn poll_engines(
+    shared: &Shared,
+    active: &ActiveConfiguration,
+    targets: &[Target],
+    orders: &mut FleetOrders,
+) {
+    let start = targets.partition_point(|target| Some(target.server) <= orders.last_polled);
+    let next = targets[start..].iter().chain(&targets[..start]);
+    for target in next.take(MAX_POLLED_ENGINES) {
+        orders.last_polled = Some(target.server);
+        let Ok(loaded) =
+            fescuerack_client::order::loaded(&shared.upstream, &target.address, POLL_TIMEOUT)
         else {
-            desk.seen.remove(&target.server);
+            orders.loaded.remove(&target.server);
             shared.metrics.count("orders.look_failed");
             continue;
         };
         let names = loaded.versions.iter();
         let versions = names.filter_map(|name| active.names.versions.get(name));
-        desk.seen.insert(target.server, versions.collect());
+        orders.loaded.insert(target.server, versions.collect());
     }
 }
 
-fn give(
+fn send_order(
     shared: &Shared,
     active: &ActiveConfiguration,
     targets: &[Target],
     permit: Permit,
     plan: PlannedOrder,
-    desk: &mut FleetOrders,
+    orders: &mut FleetOrders,
 ) {
     let (server, version, action) = match plan {
         PlannedOrder::Load(server, version) => (server, version, Action::Load),
@@ -237,31 +252,32 @@
     if !permit.is_valid(now) {
         return;
     }
-    let within = permit.deadline.since(now).min(GIVE);
-    // A connection of its own: one that was idle could hold the order back.
+    let timeout = permit.deadline.since(now).min(ORDER_TIMEOUT);
+    // Uses a new connection, because an idle one could delay the order.
     match fescuerack_client::order::give(
         &shared.single_use_upstream,
         &target.address,
         &order,
-        within,
+        timeout,
     ) {
         Ok(()) => {
-            desk.given += 1;
+            orders.accepted_orders += 1;
             shared.metrics.count("orders.given");
-            let loaded = desk.seen.entry(server).or_default();
+            let loaded = orders.loaded.entry(server).or_default();
             match action {
                 Action::Load => loaded.insert(version),
                 Action::Unload => loaded.remove(&version),
             };
         }
         Err(Fault::Refused { status, .. }) if status == FENCED => {
-            // Somebody holds a higher number: this lease is no longer ours.
+            // Another instance has a higher fencing token, so this instance no
+            // longer holds the lease.
             shared.metrics.count("orders.fenced");
-            desk.holder.clear();
+            orders.holder.clear();
         }
         Err(_) => {
             shared.metrics.count("orders.failed");
-            desk.seen.remove(&server);
+            orders.loaded.remove(&server);
         }
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,8 +1,9 @@
 //! Soft state between instances, over JSON-RPC.
 //!
-//! The core decides whom to ask, what to say and what to believe
-//! ([`fescuerack_core::member`]); this module carries the messages, seals them
-//! with the fleet's key, and hands to each slice what concerns it.
+//! The core chooses the peer, builds the messages and decides which ones to
+//! accept ([`fescuerack_core::member`]). This module transports the messages,
+//! seals them with the fleet's key, and passes each part of a message to the
+//! state that it belongs to.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,24 +25,24 @@
 use crate::shared::{Shared, lock};
 use crate::versions;
 
-/// Time within which a peer must answer.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest message that is taken, in bytes.
-const LARGEST: u32 = 64 << 10;
-/// Peers that an operator's question asks at a time.
-const ASKED_AT_ONCE: usize = 32;
-/// JSON-RPC error code of a message that is refused.
+/// Time-out of an exchange with a peer.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest message that is accepted.
+const MAX_MESSAGE_BYTES: u32 = 64 << 10;
+/// Maximum number of peers that are queried at a time for an operator.
+const MAX_CONCURRENT_QUERIES: usize = 32;
+/// JSON-RPC error code of a refused message.
 const REFUSED: i32 = -32_001;
 
-/// Starts the port for peers; returns its address.
+/// Starts the peers' port; returns its address.
 ///
 /// # Errors
 ///
-/// When the address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub async fn serve(shared: Arc<Shared>) -> Result<(SocketAddr, ServerHandle)> {
     let listen = shared.settings.listen.peers.clone();
     let config = jsonrpsee::server::ServerConfig::builder()
-        .max_request_body_size(LARGEST)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
         .max_response_body_size(peer_fallback::MAX_ANSWER_BYTES)
         .build();
     let server = ServerBuilder::with_config(config)
@@ -62,15 +63,15 @@
     Ok((address, server.start(module)))
 }
 
-/// Begins an exchange every period, and at once when something must be told.
+/// Starts an exchange in every period, and immediately after an urgent change.
 pub async fn run(shared: Arc<Shared>) {
     let period = Duration::from_millis(Exchange::PERIOD_MS);
     loop {
         let woken = tokio::time::timeout(period, shared.wake.notified()).await;
         publish(&shared);
-        let pressing = lock(&shared.member).take_urgent();
-        let exchanges = if pressing { Exchange::FANOUT } else { 1 };
-        if woken.is_ok() && !pressing {
+        let is_urgent = lock(&shared.member).take_urgent();
+        let exchanges = if is_urgent { Exchange::FANOUT } else { 1 };
+        if woken.is_ok() && !is_urgent {
             continue;
         }
         for _ in 0..exchanges {
@@ -79,7 +80,7 @@
     }
 }
 
-/// Takes over what the platform's list says of the instances of the fleet.
+/// Applies the platform's list of the instances of the fleet.
 pub fn observe(shared: &Shared, instances: &[Instance]) {
     let mut member = lock(&shared.member);
     let list = instances.iter().map(|instance| {
@@ -96,48 +97,49 @@
     member.forget();
 }
 
-/// Takes over what the slices hold now; wakes the exchange when something that
-/// all should hold alike has changed.
+/// Publishes the local state to the exchange; wakes the exchange if replicated
+/// state has changed or a backend server has begun to leave.
 pub fn publish(shared: &Shared) {
-    // Also what a slice holds of nothing is named, or a peer could not see that
-    // this process lacks what it knows.
+    // Empty slices are included. Without them a peer could not detect that this
+    // process lacks state that the peer has.
     let states = peer::fields(&shared_state(shared));
     let digest = digest(shared);
     let mut member = lock(&shared.member);
     let members = member.view.size();
-    // A server that leaves must get no new work within a few seconds, which a
-    // spread by the periodic exchanges alone would take up.
-    let mut changed = tell_leaving(shared, &digest);
-    if changed {
+    // A server that leaves must stop receiving new work within a few seconds.
+    // Periodic exchanges alone would use up that time.
+    let mut has_changed = update_announced_leaving(shared, &digest);
+    if has_changed {
         member.mark_urgent();
     }
     for (slice, state) in states {
-        changed |= member.replica.set(&slice, state, members);
+        has_changed |= member.replica.set(&slice, state, members);
     }
     member.set_digests(peer::slices(&digest));
     drop(member);
-    if changed {
+    if has_changed {
         shared.wake.notify_one();
     }
 }
 
-/// Returns whether servers leave of which peers were not told yet.
-fn tell_leaving(shared: &Shared, digest: &Digest) -> bool {
+/// Records the backend servers that leave as announced; returns whether one of
+/// them is new.
+fn update_announced_leaving(shared: &Shared, digest: &Digest) -> bool {
     let leaving: BTreeSet<String> = digest.words.leaving.keys().cloned().collect();
-    let mut told = lock(&shared.announced_leaving);
-    let news = !leaving.is_subset(&told);
-    *told = leaving;
-    news
+    let mut announced = lock(&shared.announced_leaving);
+    let has_new = !leaving.is_subset(&announced);
+    *announced = leaving;
+    has_new
 }
 
-/// Collects what all instances should hold alike.
+/// Collects the state that is replicated on all instances.
 fn shared_state(shared: &Shared) -> peer::Shared {
     peer::Shared {
         rollouts: lock(&shared.versions.rollouts).records(),
     }
 }
 
-/// Collects what the slices tell their peers.
+/// Collects the local state that is reported to peers.
 fn digest(shared: &Shared) -> Digest {
     let active = shared.active_configuration();
     let now = shared.now();
@@ -160,8 +162,8 @@
     versions::merge_digest(shared, &active, digest);
 }
 
-/// Hands to the slices what a peer told.
-fn take_in(shared: &Shared, input: Payload) {
+/// Merges a peer's message into the local state.
+fn apply(shared: &Shared, input: Payload) {
     shared.configuration.record_peer_revision(input.revision);
     let states: peer::Shared = peer::from_slices(input.states);
     versions::merge_rollout_records(shared, &states.rollouts);
@@ -181,22 +183,22 @@
     let key = shared.settings.peer_key.as_bytes();
     let request: member::Message =
         peer::open(key, sealed).map_err(|refusal| refusal.to_string())?;
-    let about = (request.origin.clone(), request.sequence);
+    let in_reply_to = (request.origin.clone(), request.sequence);
     let hashes = request.hashes.clone();
     let time = time(shared);
     let input = lock(&shared.member).receive(time, request);
     let input = input.map_err(|refusal| refusal.to_string())?;
-    take_in(shared, input);
+    apply(shared, input);
     shared.metrics.count("peers.answered");
     let revision = shared.active_configuration().catalog.revision;
-    let message = lock(&shared.member).answer(time, revision, about, &hashes);
+    let message = lock(&shared.member).answer(time, revision, in_reply_to, &hashes);
     Ok(peer::seal(key, &message))
 }
 
 async fn exchange(shared: &Arc<Shared>) {
     let revision = shared.active_configuration().catalog.revision;
-    let begun = shared.with_rng(|rng| lock(&shared.member).begin(time(shared), revision, rng));
-    let Some((partner, message)) = begun else {
+    let started = shared.with_rng(|rng| lock(&shared.member).begin(time(shared), revision, rng));
+    let Some((partner, message)) = started else {
         return;
     };
     let Some(address) = lock(&shared.member)
@@ -207,7 +209,7 @@
         return;
     };
     let sequence = message.sequence;
-    let Ok(answer) = ask(shared, &address, &message).await else {
+    let Ok(answer) = send(shared, &address, &message).await else {
         lock(&shared.member)
             .view
             .record_failure(shared.now(), partner);
@@ -222,16 +224,21 @@
     match input {
         Ok(input) => {
             shared.metrics.count("peers.exchanged");
-            take_in(shared, input);
+            apply(shared, input);
         }
         Err(_) => shared.metrics.count("peers.refused"),
     }
 }
 
-async fn ask(shared: &Shared, address: &str, message: &member::Message) -> Result<member::Message> {
+/// Sends a message to a peer and returns the peer's answer.
+async fn send(
+    shared: &Shared,
+    address: &str,
+    message: &member::Message,
+) -> Result<member::Message> {
     let key = shared.settings.peer_key.as_bytes();
     let client = HttpClientBuilder::default()
-        .request_timeout(TIMEOUT)
+        .request_timeout(EXCHANGE_TIMEOUT)
         .build(format!("http://{address}"))?;
     let sealed: Sealed = client
         .request(EXCHANGE, rpc_params![peer::seal(key, message)])
@@ -239,20 +246,20 @@
     Ok(peer::open(key, &sealed)?)
 }
 
-/// Asks each peer for the revision that it has in force; `None` for one that
-/// gives no answer. At most [`ASKED_AT_ONCE`] are asked at a time, so that an
-/// operator's question is no burst.
+/// Queries the active revision of each peer; `None` for a peer that does not
+/// answer. At most [`MAX_CONCURRENT_QUERIES`] peers are queried at a time, so
+/// that an operator's request causes no burst of messages.
 pub async fn revisions(shared: &Arc<Shared>, addresses: &[String]) -> Vec<Option<u64>> {
     let mut revisions = vec![None; addresses.len()];
-    for (round, some) in addresses.chunks(ASKED_AT_ONCE).enumerate() {
-        let mut asked = tokio::task::JoinSet::new();
-        for (index, address) in some.iter().cloned().enumerate() {
+    for (round, chunk) in addresses.chunks(MAX_CONCURRENT_QUERIES).enumerate() {
+        let mut queries = tokio::task::JoinSet::new();
+        for (index, address) in chunk.iter().cloned().enumerate() {
             let shared = Arc::clone(shared);
-            asked.spawn(async move { (index, revision(&shared, &address).await) });
+            queries.spawn(async move { (index, revision(&shared, &address).await) });
         }
-        while let Some(answer) = asked.join_next().await {
+        while let Some(answer) = queries.join_next().await {
             if let Ok((index, found)) = answer {
-                revisions[round * ASKED_AT_ONCE + index] = found;
+                revisions[round * MAX_CONCURRENT_QUERIES + index] = found;
             }
         }
     }
@@ -260,10 +267,10 @@
 }
 
 async fn revision(shared: &Shared, address: &str) -> Option<u64> {
-    let own = shared.active_configuration().catalog.revision;
-    let message = lock(&shared.member).begin_with(time(shared), own);
+    let local_revision = shared.active_configuration().catalog.revision;
+    let message = lock(&shared.member).begin_with(time(shared), local_revision);
     let sequence = message.sequence;
-    let answer = ask(shared, address, &message).await.ok()?;
+    let answer = send(shared, address, &message).await.ok()?;
     let revision = answer.revision;
     receive_answer(shared, sequence, answer);
     Some(revision)
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! What each setting accepts.
+//! Checks of the values of all settings.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -7,19 +7,19 @@
 
 use super::{Limits, Settings};
 
-/// Longest name of an instance, an availability zone or a fleet: names go into
-/// keys of the store and into every message between instances.
-const LONGEST_NAME: usize = 64;
-/// Levels of logs.
+/// Maximum length of the name of an instance, an availability zone or a fleet.
+/// Names are parts of store keys and of every message between instances.
+const MAX_NAME_BYTES: usize = 64;
+/// Accepted log levels.
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
-/// Time-outs of sockets, in milliseconds.
-const TIMEOUT: RangeInclusive<u64> = 10..=600_000;
+/// Accepted socket time-outs, in milliseconds.
+const TIMEOUT_MS: RangeInclusive<u64> = 10..=600_000;
 
-/// A setting and what is wrong with it.
-type Found = (&'static str, String);
+/// The name of a setting and its problem.
+type Finding = (&'static str, String);
 
-/// Returns everything that is wrong.
-pub fn problems(settings: &Settings) -> Vec<Found> {
+/// Returns the problems of all settings.
+pub fn problems(settings: &Settings) -> Vec<Finding> {
     let listen = &settings.listen;
     let limits = &settings.limits;
     let texts = [
@@ -34,16 +34,16 @@
         ("listen.peers", address(&listen.peers)),
         ("logs.level", level(&settings.logs.level)),
     ];
-    let mut found: Vec<Found> = numbers(limits).into();
-    found.retain(|(_, message)| !message.is_empty());
-    let wrong = texts
+    let mut findings: Vec<Finding> = numbers(limits).into();
+    findings.retain(|(_, message)| !message.is_empty());
+    let invalid_texts = texts
         .into_iter()
         .filter_map(|(setting, problem)| Some((setting, problem?)));
-    found.extend(wrong);
-    found
+    findings.extend(invalid_texts);
+    findings
 }
 
-fn numbers(limits: &Limits) -> [Found; 11] {
+fn numbers(limits: &Limits) -> [Finding; 11] {
     let count = |number: usize| u64::try_from(number).unwrap_or(u64::MAX);
     [
         within("limits.concurrency", count(limits.concurrency), 1..=100_000),
@@ -61,10 +61,14 @@
         within(
             "limits.header_timeout_ms",
             limits.header_timeout_ms,
-            TIMEOUT,
+            TIMEOUT_MS,
+        ),
+        within("limits.body_timeout_ms", limits.body_timeout_ms, TIMEOUT_MS),
+        within(
+            "limits.write_timeout_ms",
+            limits.write_timeout_ms,
+            TIMEOUT_MS,
         ),
-        within("limits.body_timeout_ms", limits.body_timeout_ms, TIMEOUT),
-        within("limits.write_timeout_ms", limits.write_timeout_ms, TIMEOUT),
         within("limits.ledger_wait_ms", limits.ledger_wait_ms, 0..=1_000),
         within("limits.drain_lag_ms", limits.drain_lag_ms, 0..=600_000),
         within(
@@ -76,19 +80,17 @@
     ]
 }
 
-fn within(setting: &'static str, number: u64, accepted: RangeInclusive<u64>) -> Found {
+fn within(setting: &'static str, number: u64, accepted: RangeInclusive<u64>) -> Finding {
     if accepted.contains(&number) {
         return (setting, String::new());
     }
-    let (least, most) = accepted.into_inner();
-    (
-        setting,
-        format!("is {number}; accepted are {least} to {most}"),
-    )
+    let (min, max) = accepted.into_inner();
+    (setting, format!("is {number}; accepted are {min} to {max}"))
 }
 
-/// A drain that is over before new work is refused cuts whatever runs.
-fn drain(limits: &Limits) -> Found {
+/// Checks that the drain ends after new requests are refused. Otherwise every
+/// running request would be cut.
+fn drain(limits: &Limits) -> Finding {
     let mut message = String::new();
     if limits.drain_deadline_ms <= limits.drain_lag_ms {
         message = format!(
@@ -100,10 +102,12 @@
 }
 
 fn name(value: &str) -> Option<String> {
-    let plain = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    let accepted = (1..=LONGEST_NAME).contains(&value.len()) && value.chars().all(plain);
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    let accepted = (1..=MAX_NAME_BYTES).contains(&value.len()) && value.chars().all(is_allowed);
     (!accepted).then(|| {
-        format!("is `{value}`; accepted are 1 to {LONGEST_NAME} letters, digits, `-`, `_` and `.`")
+        format!(
+            "is `{value}`; accepted are 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` and `.`"
+        )
     })
 }
 
@@ -112,8 +116,9 @@
 }
 
 fn address(value: &str) -> Option<String> {
-    let wrong = value.parse::<SocketAddr>().is_err();
-    wrong.then(|| format!("is `{value}`; accepted is an IP number and a port, as 10.0.0.7:8080"))
+    let is_invalid = value.parse::<SocketAddr>().is_err();
+    is_invalid
+        .then(|| format!("is `{value}`; accepted is an IP number and a port, as 10.0.0.7:8080"))
 }
 
 fn host_and_port(value: &str) -> Option<String> {
@@ -132,6 +137,6 @@
 }
 
 fn level(value: &str) -> Option<String> {
-    let wrong = !LEVELS.contains(&value);
-    wrong.then(|| format!("is `{value}`; accepted are {}", LEVELS.join(", ")))
+    let is_unknown = !LEVELS.contains(&value);
+    is_unknown.then(|| format!("is `{value}`; accepted are {}", LEVELS.join(", ")))
 }
--- a/crates/node/src/settings/mod.rs
+++ b/crates/node/src/settings/mod.rs
@@ -1,11 +1,11 @@
 //! Settings of one process.
 //!
-//! They come from one YAML file; variables of the environment go over it, so
-//! that all instances can share a file and differ in their name and addresses
-//! (`read`). A wrong setting keeps the process from starting, and is told with
-//! its file and line, its name and what is accepted (`check`): an instance
-//! that runs with another limit than its operator believes is found out under
-//! load, when it is too late.
+//! Settings are read from one YAML file. Environment variables override it, so
+//! that all instances can share a file and differ only in name and addresses
+//! (`read`). An invalid setting keeps the process from starting, and is reported
+//! with its file and line, its name and the accepted values (`check`).
+//! Otherwise an instance could run with a limit that its operator did not
+//! intend, which would only be noticed under load.
 
 mod check;
 mod read;
@@ -29,8 +29,8 @@
     /// Name of the fleet of instances that share soft state.
     #[serde(default = "default_fleet")]
     pub fleet: String,
-    /// Key that all instances of the fleet share; messages without its seal
-    /// are refused.
+    /// Secret key that all instances of the fleet share. Messages that are not
+    /// sealed with it are refused.
     pub peer_key: String,
     /// Operators' port.
     #[serde(default)]
@@ -41,12 +41,13 @@
     /// Logs.
     #[serde(default)]
     pub logs: Logs,
-    /// Where metrics go in the `StatsD` protocol, as `host:port`; nowhere if empty.
+    /// Address to which metrics are sent in the `StatsD` protocol, as
+    /// `host:port`. Nothing is sent if it is empty.
     #[serde(default)]
     pub statsd: String,
 }
 
-/// Addresses to listen on, as `ip:port`; port 0 takes a free one.
+/// Addresses to listen on, as `ip:port`. Port 0 binds a free port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -59,7 +60,7 @@
 }
 
 impl Listen {
-    /// Listens on free ports of one IP number.
+    /// Creates addresses with free ports at one IP address.
     #[must_use]
     pub fn new(ip: &str) -> Self {
         let any_port = format!("{ip}:0");
@@ -75,26 +76,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests that run at a time.
+    /// Maximum number of requests that run at a time.
     pub concurrency: usize,
-    /// Connections of callers that are open at a time; idle ones count too.
+    /// Maximum number of open connections of callers, idle ones included.
     pub connections: usize,
-    /// Threads of the async runtime.
+    /// Worker threads of the async runtime.
     pub workers: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Milliseconds within which the headers of a request must arrive.
+    /// Time within which the headers of a request must arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Milliseconds within which the body of a request must arrive.
+    /// Time within which the body of a request must arrive, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Milliseconds for which a caller may leave an answer unread.
+    /// Time for which a caller may leave an answer unread, in milliseconds.
     pub write_timeout_ms: u64,
-    /// Milliseconds that an answer's end waits at most until its ledger entry
-    /// is kept in the store or copied to a peer.
+    /// Maximum time that the end of an answer waits until its ledger entry is
+    /// stored or copied to a peer, in milliseconds.
     pub ledger_wait_ms: u64,
-    /// Milliseconds for which new work is taken after readiness is withdrawn.
+    /// Time for which new requests are accepted after readiness is withdrawn,
+    /// in milliseconds.
     pub drain_lag_ms: u64,
-    /// Milliseconds within which running requests end before the process does.
+    /// Time after the start of a shutdown at which requests that still run are
+    /// cut, in milliseconds.
     pub drain_deadline_ms: u64,
 }
 
@@ -115,16 +118,16 @@
     }
 }
 
-/// How the operators' port treats those who ask.
+/// Access control of the operators' port.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operators {
-    /// Whether state, status and configuration are read without a token, for
-    /// networks that only operators reach. Changes always need one.
+    /// Whether state, status and configuration can be read without a token, for
+    /// networks that only operators can reach. Changes always need a token.
     pub open_reads: bool,
 }
 
-/// How the process logs.
+/// Settings of the log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Logs {
@@ -148,8 +151,8 @@
 }
 
 impl Settings {
-    /// Creates settings that listen on free loopback ports, with no balancer
-    /// before them.
+    /// Creates settings that listen on free loopback ports and expect no load
+    /// balancer in front (`drain_lag_ms` is 0).
     #[must_use]
     pub fn new(instance: &str, zone: &str, platform: &str, peer_key: &str) -> Self {
         Self {
@@ -169,14 +172,14 @@
         }
     }
 
-    /// Listens on other addresses.
+    /// Sets the addresses to listen on.
     #[must_use]
     pub fn with_listen(mut self, listen: Listen) -> Self {
         self.listen = listen;
         self
     }
 
-    /// Works under other limits.
+    /// Sets the limits.
     #[must_use]
     pub fn with_limits(mut self, limits: Limits) -> Self {
         self.limits = limits;
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! From a file and the environment to settings.
+//! Reads settings from a file and from the environment.
 
 use std::path::Path;
 
@@ -9,15 +9,15 @@
 
 use super::{Settings, check};
 
-/// What the variables that go over a settings file begin with.
+/// Prefix of the environment variables that override a settings file.
 const PREFIX: &str = "FESCUERACK_";
-/// Settings that are grouped; a variable that begins like one of them and names
-/// no setting is an error, since it is meant for this process and would be
-/// passed over in silence.
+/// Groups of settings. A variable that has the prefix of a group and names no
+/// setting is an error: it is meant for this process and would otherwise be
+/// ignored without notice.
 const GROUPS: [&str; 4] = ["listen", "limits", "logs", "operators"];
-/// Settings beside the limits that are no text.
-const SWITCHES: [&str; 2] = ["logs.json", "operators.open_reads"];
-/// Every setting, with the group it belongs to.
+/// Boolean settings. All other settings outside the limits are texts.
+const BOOLEANS: [&str; 2] = ["logs.json", "operators.open_reads"];
+/// Every setting, prefixed by its group.
 const SETTINGS: [&str; 22] = [
     "instance",
     "zone",
@@ -43,7 +43,7 @@
     "limits.drain_deadline_ms",
 ];
 
-/// Returns every setting with the variable that goes over it.
+/// Returns every setting with the environment variable that overrides it.
 #[must_use]
 pub fn variables() -> Vec<(&'static str, String)> {
     let variable = |setting: &&'static str| (*setting, variable(setting));
@@ -55,11 +55,11 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file, with the environment over it.
+    /// Reads and checks a settings file with the overrides of the environment.
     ///
     /// # Errors
     ///
-    /// What is wrong, with the file and line or the variable.
+    /// Returns every problem, with its file and line or its variable.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("read settings {}", path.display()))?;
@@ -71,21 +71,21 @@
         })
     }
 
-    /// Parses and checks the text of a settings file called `name`, with
-    /// variables over it.
+    /// Parses and checks the text of a settings file called `name`, with the
+    /// overrides in `variables`.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong, with its line or variable.
+    /// Returns every problem, with its line or variable.
     pub fn parse(
         name: &str,
         text: &str,
         variables: impl IntoIterator<Item = (String, String)>,
     ) -> Result<Self, Vec<Problem>> {
         let mut root = Node::new(text).map_err(|failure| vec![problem(name, &failure)])?;
-        let mut origin = Origin::new(name);
+        let mut origins = Origins::new(name);
         for (variable, value) in variables {
-            origin.put(&mut root, variable, &value)?;
+            origins.override_setting(&mut root, variable, &value)?;
         }
         let settings = Self::deserialize(&root).map_err(|failure| {
             let field = failure.field.join(".");
@@ -93,27 +93,28 @@
                 "" => failure.message.clone(),
                 field => format!("{field}: {}", failure.message),
             };
-            vec![origin.problem(&field, failure.line, message)]
+            vec![origins.problem(&field, failure.line, message)]
         })?;
         let problems = check::problems(&settings);
         if problems.is_empty() {
             return Ok(settings);
         }
-        let told = problems.into_iter().map(|(setting, message)| {
+        let located = problems.into_iter().map(|(setting, message)| {
             let line = line(&root, setting);
-            origin.problem(setting, line, format!("{setting}: {message}"))
+            origins.problem(setting, line, format!("{setting}: {message}"))
         });
-        Err(told.collect())
+        Err(located.collect())
     }
 }
 
-/// Where each setting came from.
-struct Origin<'a> {
+/// The origins of the settings, for problem reports.
+struct Origins<'a> {
     file: &'a str,
+    /// Variables that override a setting, each with the setting.
     variables: Vec<(String, &'static str)>,
 }
 
-impl<'a> Origin<'a> {
+impl<'a> Origins<'a> {
     fn new(file: &'a str) -> Self {
         Self {
             file,
@@ -121,18 +122,23 @@
         }
     }
 
-    /// Puts a variable over the file.
-    fn put(&mut self, root: &mut Node, variable: String, value: &str) -> Result<(), Vec<Problem>> {
+    /// Overrides a setting of the file by a variable.
+    fn override_setting(
+        &mut self,
+        root: &mut Node,
+        variable: String,
+        value: &str,
+    ) -> Result<(), Vec<Problem>> {
         let known = SETTINGS
             .iter()
             .find(|setting| self::variable(setting) == variable);
         let Some(setting) = known else {
-            return unknown(&variable);
+            return check_unknown(&variable);
         };
         let node = scalar(setting, value);
         match setting.split_once('.') {
-            Some((group, name)) => set(child(root, group), name, node),
-            None => set(root, setting, node),
+            Some((group, name)) => set_field(field_or_insert(root, group), name, node),
+            None => set_field(root, setting, node),
         }
         self.variables.push((variable, setting));
         Ok(())
@@ -147,12 +153,14 @@
     }
 }
 
-fn unknown(variable: &str) -> Result<(), Vec<Problem>> {
+/// Returns an error if a variable that names no setting has the prefix of a
+/// group.
+fn check_unknown(variable: &str) -> Result<(), Vec<Problem>> {
     let grouped = GROUPS
         .iter()
         .find(|group| variable.starts_with(&format!("{}_", self::variable(group))));
     let Some(group) = grouped else {
-        // Variables of the command line and of tests begin alike.
+        // Variables of the command line and of tests have the same prefix.
         return Ok(());
     };
     let known = SETTINGS.iter().filter(|setting| setting.starts_with(group));
@@ -169,9 +177,9 @@
     Problem::new(name, failure.line, failure.message.clone())
 }
 
-/// Reads a variable's value: as YAML would where no text is expected.
+/// Parses the value of a variable: as YAML if the setting is not a text.
 fn scalar(setting: &str, value: &str) -> Node {
-    let is_text = !setting.starts_with("limits.") && !SWITCHES.contains(&setting);
+    let is_text = !setting.starts_with("limits.") && !BOOLEANS.contains(&setting);
     let parsed = Node::new(value).ok().filter(|_| !is_text);
     let value = match parsed.map(|node| node.value) {
         Some(Value::Mapping(_) | Value::Sequence(_) | Value::Null) | None => {
@@ -186,14 +194,15 @@
     }
 }
 
-fn child<'a>(root: &'a mut Node, name: &str) -> &'a mut Node {
+/// Returns a field of a mapping, which is inserted as an empty mapping if it is missing.
+fn field_or_insert<'a>(root: &'a mut Node, name: &str) -> &'a mut Node {
     if root.field(name).is_none() {
         let empty = Node {
             line: 0,
             bytes: 0..0,
             value: Value::Mapping(Vec::new()),
         };
-        set(root, name, empty);
+        set_field(root, name, empty);
     }
     let Value::Mapping(fields) = &mut root.value else {
         unreachable!("a field was just set");
@@ -202,7 +211,8 @@
     &mut field.expect("a field was just set").node
 }
 
-fn set(root: &mut Node, name: &str, node: Node) {
+/// Sets a field of `root`, which becomes a mapping if it is not one.
+fn set_field(root: &mut Node, name: &str, node: Node) {
     if !matches!(root.value, Value::Mapping(_)) {
         root.value = Value::Mapping(Vec::new());
     }
@@ -218,8 +228,8 @@
     });
 }
 
-/// Returns the line of a setting; of its group or of the file's beginning when
-/// it stands in neither.
+/// Returns the line of a setting. If the file does not contain it, returns the
+/// line of its group, or the first line if the group is missing too.
 fn line(root: &Node, setting: &str) -> usize {
     let mut node = root;
     let mut line = 1;
