--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -1,4 +1,4 @@
-//! Waiting for a place: the callers' side of admission.
+//! Admission of callers' requests: rate limits, then a place to run in.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
@@ -25,40 +25,43 @@
     call: &Call,
     class: Option<key::Class>,
 ) -> Result<Permit, Refusal> {
-    let ask = ask(shared, call, class);
-    rate(shared, call)?;
-    let entered = shared.gate.admit(shared.clock, &ask).await;
-    entered.map_err(|refused| {
+    let request = admission_request(shared, call, class);
+    check_rate(shared, call)?;
+    let admitted = shared.gate.admit(shared.clock, &request).await;
+    admitted.map_err(|refused| {
         shared.metrics.count("admission.refused");
         refusal(shared.now(), refused.retry_at, "too much work; not run")
     })
 }
 
-fn ask(shared: &Shared, call: &Call, class: Option<key::Class>) -> Request {
+fn admission_request(shared: &Shared, call: &Call, class: Option<key::Class>) -> Request {
     let force = shared.force();
     let organisation = force.catalog.organisations.get(call.organisation);
-    let known = class.and_then(|class| force.catalog.classes.get(class));
-    let due = known.map(|class| shared.now().plus_millis(class.deadline_ms));
+    let entry = class.and_then(|class| force.catalog.classes.get(class));
+    let due = entry.map(|class| shared.now().plus_millis(class.deadline_ms));
     Request {
         organisation: call.organisation,
         weight: organisation.map_or(1, |organisation| organisation.weight),
-        caller: caller(call),
+        caller: caller_id(call),
         class,
-        priority: known.map_or(DEFAULT_PRIORITY, |class| class.priority),
-        long: known.is_some_and(|class| class.long),
+        priority: entry.map_or(DEFAULT_PRIORITY, |class| class.priority),
+        long: entry.is_some_and(|class| class.long),
         deadline: due.map_or(call.deadline, |due| call.deadline.min(due)),
     }
 }
 
-/// Requests without a session count as one caller of their organisation: a
-/// script that names none cannot take more turns than a parent who does.
-fn caller(call: &Call) -> u64 {
+/// Returns the identifier under which admission shares turns among callers.
+///
+/// All requests of an organisation without a session count as one caller, so
+/// that a script that sends no session gets no more turns than a user with one.
+fn caller_id(call: &Call) -> u64 {
     let mut hasher = DefaultHasher::new();
     call.session.hash(&mut hasher);
     hasher.finish()
 }
 
-fn rate(shared: &Shared, call: &Call) -> Result<(), Refusal> {
+/// Takes a request from the organisation's rate limit, if it has one.
+fn check_rate(shared: &Shared, call: &Call) -> Result<(), Refusal> {
     let force = shared.force();
     let organisation = force.catalog.organisations.get(call.organisation);
     let Some(rate) = organisation.and_then(|organisation| organisation.rate) else {
@@ -66,17 +69,18 @@
     };
     let now = shared.now();
     let instances = lock(&shared.member).view.size();
-    let spent = lock(&shared.rates).try_acquire(now, call.organisation, rate, instances);
-    spent.map_err(|retry| {
+    let acquired = lock(&shared.rates).try_acquire(now, call.organisation, rate, instances);
+    acquired.map_err(|retry_at| {
         shared.metrics.count("admission.over_rate");
         let message = "over the organisation's requests a second; not run";
-        refusal(now, retry, message)
+        refusal(now, retry_at, message)
     })
 }
 
-fn refusal(now: Instant, retry: Instant, message: &str) -> Refusal {
-    // Whole seconds, rounded up: earlier would be too early.
-    let seconds = retry.since(now).as_millis().div_ceil(1000).max(1);
+fn refusal(now: Instant, retry_at: Instant, message: &str) -> Refusal {
+    // `Retry-After` has whole seconds; rounded down, the caller would come back
+    // too early.
+    let seconds = retry_at.since(now).as_millis().div_ceil(1000).max(1);
     let seconds = u64::try_from(seconds).unwrap_or(u64::MAX);
     Refusal::new(Kind::Overloaded, message).with_retry(seconds)
 }
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a completion at backend servers.
+//! The attempts of a completion at backend servers, with retries and hedging.
 
 use std::sync::Arc;
 
@@ -19,118 +19,119 @@
 use crate::shared::{Force, Shared, lock};
 use crate::versions::suspects;
 
-/// Attempts that one request may make.
+/// Maximum number of attempts of one request, hedges included.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// What every attempt of a request sends.
+/// What every attempt of a request sends to its engine.
 #[derive(Clone, Debug)]
 pub struct AttemptSpec {
     /// Version that answers.
     pub version: key::Version,
-    /// Path at the engine.
+    /// Path of the request at the engine.
     pub path: &'static str,
     /// Priority at the engine.
     pub priority: u8,
-    /// What the request is known by if its server crashes.
+    /// Fingerprint under which crashes of servers are counted for the request.
     pub fingerprint: Fingerprint,
-    /// Body for the engine.
+    /// Body of the request to the engine.
     pub body: Bytes,
     /// When the answer is due.
     pub deadline: Instant,
 }
 
-/// An answer that has started.
+/// An answer whose first part has been received.
 pub struct StartedAnswer {
-    /// Its first part.
+    /// First part of the answer.
     pub first: Completion,
-    /// What follows.
+    /// Events after the first part.
     pub events: Events,
 }
 
-/// Why no answer has started.
+/// Why no answer was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No healthy server could take the request.
     NoServer(Outcome),
     /// Every attempt failed.
     Failed(Outcome),
-    /// Servers crashed under it; it does not run again.
+    /// Servers crashed while they ran the request; it is not run again.
     Crashes(Outcome),
 }
 
-/// The attempts of one completion.
+/// Runs the attempts of one completion.
 pub struct AttemptRunner {
     shared: Arc<Shared>,
     force: Arc<Force>,
     attempts: Attempts,
-    work: AttemptSpec,
+    spec: AttemptSpec,
     prompt: Prompt,
     meter: Meter,
     fleet: Option<key::Fleet>,
     hedged: bool,
 }
 
-/// An attempt whose first part has not come.
+/// An attempt whose first part has not been received.
 struct PendingAttempt {
     events: Events,
 }
 
 impl AttemptRunner {
-    /// Prepares the attempts of `work`; none is made yet.
-    pub fn new(shared: Arc<Shared>, force: Arc<Force>, work: AttemptSpec) -> Self {
+    /// Prepares the attempts of `spec`; none is made yet.
+    pub fn new(shared: Arc<Shared>, force: Arc<Force>, spec: AttemptSpec) -> Self {
         Self {
-            attempts: Attempts::new(true, work.deadline, MAX_ATTEMPTS),
-            prompt: Prompt::new(&work.body),
+            attempts: Attempts::new(true, spec.deadline, MAX_ATTEMPTS),
+            prompt: Prompt::new(&spec.body),
             meter: Meter::default(),
             fleet: None,
             hedged: false,
             shared,
             force,
-            work,
+            spec,
         }
     }
 
-    /// Tells admission how the attempts go.
+    /// Sets the meter that reports the attempts' progress to admission.
     pub fn with_meter(mut self, meter: Meter) -> Self {
         self.meter = meter;
         self
     }
 
-    /// Makes attempts until one has brought its first part.
+    /// Makes attempts until one returns its first part.
     ///
     /// # Errors
     ///
-    /// When none did.
+    /// When no attempt did.
     pub async fn start(&mut self) -> Result<StartedAnswer, Failure> {
         loop {
-            if !suspects::admit(&self.shared, self.work.fingerprint).await {
+            if !suspects::admit(&self.shared, self.spec.fingerprint).await {
                 return Err(Failure::Crashes(self.attempts.outcome()));
             }
-            if suspects::is_suspected(&self.shared, self.work.fingerprint) {
+            if suspects::is_suspected(&self.shared, self.spec.fingerprint) {
                 let latest = self.shared.now().plus_millis(poison::MAX_RERUN_MS);
-                self.work.deadline = self.work.deadline.min(latest);
+                self.spec.deadline = self.spec.deadline.min(latest);
             }
             if self.attempts.made() > 0 {
                 let now = self.shared.now();
                 let pause = self.attempts.backoff(now, &mut *lock(&self.shared.rng));
                 tokio::time::sleep(pause).await;
             }
-            let Some(sent) = self.send() else {
+            let Some(pending) = self.send() else {
                 return Err(Failure::NoServer(self.attempts.outcome()));
             };
-            match self.first(sent).await {
+            match self.hedged_first(pending).await {
                 Ok(started) => return Ok(started),
-                Err(end) => self.end(end)?,
+                Err(outcome) => self.record_end(outcome)?,
             }
         }
     }
 
-    /// Sends an attempt to a server that was not tried.
+    /// Sends an attempt to a server that was not tried; returns `None` when
+    /// there is none or the request may no longer run.
     fn send(&mut self) -> Option<PendingAttempt> {
-        let fleets = &self.force.catalog.versions[self.work.version].fleets;
-        let fingerprint = self.work.fingerprint;
+        let fleets = &self.force.catalog.versions[self.spec.version].fleets;
+        let fingerprint = self.spec.fingerprint;
         let avoid = suspects::avoid(&self.shared, fingerprint, self.attempts.tried());
-        let ask = Request {
+        let request = Request {
             fleets,
             avoid: &avoid,
             work: self.prompt.work,
@@ -138,32 +139,35 @@
             prefix: self.prompt.prefix,
             adapter: None,
         };
-        let running = self.shared.place_attempt(&ask)?;
+        let running = self.shared.place_attempt(&request)?;
         if !suspects::start(&self.shared, fingerprint, running.server) {
             return None;
         }
         self.attempts.start(running.server);
         self.fleet = Some(running.fleet);
-        let work = self.work.clone();
-        let events = upstream::start(&self.shared, running, work, self.meter.clone());
+        let spec = self.spec.clone();
+        let events = upstream::start(&self.shared, running, spec, self.meter.clone());
         Some(PendingAttempt { events })
     }
 
-    /// Waits for the first part of an attempt, and of a hedge beside it once
-    /// the attempt is late; the other one is cancelled.
-    async fn first(&mut self, mut sent: PendingAttempt) -> Result<StartedAnswer, AttemptOutcome> {
-        let Some(after) = self.hedge_after() else {
-            return sent.first().await;
+    /// Waits for the first part of an attempt and, once the attempt is late, of
+    /// a hedge beside it. The slower of the two is cancelled.
+    async fn hedged_first(
+        &mut self,
+        mut pending: PendingAttempt,
+    ) -> Result<StartedAnswer, AttemptOutcome> {
+        let Some(delay) = self.hedge_delay() else {
+            return pending.first().await;
         };
-        if let Ok(first) = tokio::time::timeout(after, sent.first_part()).await {
-            return sent.started(first);
+        if let Ok(first) = tokio::time::timeout(delay, pending.first_part()).await {
+            return pending.started(first);
         }
-        let Some(mut hedge) = self.hedge() else {
-            return sent.first().await;
+        let Some(mut hedge) = self.send_hedge() else {
+            return pending.first().await;
         };
         tokio::select! {
-            first = sent.first_part() => match first {
-                Ok(_) => sent.started(first),
+            first = pending.first_part() => match first {
+                Ok(_) => pending.started(first),
                 Err(_) => hedge.first().await,
             },
             first = hedge.first_part() => match first {
@@ -171,26 +175,28 @@
                     self.shared.metrics.count("attempts.hedge_won");
                     hedge.started(first)
                 }
-                Err(_) => sent.first().await,
+                Err(_) => pending.first().await,
             },
         }
     }
 
-    /// After which time a hedge would pay.
-    fn hedge_after(&self) -> Option<std::time::Duration> {
+    /// Returns the delay after which a hedge is worth its cost; `None` when no
+    /// hedge may be sent. While requests wait for admission, none is.
+    fn hedge_delay(&self) -> Option<std::time::Duration> {
         let waiting = self.shared.gate.load().1;
-        // A suspect runs on one server at a time.
-        let suspected = suspects::is_suspected(&self.shared, self.work.fingerprint);
-        if self.hedged || suspected || waiting > 0 || self.attempts.made() >= MAX_ATTEMPTS {
+        // A request suspected of crashing servers runs on one server at a time.
+        let is_suspected = suspects::is_suspected(&self.shared, self.spec.fingerprint);
+        if self.hedged || is_suspected || waiting > 0 || self.attempts.made() >= MAX_ATTEMPTS {
             return None;
         }
-        let least_s = self.force.catalog.limit("attempt.hedge-ms") / 1000.0;
-        let remaining = self.work.deadline.since(self.shared.now());
+        let min_s = self.force.catalog.limit("attempt.hedge-ms") / 1000.0;
+        let remaining = self.spec.deadline.since(self.shared.now());
         let routes = lock(&self.shared.routes);
-        hedge::delay(routes.first_token_mean(self.fleet?)?, least_s, remaining)
+        hedge::delay(routes.first_token_mean(self.fleet?)?, min_s, remaining)
     }
 
-    fn hedge(&mut self) -> Option<PendingAttempt> {
+    /// Sends a hedge if the hedge budget allows it.
+    fn send_hedge(&mut self) -> Option<PendingAttempt> {
         let now = self.shared.now();
         if !lock(&self.shared.pools).try_take_hedge(now, self.fleet?) {
             return None;
@@ -200,17 +206,18 @@
         self.send()
     }
 
-    /// Ends an attempt of which nothing was handed on; another may follow.
+    /// Records the outcome of an attempt of which nothing was sent to the
+    /// caller; returns `Ok` when another may follow.
     ///
     /// # Errors
     ///
     /// When no other attempt may follow.
-    pub fn end(&mut self, end: AttemptOutcome) -> Result<(), Failure> {
+    pub fn record_end(&mut self, outcome: AttemptOutcome) -> Result<(), Failure> {
         self.shared.metrics.count("attempts.failed");
-        match self.attempts.end(self.shared.now(), end, false) {
-            // What surely did not run has cost no server anything, and neither
-            // does it cost the budget.
-            Next::Retry if end == AttemptOutcome::NotRun || self.may_retry() => Ok(()),
+        match self.attempts.end(self.shared.now(), outcome, false) {
+            // An attempt that certainly did not run has cost no server any work,
+            // so its retry takes nothing from the retry budget.
+            Next::Retry if outcome == AttemptOutcome::NotRun || self.may_retry() => Ok(()),
             Next::Retry => Err(Failure::Failed(self.attempts.outcome())),
             Next::Stop(outcome) => Err(Failure::Failed(outcome)),
         }
@@ -244,7 +251,7 @@
     }
 }
 
-/// Returns how an attempt ended that met `fault`.
+/// Returns the outcome of an attempt that ended with `fault`.
 pub fn outcome_of(fault: &Fault) -> AttemptOutcome {
     match fault {
         Fault::NotSent(_) => AttemptOutcome::NotRun,
--- a/crates/node/src/callers/billing.rs
+++ b/crates/node/src/callers/billing.rs
@@ -11,7 +11,7 @@
 use super::request::Call;
 use crate::shared::{Force, Shared};
 
-/// What the steps of one request used; one entry bills them all.
+/// Tokens and cost of the steps of one request, which one ledger entry bills.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spent {
     input_tokens: u64,
@@ -20,7 +20,7 @@
 }
 
 impl Spent {
-    /// Adds a step.
+    /// Adds the usage of a step.
     pub fn add(&mut self, force: &Force, version: key::Version, usage: Usage) {
         self.input_tokens += usage.prompt_tokens;
         self.output_tokens += usage.completion_tokens;
@@ -33,11 +33,11 @@
     }
 }
 
-/// Bills an answered completion with what its earlier steps spent; returns the
-/// cost of all in micro-euro.
+/// Bills an answered completion together with its earlier steps; returns the
+/// cost of all steps in micro-euro.
 ///
-/// Called before the answer's end leaves for the caller, which waits a few
-/// milliseconds until the entry is safe.
+/// Called before the end of the answer is sent: the caller waits a few
+/// milliseconds until the entry is durable.
 pub async fn completion(
     shared: &Arc<Shared>,
     force: &Force,
@@ -56,23 +56,29 @@
         ..entry(force, call)
     };
     let ticket = shared.ledger.add(entry);
-    keep(shared, ticket).await;
+    wait_until_durable(shared, ticket).await;
     spent.cost
 }
 
-/// Bills an answered call of a plain service under the identity `bill`.
-pub async fn call(shared: &Arc<Shared>, force: &Force, call: &Call, service: &str, bill: String) {
+/// Bills an answered call of a plain service under the identity `billing_id`.
+pub async fn call(
+    shared: &Arc<Shared>,
+    force: &Force,
+    call: &Call,
+    service: &str,
+    billing_id: String,
+) {
     let entry = Entry {
-        request: bill,
+        request: billing_id,
         version: service.to_owned(),
         ..entry(force, call)
     };
     let ticket = shared.ledger.add_claimed(entry);
-    keep(shared, ticket).await;
+    wait_until_durable(shared, ticket).await;
 }
 
-/// Returns an entry that lacks what was used. Its identity is never the
-/// caller's: two callers may choose the same one.
+/// Returns an entry without usage. The caller's request identifier is only its
+/// label, never its identity, because two callers may choose the same one.
 fn entry(force: &Force, call: &Call) -> Entry {
     let organisation = force.names.organisations.name(call.organisation);
     Entry {
@@ -90,7 +96,8 @@
     cost.of(usage.prompt_tokens, usage.completion_tokens)
 }
 
-async fn keep(shared: &Arc<Shared>, ticket: Ticket) {
+/// Waits until an entry is durable, up to `ledger_wait_ms`.
+async fn wait_until_durable(shared: &Arc<Shared>, ticket: Ticket) {
     let start = shared.now();
     let wait = Duration::from_millis(shared.settings.limits.ledger_wait_ms);
     if !shared.ledger.safe(ticket, wait).await {
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -1,5 +1,5 @@
-//! Choice of the version that answers: from the name in the request to the
-//! core's decision, and the session's token back to the caller.
+//! Choice of the version that answers: resolves the model name of the request,
+//! lets the core decide and returns the session's token to the caller.
 
 use fescuerack_config::key;
 use fescuerack_core::cascade::{self, Context, Plan, Selector};
@@ -14,18 +14,18 @@
 /// Priority of a request that names no class of work.
 const DEFAULT_PRIORITY: u8 = 5;
 
-/// What was chosen for a request.
+/// The decision for one request.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// Version that answers.
     pub version: key::Version,
-    /// Class of work, when the request names one.
+    /// Class of work, if the request names one.
     pub class: Option<key::Class>,
     /// Priority at the engine; a lower number goes first.
     pub priority: u8,
     /// Plans, cheapest first.
     pub plans: Vec<Plan>,
-    /// Headers about the session.
+    /// Session headers of the reply, if the request has a session.
     session: Option<Session>,
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl Choice {
-    /// Adds what the caller is told of its session.
-    pub fn on(&self, reply: Reply) -> Reply {
+    /// Adds the session headers to a reply.
+    pub fn add_to(&self, reply: Reply) -> Reply {
         let Some(session) = &self.session else {
             return reply;
         };
@@ -54,8 +54,8 @@
 /// # Errors
 ///
 /// Why no version may answer. A model that does not exist and one that the
-/// organisation may not use are refused alike, so that nothing is told of
-/// what others use.
+/// organisation may not use get the same refusal, which reveals nothing about
+/// the models of other organisations.
 pub fn choose(
     shared: &Shared,
     force: &Force,
@@ -63,23 +63,24 @@
     asked: &chat::Request,
 ) -> Result<Choice, Refusal> {
     let model = asked.model.as_str();
-    let wanted = wanted(force, model).ok_or_else(forbidden)?;
+    let selector = selector(force, model).ok_or_else(forbidden)?;
     let now = shared.now();
     shared.versions.configure(now, force);
     let pins = pins(shared, force, call);
     let pinned = pins
         .get(model)
         .and_then(|name| force.names.versions.get(name));
-    let within = call.deadline.since(now).as_millis();
+    let remaining = call.deadline.since(now).as_millis();
     let request = cascade::Request {
         organisation: call.organisation,
-        selector: wanted,
+        selector,
         session: call.session.as_deref().unwrap_or(&call.request).as_bytes(),
         pinned,
         stream: asked.stream,
-        remaining_ms: u32::try_from(within).unwrap_or(u32::MAX),
+        remaining_ms: u32::try_from(remaining).unwrap_or(u32::MAX),
         input_tokens: u64::try_from(call.body.len() / 4).unwrap_or(u64::MAX),
-        // What is tried once must not become the version of a session.
+        // A version that is tried at random must not become the version of a
+        // session.
         random: if call.session.is_some() {
             1.0
         } else {
@@ -88,21 +89,21 @@
     };
     let registry = lock(&shared.versions.rollouts);
     let learner = lock(&shared.versions.learner);
-    let world = Context {
+    let context = Context {
         catalog: &force.catalog,
         names: &force.names,
         rollouts: &registry,
         learner: &learner,
         now,
     };
-    let mut chosen = cascade::choose(world, request).map_err(refusal)?;
+    let mut chosen = cascade::choose(context, request).map_err(refusal)?;
     if call.session.is_some() {
-        // A session waits for its version rather than go to another.
+        // A session waits for its version instead of going to another one.
         chosen.plans.truncate(1);
     }
     drop(learner);
     drop(registry);
-    let class = match wanted {
+    let class = match selector {
         Selector::Class(class) => Some(class),
         Selector::Version(_) | Selector::Model(_) => None,
     };
@@ -111,7 +112,7 @@
         version: chosen.place.version(),
         class,
         priority: priority.unwrap_or(DEFAULT_PRIORITY),
-        session: told(shared, force, call, model, pins, chosen.place),
+        session: updated_session(shared, force, call, model, pins, chosen.place),
         plans: chosen.plans,
     })
 }
@@ -120,7 +121,8 @@
     Refusal::new(Kind::Forbidden, "the organisation may not use this model")
 }
 
-fn wanted(force: &Force, model: &str) -> Option<Selector> {
+/// Resolves `auto:<class>`, a version or a model.
+fn selector(force: &Force, model: &str) -> Option<Selector> {
     if let Some(class) = model.strip_prefix("auto:") {
         let class = force.names.classes.get(class)?;
         return force
@@ -135,7 +137,8 @@
     force.names.models.get(model).map(Selector::Model)
 }
 
-/// Returns what the caller's token says, if it is this session's.
+/// Returns the pinned versions in the caller's token; none if the token is not
+/// valid for this session.
 fn pins(shared: &Shared, force: &Force, call: &Call) -> Pins {
     let (Some(session), Some(token)) = (&call.session, &call.session_token) else {
         return Pins::new();
@@ -145,8 +148,8 @@
     token::open(secret, organisation, session, token).unwrap_or_default()
 }
 
-/// Returns what the caller is told of its session.
-fn told(
+/// Returns the session headers after the placement of this request.
+fn updated_session(
     shared: &Shared,
     force: &Force,
     call: &Call,
--- a/crates/node/src/callers/collect.rs
+++ b/crates/node/src/callers/collect.rs
@@ -1,4 +1,4 @@
-//! Collecting an answer that is handed on whole.
+//! Collects a streamed answer that is sent to the caller in one piece.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use super::format::{Endpoint, UsageCounter};
 use crate::shared::Shared;
 
-/// Fields of a part that stand for themselves in every part; texts of all
-/// other fields are pieces, to be joined.
-const WHOLE_FIELDS: [&str; 4] = ["id", "index", "role", "type"];
+/// Fields that have their full value in every part; the texts of all other
+/// fields are pieces to be joined.
+const REPEATED_FIELDS: [&str; 4] = ["id", "index", "role", "type"];
 
-/// An answer that has been collected whole.
+/// A complete answer.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// Its text; of the first choice, when there are several.
+    /// Text of the answer; that of the first choice if there are several.
     pub text: String,
-    /// Tokens used.
+    /// Tokens that the answer used.
     pub usage: Usage,
     choices: BTreeMap<u32, Choice>,
 }
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// How the attempt ended when the answer is not whole.
+    /// The outcome of the attempt when the answer is incomplete.
     pub async fn read(
         shared: &Shared,
         body: &[u8],
@@ -85,22 +85,23 @@
         text.unwrap_or_default()
     }
 
-    /// Returns the parts of the answer as a stream that holds it in one piece.
+    /// Returns the answer as the parts of a stream: one with the text, one with
+    /// the usage.
     pub fn parts(&self, endpoint: Endpoint) -> Vec<Completion> {
-        let mut whole = self.completion(endpoint, "", "");
-        endpoint.part_object().clone_into(&mut whole.object);
-        for choice in &mut whole.choices {
+        let mut complete = self.completion(endpoint, "", "");
+        endpoint.part_object().clone_into(&mut complete.object);
+        for choice in &mut complete.choices {
             choice.delta = choice.message.take();
         }
         let last = Completion {
             choices: Vec::new(),
-            ..whole.clone()
+            ..complete.clone()
         };
-        whole.usage = None;
-        vec![whole, last]
+        complete.usage = None;
+        vec![complete, last]
     }
 
-    /// Returns the answer in the endpoint that callers expect.
+    /// Returns the answer as a completion object of `endpoint`.
     pub fn completion(&self, endpoint: Endpoint, request: &str, version: &str) -> Completion {
         Completion {
             id: request.to_owned(),
@@ -126,14 +127,14 @@
     choice
 }
 
-/// Joins the fields of a part onto those of the parts before it: texts are
-/// appended, lists joined by the `index` of their items, as in `tool_calls`.
-fn join(whole: &mut Map<String, Value>, part: Map<String, Value>) {
+/// Merges the fields of a part into those of the parts before it: texts are
+/// appended, lists are joined by the `index` of their items, as in `tool_calls`.
+fn join(joined: &mut Map<String, Value>, part: Map<String, Value>) {
     for (name, value) in part {
-        match whole.get_mut(&name) {
-            Some(before) if !WHOLE_FIELDS.contains(&name.as_str()) => join_value(before, value),
+        match joined.get_mut(&name) {
+            Some(before) if !REPEATED_FIELDS.contains(&name.as_str()) => join_value(before, value),
             _ => {
-                whole.insert(name, value);
+                joined.insert(name, value);
             }
         }
     }
--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -1,4 +1,5 @@
-//! Completions: from a request that has been read to its last token.
+//! Completions, from a request that has been read to the last token of its
+//! answer.
 
 use std::sync::Arc;
 
@@ -21,7 +22,7 @@
 use crate::admission::Permit;
 use crate::shared::{Force, Shared};
 
-/// A request that may run.
+/// A request that has been admitted.
 struct Job {
     shared: Arc<Shared>,
     force: Arc<Force>,
@@ -100,7 +101,7 @@
             format: self.format,
             spent,
         };
-        labels.on(choice.on(stream.start(started, observer, self.permit)))
+        labels.add_to(choice.add_to(stream.start(started, observer, self.permit)))
     }
 
     async fn reply_complete(self, answer: Answer, spent: Spent) -> Reply {
@@ -116,14 +117,15 @@
             billing::completion(shared, force, call, choice.version, answer.usage, spent).await;
         let labels = self.labels();
         let reply = if format.is_streamed {
-            let body = stream::held(&answer, *format, &labels.request, &labels.version, cost);
+            let body =
+                stream::buffered_events(&answer, *format, &labels.request, &labels.version, cost);
             buffered_reply(200, "text/event-stream", body)
         } else {
             json_reply(&answer.completion(format.endpoint, &labels.request, &labels.version))
         };
         let reply = with_header(reply, header::OUTCOME, "done");
         let reply = with_header(reply, header::COST, &cost.to_string());
-        labels.on(choice.on(reply))
+        labels.add_to(choice.add_to(reply))
     }
 
     fn reply_failed(&self, failure: Failure) -> Reply {
@@ -145,7 +147,7 @@
                 outcome,
             ),
         };
-        self.labels().on(reply)
+        self.labels().add_to(reply)
     }
 
     fn labels(&self) -> Labels {
@@ -161,14 +163,14 @@
     }
 }
 
-/// What the headers of every answer name.
+/// Request and version that the headers of every reply name.
 struct Labels {
     request: String,
     version: String,
 }
 
 impl Labels {
-    fn on(&self, reply: Reply) -> Reply {
+    fn add_to(&self, reply: Reply) -> Reply {
         let reply = with_header(reply, header::REQUEST, &self.request);
         with_header(reply, header::VERSION, &self.version)
     }
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -1,19 +1,19 @@
-//! One connection of a caller, from its acceptance to a clean end.
+//! One connection of a caller, from accepting it to its orderly end.
 //!
-//! Failures answered here:
+//! Failures handled here:
 //!
-//! - **A request sent while the connection is being closed.** An idle
-//!   connection that is simply closed may cross a request on its way; its
-//!   caller sees a broken connection and cannot tell whether the request ran.
-//!   So an idle connection that this side gives up gets a last answer, "not
-//!   run", before its end: a request that crosses it reads that answer, and it
-//!   is true, because nothing more is read as a request.
-//! - **An answer lost to a reset.** Closing a socket with unread bytes resets
-//!   it, and the reset can overtake the answer (a refusal of a body that is
-//!   still being sent). So the sending side is closed first and the rest is
-//!   read and dropped for a moment.
+//! - **A request sent while the connection is being closed.** If this side just
+//!   closed an idle connection, a request might be on its way. Its caller would
+//!   see a broken connection and could not tell whether the request ran. So a
+//!   last reply, "not run", is written before an idle connection is closed. The
+//!   caller of such a request reads that reply, and it is true, because no
+//!   further request is read from the connection.
+//! - **A reply lost to a reset.** Closing a socket with unread bytes resets it,
+//!   and the reset can overtake the reply, such as the refusal of a body that is
+//!   still being sent. So the sending side is closed first, and what still
+//!   arrives is read and dropped for a short time.
 //! - **A sender that never ends its headers** holds a connection and nothing
-//!   else; it gets a typed error when its time is up.
+//!   else. It gets a typed error at the time-out.
 
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -39,42 +39,46 @@
 use super::write_timeout::Socket;
 use crate::shared::Shared;
 
-/// Time for which the rest of a closed connection is read and dropped: some
-/// round trips to a client in the region, little against a shutdown.
-const LINGER: Duration = Duration::from_millis(500);
-/// Bytes of the buffer into which the rest is dropped.
-const DROP_BUFFER: usize = 4 << 10;
-/// Largest head of a request, in bytes; bounds the memory of a connection.
-const HEAD_BYTES: usize = 32 << 10;
-/// Most headers of a request.
-const HEADERS: usize = 64;
+/// Time for which bytes that arrive on a closed connection are read and dropped:
+/// several round trips to a client in the region, short compared with a
+/// shutdown.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Size in bytes of the buffer for reads that are dropped.
+const DISCARD_BUFFER_BYTES: usize = 4 << 10;
+/// Maximum size in bytes of a request's head; bounds the memory of a connection.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
 
-type Answering = Pin<Box<dyn Future<Output = Result<Reply, Infallible>> + Send>>;
+type ReplyFuture = Pin<Box<dyn Future<Output = Result<Reply, Infallible>> + Send>>;
 
 /// Serves a connection until either side ends it.
 pub async fn run(shared: Arc<Shared>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
-    // Without this a token waits for the acknowledgement of the one before it.
+    // With Nagle's algorithm a token would wait for the acknowledgement of the
+    // one before it.
     let _ = stream.set_nodelay(true);
     shared.metrics.count("callers.connections");
     let serving = *phase.borrow_and_update() == Phase::Serving;
-    let told = Arc::new(AtomicBool::new(false));
+    let close_announced = Arc::new(AtomicBool::new(false));
     let header_timeout = Duration::from_millis(shared.settings.limits.header_timeout_ms);
     let service = {
         let shared = Arc::clone(&shared);
-        let told = Arc::clone(&told);
-        service_fn(move |request| answer(Arc::clone(&shared), Arc::clone(&told), request))
+        let close_announced = Arc::clone(&close_announced);
+        service_fn(move |request| {
+            answer(Arc::clone(&shared), Arc::clone(&close_announced), request)
+        })
     };
     let socket = Socket::new(Arc::clone(&shared), stream);
     let mut connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(header_timeout)
-        .max_buf_size(HEAD_BYTES)
-        .max_headers(HEADERS)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(socket), service);
     let mut closing = false;
     let result = tokio::select! {
         result = poll_fn(|context| connection.poll_without_shutdown(context)) => result,
-        () = leaves(&mut phase), if serving => {
+        () = serving_ended(&mut phase), if serving => {
             closing = true;
             Pin::new(&mut connection).graceful_shutdown();
             poll_fn(|context| connection.poll_without_shutdown(context)).await
@@ -82,7 +86,7 @@
     };
     let stream = connection.into_parts().io.into_inner().into_inner();
     let last = match result {
-        Ok(()) if closing && !told.load(Ordering::SeqCst) => Some(Kind::Unavailable),
+        Ok(()) if closing && !close_announced.load(Ordering::SeqCst) => Some(Kind::Unavailable),
         Ok(()) => None,
         Err(error) if error.is_timeout() => {
             shared.metrics.count("callers.slow_headers");
@@ -92,43 +96,44 @@
             shared.metrics.count("callers.malformed");
             None
         }
-        // A connection that broke has no one left to tell.
+        // Nothing can be sent on a broken connection.
         Err(_) => return,
     };
-    end(stream, last.map(last_answer)).await;
+    close(stream, last.map(last_reply)).await;
 }
 
-/// Waits until the process refuses new work.
-async fn leaves(phase: &mut watch::Receiver<Phase>) {
-    // The sender is gone only when the runtime is going too.
+/// Waits until the process refuses new requests.
+async fn serving_ended(phase: &mut watch::Receiver<Phase>) {
+    // The sender is dropped only when the runtime shuts down as well.
     let _ = phase.wait_for(|phase| *phase != Phase::Serving).await;
 }
 
 fn answer(
     shared: Arc<Shared>,
-    told: Arc<AtomicBool>,
+    close_announced: Arc<AtomicBool>,
     request: hyper::Request<Incoming>,
-) -> Answering {
+) -> ReplyFuture {
     Box::pin(async move {
         let mut reply = serve(Arc::clone(&shared), request).await;
-        // While the balancer may lag, each answer asks its caller to come back
-        // by another connection, which the balancer then sends elsewhere.
+        // Until the load balancer has noticed the shutdown, each reply asks the
+        // caller to open another connection, which the balancer then sends to
+        // another instance.
         if shared.leaving.load(Ordering::SeqCst) {
             let close = HeaderValue::from_static("close");
             reply.headers_mut().insert(CONNECTION, close);
-            told.store(true, Ordering::SeqCst);
+            close_announced.store(true, Ordering::SeqCst);
         }
         Ok(reply)
     })
 }
 
-/// Refuses a connection for which there is no room.
+/// Refuses a connection beyond the limit on open connections.
 pub async fn refuse(stream: TcpStream) {
-    end(stream, Some(last_answer(Kind::Overloaded))).await;
+    close(stream, Some(last_reply(Kind::Overloaded))).await;
 }
 
-/// Returns the bytes of the answer that an idle connection ends with.
-fn last_answer(kind: Kind) -> Vec<u8> {
+/// Returns the bytes of the reply that is written before a connection is closed.
+fn last_reply(kind: Kind) -> Vec<u8> {
     let (line, message) = match kind {
         Kind::SlowSender => (
             "408 Request Timeout",
@@ -154,17 +159,17 @@
     [head.into_bytes(), body].concat()
 }
 
-/// Ends a connection so that whatever was written arrives.
-async fn end(mut stream: TcpStream, last: Option<Vec<u8>>) {
+/// Closes a connection so that everything written to it arrives.
+async fn close(mut stream: TcpStream, last: Option<Vec<u8>>) {
     let lingering = async {
         if let Some(last) = last {
             stream.write_all(&last).await?;
         }
         stream.shutdown().await?;
-        let mut dropped = [0; DROP_BUFFER];
-        while stream.read(&mut dropped).await? > 0 {}
+        let mut discarded = [0; DISCARD_BUFFER_BYTES];
+        while stream.read(&mut discarded).await? > 0 {}
         std::io::Result::Ok(())
     };
-    // A peer that has gone, or that keeps sending, gets no more of our time.
-    let _ = tokio::time::timeout(LINGER, lingering).await;
+    // The time-out ends the wait for a client that keeps sending or has vanished.
+    let _ = tokio::time::timeout(LINGER_TIMEOUT, lingering).await;
 }
--- a/crates/node/src/callers/format.rs
+++ b/crates/node/src/callers/format.rs
@@ -1,4 +1,4 @@
-//! The two shapes of completions: chat, and text after a prompt.
+//! The two completion endpoints, chat and text, and the format of their answers.
 
 use fescuerack_wire::chat::{Completion, Request, Usage};
 use fescuerack_wire::error::Kind;
@@ -8,7 +8,7 @@
 use super::reply::Refusal;
 use crate::shared::Shared;
 
-/// Endpoint of a request and of its answer.
+/// Endpoint of a completion; decides the format of request and answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/chat/completions`: messages in, a message out.
@@ -18,7 +18,7 @@
 }
 
 impl Endpoint {
-    /// Returns the endpoint that a path asks for.
+    /// Returns the endpoint at a path.
     pub fn new(path: &str) -> Self {
         match path {
             "/v1/completions" => Self::Text,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the path, at callers and engines alike.
+    /// Returns the path, which is the same at the callers' port and at engines.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns the name of a whole answer.
+    /// Returns the `object` field of a complete answer.
     pub const fn object(self) -> &'static str {
         match self {
             Self::Chat => "chat.completion",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the name of a part of a stream.
+    /// Returns the `object` field of a part of a stream.
     pub const fn part_object(self) -> &'static str {
         match self {
             Self::Chat => "chat.completion.chunk",
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Checks the fields that decide what is run; the engine checks the rest.
+    /// Checks the fields that the router uses; the engine checks the rest.
     ///
     /// # Errors
     ///
-    /// Which field is wrong.
+    /// Which field is invalid.
     pub fn check(self, asked: &Request) -> Result<(), Refusal> {
         let invalid = |message: &str| Refusal::new(Kind::InvalidRequest, message);
         match self {
@@ -82,8 +82,9 @@
     }
 }
 
-/// Asks for the usage, which billing needs, whatever the caller asked for.
-pub fn ask_for_usage(rest: &mut serde_json::Map<String, Value>) {
+/// Sets `include_usage` whatever the caller asked for, because billing needs the
+/// usage.
+pub fn request_usage(rest: &mut serde_json::Map<String, Value>) {
     match rest
         .get_mut("stream_options")
         .and_then(Value::as_object_mut)
@@ -97,34 +98,36 @@
     }
 }
 
-/// ResponseFormat in which a caller wants its answer.
+/// Format of the answer that a caller asks for.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseFormat {
-    /// Endpoint.
+    /// Endpoint of the request.
     pub endpoint: Endpoint,
-    /// Whether it is streamed.
+    /// Whether the answer is streamed.
     pub is_streamed: bool,
-    /// Whether a stream tells the usage at its end.
+    /// Whether a stream reports the usage at its end.
     pub has_usage: bool,
 }
 
 impl ResponseFormat {
-    /// Reads what a request at `path` asks for.
+    /// Returns the format that a request at `path` asks for.
     pub fn new(path: &str, asked: &Request) -> Self {
         let options = asked.rest.get("stream_options");
-        let wanted = options.and_then(|options| options.get("include_usage"));
+        let include_usage = options.and_then(|options| options.get("include_usage"));
         Self {
             endpoint: Endpoint::new(path),
             is_streamed: asked.stream,
-            has_usage: wanted.and_then(Value::as_bool).unwrap_or(false),
+            has_usage: include_usage.and_then(Value::as_bool).unwrap_or(false),
         }
     }
 }
 
-/// Counts what an answer used.
+/// Counts the tokens that an answer used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UsageCounter {
-    told: Option<Usage>,
+    /// Usage that the engine reported.
+    reported: Option<Usage>,
+    /// Number of parts with a choice.
     parts: u64,
 }
 
@@ -136,20 +139,20 @@
 
     /// Reads a part of the answer.
     pub fn read(&mut self, part: &Completion) {
-        self.told = part.usage.or(self.told);
+        self.reported = part.usage.or(self.reported);
         self.parts += u64::from(!part.choices.is_empty());
     }
 
-    /// Returns the usage, if anything came.
-    pub fn some(&self, shared: &Shared, body: &[u8]) -> Option<Usage> {
+    /// Returns the usage if any part was received.
+    pub fn usage_if_any(&self, shared: &Shared, body: &[u8]) -> Option<Usage> {
         (self.parts > 0).then(|| self.usage(shared, body))
     }
 
-    /// Returns what the engine told, or else an estimate from the parts that
-    /// came and the request's length: an answer whose end did not come, because
-    /// its caller had read enough, must not go unbilled.
+    /// Returns the usage that the engine reported, or an estimate from the number
+    /// of parts and the length of the request. Without the estimate, an answer
+    /// whose caller disconnects before its end would not be billed.
     pub fn usage(&self, shared: &Shared, body: &[u8]) -> Usage {
-        self.told.unwrap_or_else(|| {
+        self.reported.unwrap_or_else(|| {
             shared.metrics.count("callers.usage_estimated");
             let prompt_tokens = u64::from(Prompt::new(body).tokens);
             Usage {
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -1,8 +1,8 @@
-//! The callers' port.
+//! The callers' port: the HTTP server for completions and plain services.
 //!
-//! It stands on hyper: rouille holds a streamed body back until its end
-//! (measured; see `docs/design/callers-port.md`), so tokens would not reach
-//! the caller as they come.
+//! It is built on hyper. The operators' port uses rouille, which holds a
+//! streamed body back until its end (see `docs/design/callers-port.md`), so
+//! tokens would not reach the caller as they are generated.
 
 mod admit;
 mod attempts;
@@ -40,7 +40,7 @@
 use request::Call;
 use route::Route;
 
-/// Answers a request and counts the answer if it is a typed error.
+/// Answers a request and counts the reply if it is a typed error.
 async fn serve(shared: Arc<Shared>, request: hyper::Request<Incoming>) -> Reply {
     shared.metrics.count("callers.requests");
     let reply = answer(&shared, request).await;
@@ -72,7 +72,7 @@
     let Some(route) = route else {
         return Err(Refusal::new(Kind::NotFound, "no such path"));
     };
-    if !route.takes(&parts.method) {
+    if !route.accepts(&parts.method) {
         let message = format!("this path takes {}", route.methods());
         let reply = Reply::from(Refusal::new(Kind::MethodNotAllowed, message));
         return Ok(with_header(reply, "allow", route.methods()));
@@ -85,14 +85,14 @@
         Route::Models => models::answer(&shared, &call),
         Route::Service => {
             let path = call.path.clone();
-            let rest = path.trim_start_matches(route::SERVICES);
+            let rest = path.trim_start_matches(route::SERVICES_PREFIX);
             service::answer(shared, call, rest).await
         }
     })
 }
 
-/// Answers which methods a path takes; it needs no key, for the paths are no
-/// secret.
+/// Answers `OPTIONS` with the methods of a path. It needs no key, because the
+/// paths are no secret.
 fn options(route: Option<Route>) -> Reply {
     let Some(route) = route else {
         return Refusal::new(Kind::NotFound, "no such path").into();
--- a/crates/node/src/callers/models.rs
+++ b/crates/node/src/callers/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`: what the organisation may use.
+//! `GET /v1/models`: the models that the organisation may use.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use super::request::Call;
 use crate::shared::Shared;
 
-/// Answers with models, versions and classes of work.
+/// Lists the models, versions and classes of work that the caller may name.
 pub fn answer(shared: &Shared, call: &Call) -> Reply {
     let force = shared.force();
     let mut ids = BTreeSet::new();
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -1,5 +1,5 @@
-//! What an answer tells the slices that learn from it: how soon it came, how
-//! long it was, and, if it is among those that are rated, its text.
+//! Records what roll-outs and the quality estimates learn from an answer: time
+//! to first token, duration and length, and the text of answers to be rated.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::shared::{Force, Shared, lock};
 use crate::versions::ratings;
 
-/// Observes the answer of one version.
+/// Observes the answer of one version while it is received.
 pub struct Observer {
     shared: Arc<Shared>,
     force: Arc<Force>,
@@ -24,13 +24,14 @@
 }
 
 impl Observer {
-    /// Starts to observe; an answer that is rated anyway is not sampled again.
+    /// Starts to observe an answer. One that the cascade rates (`is_rated`) is
+    /// not sampled for another rating.
     pub fn new(
         shared: &Arc<Shared>,
         force: &Arc<Force>,
         version: key::Version,
         class: Option<key::Class>,
-        is_judged: bool,
+        is_rated: bool,
     ) -> Self {
         let mut observer = Self {
             shared: Arc::clone(shared),
@@ -40,14 +41,14 @@
             start: shared.now(),
             text: None,
         };
-        if !is_judged && class.is_some() && observer.is_sampled() {
+        if !is_rated && class.is_some() && observer.is_sampled() {
             observer.text = Some(String::new());
         }
         observer
     }
 
-    /// All answers of a candidate are rated as far as the service keeps up,
-    /// and a share of the others.
+    /// Decides whether the answer is rated: all answers of a candidate, as far as
+    /// the rate limit allows, and a share of the others.
     fn is_sampled(&self) -> bool {
         let model = self.force.catalog.versions[self.version].model;
         let versions = &self.shared.versions;
@@ -58,8 +59,8 @@
             && ratings::try_acquire(&self.shared, &self.force, Purpose::Sample)
     }
 
-    /// Notes that the first token has come.
-    pub fn first(&self) {
+    /// Records that the first token was received.
+    pub fn record_first_token(&self) {
         let now = self.shared.now();
         let class = self
             .class
@@ -81,22 +82,22 @@
         }
     }
 
-    /// Notes that the answer was collected whole.
-    pub fn ended_whole(mut self, answer: &Answer) {
+    /// Records that the answer was collected in one piece.
+    pub fn record_collected(mut self, answer: &Answer) {
         if let Some(text) = self.text.as_mut() {
             text.clone_from(&answer.text);
         }
-        self.ended(answer.usage);
+        self.record_completed(answer.usage);
     }
 
-    /// Notes that the answer is whole.
-    pub fn ended(self, usage: Usage) {
+    /// Records that the answer is complete.
+    pub fn record_completed(self, usage: Usage) {
         let Some(class) = self.class else {
             return;
         };
-        let took = self.shared.now().since(self.start).as_secs_f64() * 1000.0;
+        let duration_ms = self.shared.now().since(self.start).as_secs_f64() * 1000.0;
         let tokens = u32::try_from(usage.completion_tokens).unwrap_or(u32::MAX);
-        lock(&self.shared.versions.learner).record_answer(class, self.version, took, tokens);
+        lock(&self.shared.versions.learner).record_answer(class, self.version, duration_ms, tokens);
         if let Some(text) = self.text {
             let version = self.version;
             ratings::submit(
--- a/crates/node/src/callers/plan_runner.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -1,11 +1,13 @@
-//! The steps of a plan: one version directly, or a cheap one whose answer is
-//! held until it is judged, then perhaps a dearer one.
+//! Runs the plans of a request. A plan asks one version directly, or is a
+//! cascade: a cheap version, whose answer is held back until it is rated, then a
+//! more expensive one if the rating is too low.
 //!
-//! An answer that may still be replaced is not handed on before its judgement:
-//! a caller would get two answers, or one that is then taken back. Which
-//! classes can wait for that is settled by their need for the first token, in
-//! the core's plan. When the judgement fails, the dearer version answers: a
-//! rating service that is down costs money and no quality.
+//! An answer that may still be replaced is not sent before it is rated, because
+//! the caller would get two answers, or one that is then withdrawn. The core
+//! plans a cascade only for classes whose limit on the time to first token
+//! allows this wait. When no rating is available, the more expensive version
+//! answers: an outage of the rating service raises cost but does not lower
+//! quality.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +23,7 @@
 use super::billing::Spent;
 use super::choice::Choice;
 use super::collect::Answer;
-use super::format::{Endpoint, ask_for_usage};
+use super::format::{Endpoint, request_usage};
 use super::observer::Observer;
 use super::request::Call;
 use crate::admission::Meter;
@@ -29,13 +31,13 @@
 use crate::versions::ratings;
 
 /// Milliseconds for which a request waits when no plan's pool has a server.
-/// Longer outages are not over within a request; the caller is told when to
-/// come back instead.
-const WAIT_MS: u64 = 2_000;
-/// Time between two tries of a request that waits.
-const RETRY: Duration = Duration::from_millis(50);
+/// Longer outages rarely end within the duration of a request; the caller
+/// gets a `Retry-After` instead.
+const SERVER_WAIT_MS: u64 = 2_000;
+/// Interval at which a waiting request tries its plans again.
+const SERVER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What it takes to follow the plans of a request.
+/// Runs the plans of one request.
 pub struct PlanRunner<'a> {
     /// State of the process.
     pub shared: &'a Arc<Shared>,
@@ -43,45 +45,45 @@
     pub force: &'a Arc<Force>,
     /// The request.
     pub call: &'a Call,
-    /// What was chosen for it.
+    /// Version, class and plans that were chosen for it.
     pub choice: &'a Choice,
-    /// What it asks.
+    /// Body of the request.
     pub asked: &'a chat::Request,
-    /// Tells admission how the attempts go.
+    /// Reports the attempts' progress to admission.
     pub meter: Meter,
 }
 
-/// An answer that may be handed on.
+/// An answer that may be sent to the caller.
 pub struct Ready {
-    /// Version that gave it.
+    /// Version that gave the answer.
     pub version: key::Version,
     /// The answer.
     pub answer: AvailableAnswer,
-    /// What earlier steps used.
+    /// Usage of earlier steps of the plan.
     pub spent: Spent,
 }
 
-/// An answer, as far as it has come.
+/// An answer, as far as it is available.
 pub enum AvailableAnswer {
-    /// Its first part.
+    /// The first part and the events that follow.
     Started(Box<StartedAnswer>, Observer),
-    /// All of it.
+    /// The complete answer.
     Complete(Answer),
 }
 
 impl PlanRunner<'_> {
-    /// Follows the plans, the cheapest first; one whose pool has no server
-    /// gives way to the next.
+    /// Runs the plans, the cheapest first; goes on to the next one if a pool has
+    /// no server.
     ///
     /// # Errors
     ///
-    /// When no plan brought an answer.
+    /// When no plan gave an answer.
     pub async fn run(&self) -> Result<Ready, Failure> {
         let now = self.shared.now();
-        let until = now.plus_millis(WAIT_MS).min(self.call.deadline);
+        let until = now.plus_millis(SERVER_WAIT_MS).min(self.call.deadline);
         loop {
             for plan in &self.choice.plans {
-                match self.follow(plan).await {
+                match self.run_plan(plan).await {
                     Err(Failure::NoServer(Outcome::NotRun)) => {
                         self.shared.metrics.count("plans.no_server");
                     }
@@ -91,11 +93,11 @@
             if self.shared.now() >= until {
                 return Err(Failure::NoServer(Outcome::NotRun));
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(SERVER_RETRY_INTERVAL).await;
         }
     }
 
-    async fn follow(&self, plan: &Plan) -> Result<Ready, Failure> {
+    async fn run_plan(&self, plan: &Plan) -> Result<Ready, Failure> {
         match plan.steps {
             Steps::Direct(version) => self.direct(version, Spent::default()).await,
             Steps::Cascade {
@@ -110,7 +112,7 @@
         let observer = self.observer(version, false);
         let answer = if self.asked.stream {
             let started = self.attempts(version).start().await?;
-            observer.first();
+            observer.record_first_token();
             AvailableAnswer::Started(Box::new(started), observer)
         } else {
             AvailableAnswer::Complete(self.collect(version, observer).await?)
@@ -133,10 +135,10 @@
             Err(Failure::Crashes(outcome)) => return Err(Failure::Crashes(outcome)),
             Err(_) => return self.direct(second, Spent::default()).await,
         };
-        let rating = self.judge(first, &answer).await;
+        let rating = self.rate(first, &answer).await;
         if rating.is_some_and(|rating| rating >= accept) {
             self.shared.metrics.count("cascade.handed_on");
-            return Ok(whole(first, answer));
+            return Ok(complete(first, answer));
         }
         self.shared.metrics.count(match rating {
             Some(_) => "cascade.escalated",
@@ -145,15 +147,15 @@
         let mut spent = Spent::default();
         spent.add(self.force, first, answer.usage);
         match self.direct(second, spent).await {
-            // Better below the target than no answer, if that is their word.
-            Err(_) if self.may_miss() => Ok(whole(first, answer)),
-            // The first step has run, whatever became of the second.
+            // The organisation prefers an answer below the target to none.
+            Err(_) if self.is_below_target_allowed() => Ok(complete(first, answer)),
+            // The first step has run, even if the second has not.
             Err(Failure::NoServer(_)) => Err(Failure::NoServer(Outcome::Unknown)),
             result => result,
         }
     }
 
-    fn may_miss(&self) -> bool {
+    fn is_below_target_allowed(&self) -> bool {
         let organisations = &self.force.catalog.organisations;
         let entry = organisations.get(self.call.organisation);
         entry.is_some_and(|entry| entry.below_target)
@@ -163,19 +165,20 @@
         let mut run = self.attempts(version);
         loop {
             let started = run.start().await?;
-            observer.first();
+            observer.record_first_token();
             match Answer::read(self.shared, &self.call.body, started).await {
                 Ok(answer) => {
-                    observer.ended_whole(&answer);
+                    observer.record_collected(&answer);
                     return Ok(answer);
                 }
-                Err(end) => run.end(end)?,
+                Err(outcome) => run.record_end(outcome)?,
             }
         }
     }
 
-    /// Asks for the rating of an answer; `None` when none came in time.
-    async fn judge(&self, version: key::Version, answer: &Answer) -> Option<f64> {
+    /// Requests the rating of an answer; returns `None` when the rate limit is
+    /// used up or no rating came in time.
+    async fn rate(&self, version: key::Version, answer: &Answer) -> Option<f64> {
         let class = self.choice.class?;
         if !ratings::try_acquire(self.shared, self.force, Purpose::Cascade) {
             self.shared.metrics.count("ratings.over_rate");
@@ -187,9 +190,9 @@
             text: answer.text.clone(),
         };
         let shared = Arc::clone(self.shared);
-        let asked = tokio::task::spawn_blocking(move || ratings::rate(&shared, &answer));
+        let rating = tokio::task::spawn_blocking(move || ratings::rate(&shared, &answer));
         let remaining = self.call.deadline.since(self.shared.now());
-        let rating = tokio::time::timeout(remaining, asked).await;
+        let rating = tokio::time::timeout(remaining, rating).await;
         rating.ok()?.ok()?
     }
 
@@ -199,20 +202,20 @@
     }
 
     fn attempts(&self, version: key::Version) -> AttemptRunner {
-        let work = AttemptSpec {
+        let spec = AttemptSpec {
             version,
             path: Endpoint::new(&self.call.path).path(),
             priority: self.choice.priority,
             fingerprint: fingerprint(self.force, self.call),
-            body: body(self.force, version, self.asked),
+            body: engine_body(self.force, version, self.asked),
             deadline: self.call.deadline,
         };
-        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.force), work)
+        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.force), spec)
             .with_meter(self.meter.clone())
     }
 }
 
-fn whole(version: key::Version, answer: Answer) -> Ready {
+fn complete(version: key::Version, answer: Answer) -> Ready {
     Ready {
         version,
         answer: AvailableAnswer::Complete(answer),
@@ -220,12 +223,12 @@
     }
 }
 
-/// Returns the body for the engine: always a stream with its usage, so that an
-/// attempt can be cancelled, its first token is seen as soon as it exists, and
-/// it can be billed.
-fn body(force: &Force, version: key::Version, asked: &chat::Request) -> Bytes {
+/// Returns the body of the request to the engine. It always asks for a stream
+/// with usage: the attempt can then be cancelled, its first token arrives as soon
+/// as it exists, and it can be billed.
+fn engine_body(force: &Force, version: key::Version, asked: &chat::Request) -> Bytes {
     let mut rest = asked.rest.clone();
-    ask_for_usage(&mut rest);
+    request_usage(&mut rest);
     let request = chat::Request {
         model: force.names.versions.name(version).to_string(),
         stream: true,
--- a/crates/node/src/callers/port.rs
+++ b/crates/node/src/callers/port.rs
@@ -1,12 +1,11 @@
-//! The listening socket and its graceful end.
+//! The listening socket of the callers' port and its graceful shutdown.
 //!
-//! A shutdown goes through three phases ([`Phase`]): *serving* while the
-//! balancer may still send callers; *refusing*, in which requests that were
-//! let in finish, idle connections get their last answer, and whoever still
-//! comes is told "not run"; *closed*, when nothing runs any more. Refusing in
-//! place of closing the socket at once matters: a closed port resets
-//! connections that the kernel had already taken, and their callers could not
-//! tell whether their requests ran.
+//! A shutdown goes through three phases ([`Phase`]): *serving*, while the load
+//! balancer may still send callers; *refusing*, in which admitted requests
+//! finish, idle connections get a last reply and new requests are refused as
+//! "not run"; *closed*, when no request runs any more. The socket is not closed
+//! at once, because that resets connections which the kernel has already
+//! accepted, and their callers could not tell whether their requests ran.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,37 +18,39 @@
 use super::connection;
 use crate::shared::Shared;
 
-/// Time for which callers that came during the shutdown may take to read
-/// their refusals.
-const LAST_REFUSALS: Duration = Duration::from_secs(1);
-/// Pause after a connection could not be accepted, for want of descriptors as
-/// a rule: trying again at once would only burn the processor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Time within which callers refused during the shutdown may read their
+/// refusals.
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failure to accept a connection, usually for lack of file
+/// descriptors: retrying at once would only use processor time.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How far the port is on its way to its end.
+/// Phase of the port's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Requests are let in.
+    /// Requests are accepted.
     Serving,
-    /// Requests are refused; those let in before finish.
+    /// Requests are refused; those accepted before finish.
     Refusing,
     /// No connection is accepted.
     Closed,
 }
 
-/// Held by every connection; all are gone when the channel closes.
+/// Held by every open connection; the channel closes when all have ended.
 type Token = mpsc::Sender<()>;
 
 /// A running callers' port.
 pub struct Port {
     address: SocketAddr,
     phase: watch::Sender<Phase>,
+    /// Closes when all connections of [`Phase::Serving`] have ended.
     served: mpsc::Receiver<()>,
+    /// Closes when all connections of [`Phase::Refusing`] have ended.
     refused: mpsc::Receiver<()>,
 }
 
 impl Port {
-    /// Starts serving.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
     ///
@@ -63,13 +64,13 @@
         let (phase, following) = watch::channel(Phase::Serving);
         let (serving, served) = mpsc::channel(1);
         let (refusing, refused) = mpsc::channel(1);
-        let most = shared
+        let max_connections = shared
             .settings
             .limits
             .connections
             .min(Semaphore::MAX_PERMITS);
         let acceptor = Acceptor {
-            open: Arc::new(Semaphore::new(most)),
+            open: Arc::new(Semaphore::new(max_connections)),
             shared,
             listener,
             phase: following,
@@ -83,18 +84,18 @@
         })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address that the port listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses new requests and waits until those let in have ended; returns
-    /// whether all of them did within the time.
-    pub async fn finish(mut self, within: Duration) -> bool {
+    /// Refuses new requests and waits until the accepted ones have ended; returns
+    /// whether all of them did within `timeout`.
+    pub async fn finish(mut self, timeout: Duration) -> bool {
         self.phase.send_replace(Phase::Refusing);
-        let served = tokio::time::timeout(within, self.served.recv()).await;
+        let served = tokio::time::timeout(timeout, self.served.recv()).await;
         self.phase.send_replace(Phase::Closed);
-        let _ = tokio::time::timeout(LAST_REFUSALS, self.refused.recv()).await;
+        let _ = tokio::time::timeout(REFUSAL_TIMEOUT, self.refused.recv()).await;
         served.is_ok()
     }
 }
@@ -110,7 +111,8 @@
     async fn run(mut self, serving: Token, refusing: Token) {
         self.accept_during(Phase::Serving, serving).await;
         self.accept_during(Phase::Refusing, refusing.clone()).await;
-        // Connections that the kernel has taken would be reset with the port.
+        // Connections that the kernel has already accepted would be reset when
+        // the socket is closed.
         while let Some(Ok((stream, _))) = self.accept_waiting().await {
             self.serve(stream, refusing.clone());
         }
@@ -127,7 +129,7 @@
                 self.serve(stream, token.clone());
             } else {
                 self.shared.metrics.count("callers.accept_failed");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -140,8 +142,8 @@
 
     fn serve(&self, stream: TcpStream, token: Token) {
         let Ok(open) = Arc::clone(&self.open).try_acquire_owned() else {
-            // A typed refusal in place of a wait in the kernel's queue, whose
-            // length no caller knows.
+            // A typed refusal is better than a wait of unknown length in the
+            // kernel's accept queue.
             self.shared.metrics.count("callers.over_connections");
             tokio::spawn(connection::refuse(stream));
             return;
--- a/crates/node/src/callers/prompt.rs
+++ b/crates/node/src/callers/prompt.rs
@@ -1,27 +1,28 @@
-//! What the choice of a server needs to know of a prompt.
+//! Attributes of a prompt that the choice of a server depends on.
 
 use fescuerack_core::route::hash;
 use serde::Deserialize;
 
-/// Bytes of a prompt's beginning that decide its home: a system prompt and the
-/// start of a dialogue. Shorter prompts are cheap to compute again.
-const PREFIX: usize = 512;
-/// Bytes of a token, on average.
-const BYTES: usize = 4;
-/// Tokens of an answer whose request names no limit.
-const TOKENS: u32 = 256;
-/// Tokens of a prompt that cost as much as one of an answer: prompts are
+/// Length in bytes of the prefix that decides prefix-cache affinity: a system
+/// prompt and the start of a dialogue. Shorter prompts are cheap to compute
+/// again.
+const PREFIX_BYTES: usize = 512;
+/// Average number of bytes per token.
+const BYTES_PER_TOKEN: usize = 4;
+/// Assumed length in tokens of an answer whose request sets no limit.
+const DEFAULT_ANSWER_TOKENS: u32 = 256;
+/// Number of prompt tokens that cost as much as one answer token: prompts are
 /// computed many tokens at a time.
-const PER_TOKEN: u32 = 16;
+const PROMPT_TOKENS_PER_ANSWER_TOKEN: u32 = 16;
 
-/// A prompt.
+/// Estimated size and prefix of a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt {
-    /// Its tokens, estimated from its length.
+    /// Number of tokens, estimated from the length in bytes.
     pub tokens: u32,
-    /// The request's work in tokens of an answer.
+    /// Work of the request, in answer tokens.
     pub work: u32,
-    /// Hash of its beginning.
+    /// Hash of the prefix; `None` if the prompt is shorter.
     pub prefix: Option<u64>,
 }
 
@@ -32,15 +33,17 @@
 }
 
 impl Prompt {
-    /// Reads the body of a request.
+    /// Estimates the prompt from the body of a request.
     pub fn new(body: &[u8]) -> Self {
-        let tokens = u32::try_from(body.len() / BYTES).unwrap_or(u32::MAX);
+        let tokens = u32::try_from(body.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
         let limits: Option<Limits> = serde_json::from_slice(body).ok();
         let answer = limits.and_then(|limits| limits.max_tokens);
-        let answer = answer.unwrap_or(TOKENS).min(1 << 20);
+        let answer = answer.unwrap_or(DEFAULT_ANSWER_TOKENS).min(1 << 20);
         Self {
             tokens,
-            work: answer.saturating_add(tokens / PER_TOKEN).max(1),
+            work: answer
+                .saturating_add(tokens / PROMPT_TOKENS_PER_ANSWER_TOKEN)
+                .max(1),
             prefix: prefix(body),
         }
     }
@@ -49,5 +52,5 @@
 fn prefix(body: &[u8]) -> Option<u64> {
     const FIELD: &[u8] = b"\"messages\":";
     let at = body.windows(FIELD.len()).position(|part| part == FIELD)?;
-    body.get(at..at + PREFIX).map(hash)
+    body.get(at..at + PREFIX_BYTES).map(hash)
 }
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Building answers.
+//! Replies to callers and their typed errors.
 
 use std::convert::Infallible;
 
@@ -10,9 +10,9 @@
 use hyper::Response;
 use hyper::header::{HeaderName, HeaderValue};
 
-/// Body of an answer; an error cuts the connection.
+/// Body of a reply; an error from it cuts the connection.
 pub type Body = BoxBody<Bytes, std::io::Error>;
-/// An answer.
+/// A reply to a caller.
 pub type Reply = Response<Body>;
 
 /// Returns a body that is sent at once.
@@ -31,7 +31,7 @@
     }
 }
 
-/// Returns an answer with a body that is sent at once.
+/// Returns a reply with a body that is sent at once.
 pub fn buffered_reply(status: u16, content_type: &'static str, bytes: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(full_body(bytes));
     if let Ok(status) = hyper::StatusCode::from_u16(status) {
@@ -44,13 +44,13 @@
     reply
 }
 
-/// Returns an answer that is JSON.
+/// Returns a JSON reply with status 200.
 pub fn json_reply<T: serde::Serialize>(value: &T) -> Reply {
     let bytes = serde_json::to_vec(value).expect("wire messages have only plain fields");
     buffered_reply(200, "application/json", bytes)
 }
 
-/// Adds a header; a value that no header can hold is left out.
+/// Adds a header; skips it if the value is not a valid header value.
 pub fn with_header(mut reply: Reply, name: &'static str, value: &str) -> Reply {
     if let Ok(value) = HeaderValue::from_str(value) {
         reply
@@ -63,11 +63,11 @@
 /// A request that is refused before anything was run.
 #[derive(Clone, Debug)]
 pub struct Refusal {
-    /// What went wrong.
+    /// Kind of the error.
     pub kind: Kind,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
-    /// Seconds after which the caller may come back, when they are known.
+    /// Seconds after which the caller may retry, if known.
     pub retry_s: Option<u64>,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Names the seconds after which the caller may come back.
+    /// Sets the seconds after which the caller may retry.
     pub fn with_retry(mut self, seconds: u64) -> Self {
         self.retry_s = Some(seconds);
         self
@@ -98,18 +98,18 @@
     }
 }
 
-/// What a typed error tells; kept beside the answer so that it is counted in
-/// one place.
+/// Kind and outcome of a typed error; attached to the reply as an extension so
+/// that all errors are counted in one place.
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorSummary {
-    /// What went wrong.
+    /// Kind of the error.
     pub kind: Kind,
-    /// What is known of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
 }
 
 impl ErrorSummary {
-    /// Returns the counter of its kind.
+    /// Returns the name of the counter for the kind.
     pub const fn counter(self) -> &'static str {
         match self.kind {
             Kind::InvalidRequest => "errors.invalid_request",
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! Reading a request: headers, key, deadline and body, all within limits.
+//! Reads a request within limits: headers, key, deadline and body.
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
 use super::reply::Refusal;
 use crate::shared::Shared;
 
-/// Milliseconds that a request may take when its caller names no deadline.
+/// Deadline in milliseconds of a request whose caller sets none.
 const DEFAULT_DEADLINE_MS: u64 = 120_000;
-/// Milliseconds that a request may take at most: no answer takes a day.
-const MOST_DEADLINE_MS: u64 = 86_400_000;
-/// Longest request, session or idempotency key, in bytes.
-const LONGEST_NAME: usize = 256;
+/// Maximum deadline in milliseconds, one day: no answer takes that long.
+const MAX_DEADLINE_MS: u64 = 86_400_000;
+/// Maximum length in bytes of a request, session or idempotency key.
+const MAX_NAME_BYTES: usize = 256;
 
-/// A request that has been read whole.
+/// A request that has been read completely.
 pub struct Call {
     /// Method.
     pub method: String,
@@ -30,25 +30,25 @@
     pub path: String,
     /// Query, without its question mark.
     pub query: Option<String>,
-    /// Who sent it.
+    /// Organisation that sent it.
     pub organisation: key::Organisation,
-    /// Its identifier.
+    /// Identifier of the request.
     pub request: String,
     /// Session that it belongs to.
     pub session: Option<String>,
-    /// Token of its session, as an earlier answer handed it out.
+    /// Token of the session, from an earlier answer.
     pub session_token: Option<String>,
-    /// When its answer is due.
+    /// When the answer is due.
     pub deadline: Instant,
-    /// Key under which it runs at most once.
+    /// Key under which the request runs at most once.
     pub idempotency_key: Option<String>,
-    /// Content type of its body.
+    /// Content type of the body.
     pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
 }
 
-/// What the headers of a request say.
+/// The parsed headers of a request.
 pub struct Head {
     organisation: key::Organisation,
     request: String,
@@ -60,7 +60,7 @@
 }
 
 impl Call {
-    /// Puts together a request that has been read.
+    /// Combines the headers, the request line and the body.
     pub fn new(head: Head, parts: &Parts, body: Bytes) -> Self {
         Self {
             method: parts.method.to_string(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Reads the headers of a request; its body is not read unless they are right.
+/// Reads the headers of a request; the body is read only if they are valid.
 ///
 /// # Errors
 ///
@@ -105,22 +105,22 @@
     };
     let millis = value.parse().ok();
     millis
-        .filter(|millis| (1..=MOST_DEADLINE_MS).contains(millis))
+        .filter(|millis| (1..=MAX_DEADLINE_MS).contains(millis))
         .ok_or_else(|| {
             let message = format!(
-                "{}: must be a whole number of milliseconds from 1 to {MOST_DEADLINE_MS}",
+                "{}: must be a whole number of milliseconds from 1 to {MAX_DEADLINE_MS}",
                 header::DEADLINE
             );
             Refusal::new(Kind::InvalidRequest, message)
         })
 }
 
-/// Returns a header that names something; names go into keys of the store and
-/// into records, so their length is limited. An empty one names nothing.
+/// Returns a header that holds a name; `None` if it is empty. Names become part
+/// of store keys and records, so their length is limited.
 fn name(headers: &HeaderMap, header: &str) -> Result<Option<String>, Refusal> {
     let value = text(headers, header)?.filter(|value| !value.is_empty());
-    if value.is_some_and(|value| value.len() > LONGEST_NAME) {
-        let message = format!("header {header} is over {LONGEST_NAME} bytes");
+    if value.is_some_and(|value| value.len() > MAX_NAME_BYTES) {
+        let message = format!("header {header} is over {MAX_NAME_BYTES} bytes");
         return Err(Refusal::new(Kind::InvalidRequest, message));
     }
     Ok(value.map(str::to_owned))
@@ -138,8 +138,8 @@
         .ok_or_else(|| Refusal::new(Kind::Unauthorized, "the key belongs to no organisation"))
 }
 
-/// Returns a header as text; a header that is repeated or no text is refused,
-/// since two readers could take it for two different things.
+/// Returns a header as text. A header that is repeated or not text is refused,
+/// because two programs could interpret it differently.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
@@ -155,16 +155,16 @@
     })
 }
 
-/// Reads a body within the limits.
+/// Reads a body within the limits on size and time.
 ///
 /// # Errors
 ///
 /// The typed error to answer with; nothing was run.
 pub async fn body(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = &shared.settings.limits;
-    let within = Duration::from_millis(limits.body_timeout_ms);
+    let timeout = Duration::from_millis(limits.body_timeout_ms);
     let limited = Limited::new(body, limits.body_bytes).collect();
-    match tokio::time::timeout(within, limited).await {
+    match tokio::time::timeout(timeout, limited).await {
         Err(_) => Err(Refusal::new(Kind::SlowSender, "the body came too slowly")),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let message = format!("the body is over {} bytes", limits.body_bytes);
--- a/crates/node/src/callers/route.rs
+++ b/crates/node/src/callers/route.rs
@@ -1,14 +1,14 @@
-//! Paths of the callers' port and the methods that they take.
+//! Paths of the callers' port and the methods that they accept.
 
 use hyper::Method;
 
-/// What comes before the name of a plain service.
-pub const SERVICES: &str = "/v1/services/";
+/// Path prefix before the name of a plain service.
+pub const SERVICES_PREFIX: &str = "/v1/services/";
 
-/// What a path stands for.
+/// Resource that a path names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// A completion.
+    /// A chat or text completion.
     Completion,
     /// The model list.
     Models,
@@ -17,18 +17,18 @@
 }
 
 impl Route {
-    /// Returns what `path` stands for.
+    /// Returns the resource at `path`.
     pub fn new(path: &str) -> Option<Self> {
         match path {
             "/v1/chat/completions" | "/v1/completions" => Some(Self::Completion),
             "/v1/models" => Some(Self::Models),
-            _ => path.starts_with(SERVICES).then_some(Self::Service),
+            _ => path.starts_with(SERVICES_PREFIX).then_some(Self::Service),
         }
     }
 
-    /// Returns whether the path takes a method; those of plain services are
-    /// theirs to judge.
-    pub fn takes(self, method: &Method) -> bool {
+    /// Returns whether the path accepts a method. Plain services check their
+    /// methods themselves.
+    pub fn accepts(self, method: &Method) -> bool {
         match self {
             Self::Completion => method == Method::POST,
             Self::Models => method == Method::GET || method == Method::HEAD,
--- a/crates/node/src/callers/service.rs
+++ b/crates/node/src/callers/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, some of which must not be repeated.
+//! Calls of plain services. Calls of a non-idempotent service run at most once.
 
 use std::sync::Arc;
 
@@ -16,14 +16,14 @@
 use crate::claims;
 use crate::shared::{Force, Shared};
 
-/// Attempts that one call may make; more than one only while it surely has
-/// not run, or when it is idempotent.
+/// Maximum number of attempts of one call. Only an idempotent call, or one that
+/// certainly has not run, is attempted again.
 const MAX_ATTEMPTS: u32 = 3;
-/// What a caller is told whose call must not be repeated and has no key.
+/// Message for a call of a non-idempotent service without an idempotency key.
 const NEEDS_KEY: &str = "calls of this service must not be repeated: send an Idempotency-Key \
     that stays the same when you send the call again; not run";
 
-/// A call of a service.
+/// A call of a service that has been admitted.
 struct Job {
     shared: Arc<Shared>,
     force: Arc<Force>,
@@ -33,8 +33,8 @@
     path: String,
 }
 
-/// How a call ended.
-struct Ended {
+/// Outcome and answer of a call.
+struct Completed {
     outcome: RunOutcome,
     answer: Option<Answer>,
 }
@@ -74,8 +74,8 @@
         call,
         service,
     };
-    // The thread goes on when the caller goes away: a call that has been sent
-    // must have its end recorded.
+    // The thread runs on when the caller disconnects, because the outcome of a
+    // call that was sent must be recorded.
     let run = tokio::task::spawn_blocking(move || {
         let _permit = permit;
         job.run()
@@ -99,16 +99,16 @@
             }
             None if self.needs_key() => not_run_error(Kind::InvalidRequest, NEEDS_KEY),
             _ => {
-                let bill = self.shared.random_id();
-                self.reply(self.attempt(), bill)
+                let billing_id = self.shared.random_id();
+                self.reply(self.attempt(), billing_id)
             }
         };
         with_header(reply, header::REQUEST, &self.call.request)
     }
 
-    /// Returns whether the call is refused without an `Idempotency-Key`. A
-    /// resend could not be told from a second booking, so "at most once" could
-    /// not be kept. Reads are taken: by their method they change nothing.
+    /// Returns whether the call is refused without an `Idempotency-Key`. Without
+    /// one, a resent call looks like a second one, and it could run twice. Reads
+    /// are accepted without a key: by their method they change nothing.
     fn needs_key(&self) -> bool {
         let is_read = matches!(self.call.method.as_str(), "GET" | "HEAD" | "OPTIONS");
         !self.service.idempotent && !self.service.keyless && !is_read
@@ -136,15 +136,15 @@
     fn run_claimed(&self, name: &Name) -> Reply {
         match claims::claim(&self.shared, name, self.call.deadline) {
             Outcome::Claimed(claim) => {
-                let ended = if claims::may_send(&self.shared, &claim) {
+                let completed = if claims::may_send(&self.shared, &claim) {
                     self.attempt()
                 } else {
-                    Ended::not_run()
+                    Completed::not_run()
                 };
-                claims::record(&self.shared, &claim, ended.state());
-                self.reply(ended, claim.record.billing_id())
+                claims::record(&self.shared, &claim, completed.state());
+                self.reply(completed, claim.record.billing_id())
             }
-            Outcome::Taken(verdict) => self.taken(verdict),
+            Outcome::Taken(verdict) => self.already_claimed(verdict),
             Outcome::StoreUnavailable { .. } => not_run_error(
                 Kind::Unavailable,
                 "the claim could not be kept in the store; not run",
@@ -152,14 +152,14 @@
         }
     }
 
-    fn attempt(&self) -> Ended {
+    fn attempt(&self) -> Completed {
         let deadline = self.call.deadline;
         let mut attempts = Attempts::new(self.service.idempotent, deadline, MAX_ATTEMPTS);
         let fleets = [self.service.fleet];
         loop {
             let started = self.shared.start_attempt(&fleets, attempts.tried());
             let Some(mut running) = started else {
-                return Ended {
+                return Completed {
                     outcome: attempts.outcome(),
                     answer: None,
                 };
@@ -187,7 +187,7 @@
                 next => next,
             };
             if let Next::Stop(outcome) = next {
-                return Ended {
+                return Completed {
                     outcome,
                     answer: result.ok(),
                 };
@@ -207,9 +207,9 @@
         }
     }
 
-    fn reply(&self, ended: Ended, bill: String) -> Reply {
-        match (ended.outcome, ended.answer) {
-            (RunOutcome::Done, Some(answer)) => self.done(recorded(answer), bill),
+    fn reply(&self, completed: Completed, billing_id: String) -> Reply {
+        match (completed.outcome, completed.answer) {
+            (RunOutcome::Done, Some(answer)) => self.answered(to_record(answer), billing_id),
             (RunOutcome::NotRun, _) => not_run_error(
                 Kind::Unavailable,
                 "no backend server took the call; not run",
@@ -218,12 +218,19 @@
         }
     }
 
-    /// Hands an answer on and bills it. A recorded answer is billed again
-    /// under the same identity: the instance that ran the call may have been
-    /// killed before its entry was kept, and a reader drops doubles.
-    fn done(&self, answer: claim::Answer, bill: String) -> Reply {
-        let billing = billing::call(&self.shared, &self.force, &self.call, &self.name, bill);
-        self.shared.runtime.block_on(billing);
+    /// Bills an answer and returns it as a reply. A recorded answer is billed
+    /// again under the same identity: the instance that ran the call may have
+    /// been killed before its ledger entry was stored, and readers of the ledger
+    /// drop duplicates.
+    fn answered(&self, answer: claim::Answer, billing_id: String) -> Reply {
+        let billed = billing::call(
+            &self.shared,
+            &self.force,
+            &self.call,
+            &self.name,
+            billing_id,
+        );
+        self.shared.runtime.block_on(billed);
         let reply = buffered_reply(answer.status, "application/json", answer.body);
         let reply = match answer.content_type {
             Some(kind) => with_header(reply, "content-type", &kind),
@@ -232,10 +239,10 @@
         with_header(reply, header::OUTCOME, "done")
     }
 
-    fn taken(&self, verdict: Verdict) -> Reply {
+    fn already_claimed(&self, verdict: Verdict) -> Reply {
         match verdict {
-            Verdict::Replay(answer, bill) => {
-                with_header(self.done(answer, bill), header::REPLAYED, "true")
+            Verdict::Replay(answer, billing_id) => {
+                with_header(self.answered(answer, billing_id), header::REPLAYED, "true")
             }
             Verdict::StillRunning => {
                 let message = "a request with this idempotency key still runs";
@@ -252,7 +259,7 @@
     }
 }
 
-impl Ended {
+impl Completed {
     fn not_run() -> Self {
         Self {
             outcome: RunOutcome::NotRun,
@@ -260,17 +267,17 @@
         }
     }
 
-    /// Returns what is recorded of a claimed call.
+    /// Returns the state that is recorded for a claimed call.
     fn state(&self) -> State {
         match (self.outcome, &self.answer) {
-            (RunOutcome::Done, Some(answer)) => State::Done(recorded(answer.clone())),
+            (RunOutcome::Done, Some(answer)) => State::Done(to_record(answer.clone())),
             (RunOutcome::NotRun, _) => State::NotRun,
             _ => State::Unknown,
         }
     }
 }
 
-fn recorded(answer: Answer) -> claim::Answer {
+fn to_record(answer: Answer) -> claim::Answer {
     claim::Answer {
         status: answer.status,
         content_type: answer.content_type,
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -1,4 +1,4 @@
-//! Handing on a streamed answer, part by part.
+//! Relays a streamed answer to the caller, part by part.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::admission::Permit;
 use crate::shared::{Force, Shared};
 
-/// A stream on its way to the caller.
+/// An answer that is streamed to the caller.
 pub struct Stream {
     /// State of the process.
     pub shared: Arc<Shared>,
@@ -32,14 +32,14 @@
     pub call: Call,
     /// Version that answers.
     pub version: key::Version,
-    /// ResponseFormat in which the caller wants it.
+    /// Format that the caller asked for.
     pub format: ResponseFormat,
-    /// What earlier steps used.
+    /// Usage of earlier steps of the plan.
     pub spent: Spent,
 }
 
 impl Stream {
-    /// Starts handing on and returns the answer's head; `permit` is held until
+    /// Starts to relay the answer and returns the reply; `permit` is held until
     /// the stream ends.
     pub fn start(self, started: StartedAnswer, mut observer: Observer, permit: Permit) -> Reply {
         let mut counter = UsageCounter::new();
@@ -64,35 +64,35 @@
         sender: Sender,
     ) {
         loop {
-            // Dropping the events cancels the attempt at the engine, also
-            // while no token comes for long.
+            // Dropping the events cancels the attempt at the engine, even while
+            // it generates no token for a long time.
             let next = tokio::select! {
                 next = events.recv() => next,
-                () = sender.gone() => {
+                () = sender.disconnected() => {
                     drop(events);
-                    return self.gone(&counter).await;
+                    return self.bill_abandoned(&counter).await;
                 }
             };
             let part = match next {
                 Some(Ok(Event::Part(part))) => part,
                 Some(Ok(Event::End)) => return self.finish(&counter, observer, sender).await,
-                Some(Err(_)) | None => return self.cut(&sender).await,
+                Some(Err(_)) | None => return self.send_error(&sender).await,
             };
             let mut lines = BytesMut::new();
             self.add(part, &mut counter, &mut observer, &mut lines);
-            // Parts that came together leave together, in one write.
-            while let Some(part) = events.ready() {
+            // Parts that arrived together are sent in one write.
+            while let Some(part) = events.try_next() {
                 self.add(part, &mut counter, &mut observer, &mut lines);
             }
             if !lines.is_empty() && sender.send(lines.freeze()).await.is_err() {
                 drop(events);
-                return self.gone(&counter).await;
+                return self.bill_abandoned(&counter).await;
             }
         }
     }
 
-    /// Adds the line of a part, if the caller gets one. The usage is asked of
-    /// every engine, and told only to those who want it.
+    /// Appends the event line of a part if the caller gets one. Every engine is
+    /// asked for the usage, but only callers that asked for it receive it.
     fn add(
         &self,
         mut part: Completion,
@@ -119,17 +119,18 @@
     async fn finish(&self, counter: &UsageCounter, observer: Observer, sender: Sender) {
         let usage = counter.usage(&self.shared, &self.call.body);
         self.bill(usage).await;
-        observer.ended(usage);
+        observer.record_completed(usage);
         if sender.finish(line(chat::DONE)).await.is_err() {
             self.shared.metrics.count("callers.gone");
         }
     }
 
-    /// Ends a stream that no one reads: what came of it is billed, or else
-    /// closing the connection before the end would be a way not to pay.
-    async fn gone(&self, counter: &UsageCounter) {
+    /// Ends a stream whose caller has disconnected. The parts received so far are
+    /// billed; otherwise callers could avoid payment by disconnecting before the
+    /// end.
+    async fn bill_abandoned(&self, counter: &UsageCounter) {
         self.shared.metrics.count("callers.gone");
-        if let Some(usage) = counter.some(&self.shared, &self.call.body) {
+        if let Some(usage) = counter.usage_if_any(&self.shared, &self.call.body) {
             self.bill(usage).await;
         }
     }
@@ -144,9 +145,10 @@
         billing::completion(shared, force, call, self.version, usage, self.spent).await;
     }
 
-    /// Ends a stream whose answer is not whole: with a typed error, then by
-    /// cutting the connection, so that it cannot be taken for a whole one.
-    async fn cut(&self, sender: &Sender) {
+    /// Ends a stream whose answer is incomplete: sends a typed error, after which
+    /// the dropped sender cuts the connection, so that the answer cannot be taken
+    /// for a complete one.
+    async fn send_error(&self, sender: &Sender) {
         self.shared.metrics.count("callers.cut");
         let (kind, message) = if self.shared.now() >= self.call.deadline {
             (Kind::DeadlineExceeded, "the deadline passed")
@@ -158,8 +160,9 @@
     }
 }
 
-/// Returns an answer that was held back until it was whole, as a stream.
-pub fn held(
+/// Returns the body of a stream for an answer that was held back until it was
+/// complete.
+pub fn buffered_events(
     answer: &Answer,
     format: ResponseFormat,
     request: &str,
--- a/crates/node/src/callers/stream_body.rs
+++ b/crates/node/src/callers/stream_body.rs
@@ -1,8 +1,9 @@
 //! The body of a streamed answer.
 //!
-//! Its end must be said: a body whose sender merely goes away, because its
-//! task was cut or panicked, ends as an error, which cuts the connection. A
-//! stream that was cut is thereby never a clean end.
+//! A body ends normally only when its sender calls [`Sender::finish`]. If the
+//! sender is dropped before, because its task was cancelled or panicked, the
+//! body ends with an error, which cuts the connection. So a caller never takes a
+//! truncated stream for a complete one.
 
 use std::io;
 use std::pin::Pin;
@@ -12,17 +13,17 @@
 use hyper::body::{Body, Frame};
 use tokio::sync::mpsc;
 
-/// Writes that wait for a slow reader; with the parts that wait for the
-/// engine's thread, all of which may be in one write, they bound the memory of
-/// a stream.
-const BUFFER: usize = 4;
+/// Number of writes that are buffered for a slow reader. The events buffered
+/// from the engine's thread come on top and may all be in one write; together
+/// they bound the memory of a stream.
+const BUFFERED_WRITES: usize = 4;
 
 enum Item {
     Part(Bytes),
     Last(Bytes),
 }
 
-/// The receiving half, which the connection reads.
+/// The receiving half, which is read by the connection.
 pub struct StreamBody {
     first: Option<Bytes>,
     receiver: mpsc::Receiver<Item>,
@@ -30,29 +31,30 @@
     cut: bool,
 }
 
-/// The sending half.
+/// The sending half of a body.
 pub struct Sender {
     items: mpsc::Sender<Item>,
 }
 
-/// The caller has gone.
+/// The caller has closed the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Disconnected;
 
 impl StreamBody {
     /// Creates a body that begins with `first`, and the sender of the rest.
     ///
-    /// The first part goes with the head: were it sent like the others, the
-    /// first token would wait until one more task has had its turn.
+    /// The first part is sent together with the head. If it went through the
+    /// channel like the others, the first token would wait until another task
+    /// is scheduled.
     pub fn new(first: Option<Bytes>) -> (Sender, Self) {
-        let (items, receiver) = mpsc::channel(BUFFER);
-        let flow = Self {
+        let (items, receiver) = mpsc::channel(BUFFERED_WRITES);
+        let body = Self {
             first,
             receiver,
             ended: false,
             cut: false,
         };
-        (Sender { items }, flow)
+        (Sender { items }, body)
     }
 }
 
@@ -61,22 +63,28 @@
     ///
     /// # Errors
     ///
-    /// When the caller has gone.
-    pub async fn send(&self, part: Bytes) -> Result<(), Gone> {
-        self.items.send(Item::Part(part)).await.map_err(|_| Gone)
+    /// When the caller has disconnected.
+    pub async fn send(&self, part: Bytes) -> Result<(), Disconnected> {
+        self.items
+            .send(Item::Part(part))
+            .await
+            .map_err(|_| Disconnected)
     }
 
-    /// Sends the last part, with which the body ends whole.
+    /// Sends the last part, after which the body is complete.
     ///
     /// # Errors
     ///
-    /// When the caller has gone.
-    pub async fn finish(self, part: Bytes) -> Result<(), Gone> {
-        self.items.send(Item::Last(part)).await.map_err(|_| Gone)
+    /// When the caller has disconnected.
+    pub async fn finish(self, part: Bytes) -> Result<(), Disconnected> {
+        self.items
+            .send(Item::Last(part))
+            .await
+            .map_err(|_| Disconnected)
     }
 
-    /// Waits until the caller has gone.
-    pub async fn gone(&self) {
+    /// Waits until the caller has disconnected.
+    pub async fn disconnected(&self) {
         self.items.closed().await;
     }
 }
@@ -101,8 +109,9 @@
                 self.ended = true;
                 Poll::Ready(Some(Ok(Frame::data(part))))
             }
-            // An error ends the connection at once, with all that has not been
-            // flushed; a turn in between lets the typed error before it leave.
+            // An error ends the connection at once and drops what has not been
+            // flushed. Yielding once before it lets the typed error that was
+            // sent last be flushed.
             None if !self.cut => {
                 self.cut = true;
                 context.waker().wake_by_ref();
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -1,14 +1,14 @@
-//! One attempt at a model engine, on a thread of the bounded set.
+//! One attempt at a model engine, on a thread of the bounded pool.
 //!
-//! The thread hands events to the request through a short channel. Two
-//! failures are met here, because the request need not know of them:
+//! The thread passes events to the request through a short channel. Two
+//! failures are handled here without the request:
 //!
-//! - **A stream cut by its engine** is resumed there, from the event after the
-//!   last. Only when that fails, or has brought nothing new a few times in a
-//!   row, does the request see the fault.
-//! - **A request that gives the attempt up**, as a rule because its caller has
-//!   gone, cancels it at the engine. The thread itself may be waiting for a
-//!   token for a long time, so the call is made from another one.
+//! - **A stream cut by its engine** is resumed at the same engine, after the
+//!   last event received. The request gets the fault only when resuming fails or
+//!   has brought nothing new a few times in a row.
+//! - **A request that gives up the attempt**, usually because its caller has
+//!   disconnected, cancels it at the engine. The thread may be waiting for a
+//!   token for a long time, so the cancel call is made from another one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,17 +26,19 @@
 use crate::shared::Shared;
 use crate::versions::suspects;
 
-/// Events that wait for a slow reader before the engine's thread waits too;
-/// bounds the memory of a stream whose caller reads slowly.
-const BUFFER: usize = 16;
+/// Number of events that are buffered for a slow reader before the engine's
+/// thread waits; bounds the memory of a stream whose caller reads slowly.
+const BUFFERED_EVENTS: usize = 16;
 
-/// Resumptions in a row that may bring nothing new: a cut can lose what was on
-/// its way, but an engine that only ever cuts must not hold the thread.
-const FRUITLESS: u32 = 2;
+/// Maximum number of resumptions in a row without a new event. A cut can lose
+/// events in transit, but an engine that cuts every stream must not hold the
+/// thread.
+const MAX_FRUITLESS_RESUMPTIONS: u32 = 2;
 
-/// Pauses after cancel calls that found nothing to cancel: the way to an engine
-/// takes a millisecond or so, and much longer only when connecting is slow.
-const CANCEL_PAUSES: [Duration; 3] = [
+/// Delays after cancel calls that found no attempt to cancel: a request takes
+/// about a millisecond to reach an engine, and much longer only when connecting
+/// is slow.
+const CANCEL_RETRY_DELAYS: [Duration; 3] = [
     Duration::from_millis(10),
     Duration::from_millis(50),
     Duration::from_millis(250),
@@ -45,12 +47,13 @@
 /// Events of one attempt; dropping it before their end cancels the attempt.
 pub struct Events {
     receiver: mpsc::Receiver<Result<Event, Fault>>,
-    /// The last event, when it was met by [`Events::ready`].
+    /// The last event, if [`Events::try_next`] received it.
     last: Option<Result<(), Fault>>,
-    running: Option<Box<Cancel>>,
+    /// Cancels the attempt; `None` once it has ended.
+    cancel: Option<Box<Cancel>>,
 }
 
-/// What it takes to cancel an attempt.
+/// Cancels an attempt at its engine.
 struct Cancel {
     shared: Arc<Shared>,
     runtime: Handle,
@@ -58,35 +61,35 @@
 }
 
 /// Starts an attempt.
-pub fn start(shared: &Arc<Shared>, running: Running, work: AttemptSpec, meter: Meter) -> Events {
-    let (sender, receiver) = mpsc::channel(BUFFER);
+pub fn start(shared: &Arc<Shared>, running: Running, spec: AttemptSpec, meter: Meter) -> Events {
+    let (sender, receiver) = mpsc::channel(BUFFERED_EVENTS);
     let attempt = Attempt {
         address: running.address.clone(),
-        path: work.path,
+        path: spec.path,
         id: shared.random_id(),
-        priority: work.priority,
-        body: work.body,
+        priority: spec.priority,
+        body: spec.body,
     };
-    let watched = suspects::Attempt {
-        version: work.version,
-        fingerprint: work.fingerprint,
+    let suspect_attempt = suspects::Attempt {
+        version: spec.version,
+        fingerprint: spec.fingerprint,
         server: running.server,
         address: running.address.clone(),
     };
-    let mut reading = Reading {
+    let mut reader = Reader {
         shared: Arc::clone(shared),
         attempt: attempt.clone(),
-        deadline: work.deadline,
+        deadline: spec.deadline,
         sender,
         running,
         meter,
-        watched,
+        suspect_attempt,
     };
-    tokio::task::spawn_blocking(move || reading.run());
+    tokio::task::spawn_blocking(move || reader.run());
     Events {
         receiver,
         last: None,
-        running: Some(Box::new(Cancel {
+        cancel: Some(Box::new(Cancel {
             shared: Arc::clone(shared),
             runtime: Handle::current(),
             attempt,
@@ -101,12 +104,12 @@
             Some(last) => Some(last.map(|()| Event::End)),
             None => self.receiver.recv().await,
         };
-        self.note(event.as_ref());
+        self.track_end(event.as_ref());
         event
     }
 
-    /// Returns the next event if it is there already; never the last one.
-    pub fn ready(&mut self) -> Option<Completion> {
+    /// Returns the next part if it has already been received.
+    pub fn try_next(&mut self) -> Option<Completion> {
         if self.last.is_some() {
             return None;
         }
@@ -118,22 +121,23 @@
         None
     }
 
-    fn note(&mut self, event: Option<&Result<Event, Fault>>) {
-        let over = match event {
+    /// Disables the cancel call once the attempt no longer runs.
+    fn track_end(&mut self, event: Option<&Result<Event, Fault>>) {
+        let has_ended = match event {
             Some(Ok(Event::End) | Err(Fault::NotSent(_) | Fault::Refused { .. })) | None => true,
-            // After the deadline or a crossed answer the engine may still be
-            // at work.
+            // After the deadline, or an answer that belonged to another request,
+            // the engine may still run the attempt.
             Some(Ok(Event::Part(_)) | Err(Fault::Unknown(_) | Fault::Malformed(_))) => false,
         };
-        if over {
-            self.running = None;
+        if has_ended {
+            self.cancel = None;
         }
     }
 }
 
 impl Drop for Events {
     fn drop(&mut self) {
-        if let Some(cancel) = self.running.take() {
+        if let Some(cancel) = self.cancel.take() {
             cancel.shared.metrics.count("upstream.cancelled");
             let runtime = cancel.runtime.clone();
             runtime.spawn_blocking(move || cancel.send());
@@ -143,13 +147,13 @@
 
 impl Cancel {
     fn send(self) {
-        for pause in CANCEL_PAUSES {
+        for delay in CANCEL_RETRY_DELAYS {
             match engine::cancel(&self.shared.upstream, &self.attempt) {
                 Ok(true) => return,
-                // The call may have overtaken the attempt on its way.
-                Ok(false) => std::thread::sleep(pause),
-                // An engine that cannot be told notices the closed connection
-                // when it writes the next token.
+                // The cancel call may have overtaken the attempt.
+                Ok(false) => std::thread::sleep(delay),
+                // An engine that the call cannot reach notices the closed
+                // connection when it writes the next token.
                 Err(_) => break,
             }
         }
@@ -157,36 +161,36 @@
     }
 }
 
-/// The reading of one attempt.
-struct Reading {
+/// Reads the events of one attempt.
+struct Reader {
     shared: Arc<Shared>,
     attempt: Attempt,
     deadline: Instant,
     sender: mpsc::Sender<Result<Event, Fault>>,
     running: Running,
     meter: Meter,
-    watched: suspects::Attempt,
+    suspect_attempt: suspects::Attempt,
 }
 
-impl Reading {
+impl Reader {
     fn run(&mut self) {
         let remaining = self.deadline.since(self.shared.now());
         let opened = engine::open(&self.shared.upstream, &self.attempt, remaining);
         let mut stream = match opened {
             Ok(stream) => stream,
-            Err(failure) => return self.fail(failure),
+            Err(failure) => return self.record_failure(failure),
         };
         let (mut resumed_at, mut fruitless) = (0, 0);
         loop {
             match stream.next_event() {
-                // The request has given the attempt up; dropping the stream
-                // closes its connection. However it ended by then, that says
-                // nothing of the version.
+                // The request has given up the attempt. Dropping the stream
+                // closes its connection. How the attempt ended is not counted
+                // for the version.
                 _ if self.sender.is_closed() => {
-                    return suspects::record_abandoned(&self.shared, &self.watched);
+                    return suspects::record_abandoned(&self.shared, &self.suspect_attempt);
                 }
                 Ok(Event::End) => {
-                    suspects::record_end(&self.shared, &self.watched, Ok(()));
+                    suspects::record_end(&self.shared, &self.suspect_attempt, Ok(()));
                     self.running.ended_well();
                     self.meter.whole();
                     let _ = self.sender.blocking_send(Ok(Event::End));
@@ -207,10 +211,10 @@
                     resumed_at = position;
                     match self.resume(position, fruitless) {
                         Some(resumed) => stream = resumed,
-                        None => return self.fail(Failure::Cut(cause)),
+                        None => return self.record_failure(Failure::Cut(cause)),
                     }
                 }
-                Err(failure) => return self.fail(failure),
+                Err(failure) => return self.record_failure(failure),
             }
         }
     }
@@ -218,7 +222,7 @@
     /// Resumes a stream that was cut.
     fn resume(&self, position: u64, fruitless: u32) -> Option<engine::Stream> {
         let remaining = self.deadline.since(self.shared.now());
-        if fruitless > FRUITLESS || remaining.is_zero() || self.sender.is_closed() {
+        if fruitless > MAX_FRUITLESS_RESUMPTIONS || remaining.is_zero() || self.sender.is_closed() {
             return None;
         }
         self.shared.metrics.count("upstream.cut");
@@ -237,24 +241,24 @@
         }
     }
 
-    fn fail(&mut self, failure: Failure) {
+    fn record_failure(&mut self, failure: Failure) {
         if self.sender.is_closed() {
-            return suspects::record_abandoned(&self.shared, &self.watched);
+            return suspects::record_abandoned(&self.shared, &self.suspect_attempt);
         }
         if failure == Failure::Crossed {
             self.shared.metrics.count("upstream.crossed");
         }
         let fault = failure.into();
-        // Before the request hears of it and tries again.
-        suspects::record_end(&self.shared, &self.watched, Err(&fault));
+        // Recorded before the request receives the fault and retries.
+        suspects::record_end(&self.shared, &self.suspect_attempt, Err(&fault));
         self.running.failed(&fault);
-        self.note(&fault);
+        self.record_overload(&fault);
         let _ = self.sender.blocking_send(Err(fault));
     }
 
-    /// Tells admission of a runner that refuses, or that has used up the time
-    /// of the request.
-    fn note(&self, fault: &Fault) {
+    /// Reports to admission an engine that refused the request or has used up
+    /// its time.
+    fn record_overload(&self, fault: &Fault) {
         let refused = matches!(
             fault,
             Fault::Refused {
--- a/crates/node/src/callers/write_timeout.rs
+++ b/crates/node/src/callers/write_timeout.rs
@@ -1,9 +1,9 @@
-//! A socket whose peer must keep reading.
+//! A socket with a time-out on writes that make no progress.
 //!
 //! A caller that stops reading in the middle of its answer holds a place, a
-//! thread and its buffers for as long as it likes; a few of them would use a
-//! process up. A write that makes no progress within the limit fails, which
-//! ends the connection and cancels the attempt.
+//! thread and buffers for as long as it likes, and a few such callers would use
+//! up all places of the process. A write that makes no progress within the
+//! limit fails, which ends the connection and cancels the attempt.
 
 use std::io;
 use std::pin::Pin;
@@ -26,7 +26,7 @@
 }
 
 impl Socket {
-    /// Watches over the writes of `stream`.
+    /// Wraps `stream`; the limit is `write_timeout_ms` of the settings.
     pub fn new(shared: Arc<Shared>, stream: TcpStream) -> Self {
         let limit = Duration::from_millis(shared.settings.limits.write_timeout_ms);
         Self {
@@ -37,12 +37,14 @@
         }
     }
 
-    /// Returns the socket itself.
+    /// Returns the wrapped socket.
     pub fn into_inner(self) -> TcpStream {
         self.stream
     }
 
-    fn watch<T>(
+    /// Returns the result of a write, or a time-out error once writes have made
+    /// no progress within the limit.
+    fn check_progress<T>(
         &mut self,
         context: &mut Context<'_>,
         written: Poll<io::Result<T>>,
@@ -80,7 +82,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.watch(context, written)
+        self.check_progress(context, written)
     }
 
     fn poll_write_vectored(
@@ -89,7 +91,7 @@
         bytes: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, bytes);
-        self.watch(context, written)
+        self.check_progress(context, written)
     }
 
     fn is_write_vectored(&self) -> bool {
