--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -1,4 +1,5 @@
-//! The gate before the core's admission: wakes those who wait.
+//! The async side of admission: requests wait here for the core's decision and
+//! are woken when it is made.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,9 +19,9 @@
 use crate::clock::Clock;
 use crate::shared::lock;
 
-type Answer = Result<Grant, Refusal>;
+type Decision = Result<Grant, Refusal>;
 
-/// Lets requests in.
+/// Admits requests up to a number of places; shared by all connections.
 #[derive(Clone, Debug)]
 pub struct Gate {
     inner: Arc<Mutex<Inner>>,
@@ -28,74 +29,76 @@
 
 #[derive(Debug)]
 struct Inner {
-    control: Controller,
+    controller: Controller,
     rng: Pcg64Mcg,
-    waiters: BTreeMap<Ticket, oneshot::Sender<Answer>>,
+    waiters: BTreeMap<Ticket, oneshot::Sender<Decision>>,
 }
 
-/// A place of a running request; dropping it lets the next one in.
+/// Permit of a running request; dropping it frees its place for the next one.
 #[derive(Debug)]
 pub struct Permit {
     gate: Gate,
     clock: Clock,
-    held: Held,
+    status: Status,
     meter: Meter,
 }
 
+/// Status of a request, and with it what dropping its permit must release.
 #[derive(Debug)]
-enum Held {
-    /// Runs.
-    Grant(Grant),
-    /// Waits for its turn.
-    Turn(Ticket, oneshot::Receiver<Answer>),
-    /// Has nothing to give back.
-    Nothing,
+enum Status {
+    /// Runs and holds a place.
+    Running(Grant),
+    /// Waits for a decision.
+    Waiting(Ticket, oneshot::Receiver<Decision>),
+    /// Has nothing to release.
+    Released,
 }
 
-/// What a running request tells of the runners; shared with the thread that
-/// reads them.
+/// Progress of a running request at its backend servers; shared with the thread
+/// that reads their answers. Admission learns durations and its limit from it.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
-    inner: Arc<Marks>,
+    inner: Arc<Progress>,
 }
 
 #[derive(Debug, Default)]
-struct Marks {
+struct Progress {
+    /// When the first part was received; 0 before that.
     first: AtomicU64,
-    whole: AtomicBool,
-    overloaded: AtomicBool,
+    is_complete: AtomicBool,
+    is_overloaded: AtomicBool,
 }
 
 impl Meter {
-    /// Records that a part of the answer came; only the first one counts.
-    pub fn part(&self, now: Instant) {
-        let none = Ordering::SeqCst;
-        let _ = self.inner.first.compare_exchange(0, now.0, none, none);
+    /// Records that a part of the answer was received; only the first one counts.
+    pub fn record_part(&self, now: Instant) {
+        let order = Ordering::SeqCst;
+        let _ = self.inner.first.compare_exchange(0, now.0, order, order);
     }
 
-    /// Records that the answer is whole.
-    pub fn whole(&self) {
-        self.inner.whole.store(true, Ordering::SeqCst);
+    /// Records that the answer is complete.
+    pub fn record_complete(&self) {
+        self.inner.is_complete.store(true, Ordering::SeqCst);
     }
 
-    /// Records that a runner refused the request or ran out of its time.
-    pub fn overloaded(&self) {
-        self.inner.overloaded.store(true, Ordering::SeqCst);
+    /// Records that a backend server refused the request or used up its time.
+    pub fn record_overload(&self) {
+        self.inner.is_overloaded.store(true, Ordering::SeqCst);
     }
 
-    fn ended(&self) -> Completion {
-        if self.inner.overloaded.load(Ordering::SeqCst) {
+    fn completion(&self) -> Completion {
+        if self.inner.is_overloaded.load(Ordering::SeqCst) {
             return Completion::Overloaded;
         }
         let first = Instant(self.inner.first.load(Ordering::SeqCst));
-        if self.inner.whole.load(Ordering::SeqCst) && first > Instant::ORIGIN {
+        if self.inner.is_complete.load(Ordering::SeqCst) && first > Instant::ORIGIN {
             return Completion::Answered { first };
         }
         Completion::Ignored
     }
 }
 
-/// Returns the thresholds that the configuration sets for `places` places.
+/// Returns the thresholds of the configuration for a limit of `places` places.
 pub fn thresholds(places: usize, catalog: &Catalog) -> Thresholds {
     Thresholds {
         places,
@@ -109,90 +112,92 @@
 }
 
 impl Gate {
-    /// Creates a gate before `places` places.
+    /// Creates a gate with `places` places.
     #[must_use]
     pub fn new(places: usize, seed: u64) -> Self {
         Self {
             inner: Arc::new(Mutex::new(Inner {
-                control: Controller::new(Thresholds::new(places)),
+                controller: Controller::new(Thresholds::new(places)),
                 rng: Pcg64Mcg::seed_from_u64(seed),
                 waiters: BTreeMap::new(),
             })),
         }
     }
 
-    /// Takes over thresholds that a new configuration brings.
+    /// Applies the thresholds of a new configuration.
     pub fn set_thresholds(&self, thresholds: Thresholds) {
-        lock(&self.inner).control.set_thresholds(thresholds);
+        lock(&self.inner).controller.set_thresholds(thresholds);
     }
 
-    /// Waits for a place.
+    /// Waits until the request may run.
     ///
     /// # Errors
     ///
-    /// Why and until when the caller is turned away; nothing was run.
-    pub async fn admit(&self, clock: Clock, ask: &Request) -> Result<Permit, Refusal> {
-        let mut place = Permit {
+    /// Why the caller is refused and when it may retry; nothing was run.
+    pub async fn admit(&self, clock: Clock, request: &Request) -> Result<Permit, Refusal> {
+        let mut permit = Permit {
             gate: self.clone(),
             clock,
-            held: Held::Nothing,
+            status: Status::Released,
             meter: Meter::default(),
         };
-        place.held = self.offer(clock.now(), ask)?;
-        while let Held::Turn(_, turn) = &mut place.held {
-            // Whoever wakes first turns away everyone whose time is over.
-            let expiry = lock(&self.inner).control.next_expiry();
-            let expiry = clock.to_tokio(expiry.unwrap_or(ask.deadline));
-            match tokio::time::timeout_at(expiry, turn).await {
-                Ok(Ok(Ok(grant))) => place.held = Held::Grant(grant),
+        permit.status = self.offer(clock.now(), request)?;
+        while let Status::Waiting(_, decision) = &mut permit.status {
+            // The waiter that wakes first refuses all whose deadline has passed.
+            let expiry = lock(&self.inner).controller.next_expiry();
+            let expiry = clock.to_tokio(expiry.unwrap_or(request.deadline));
+            match tokio::time::timeout_at(expiry, decision).await {
+                Ok(Ok(Ok(grant))) => permit.status = Status::Running(grant),
                 Ok(Ok(Err(refusal))) => {
-                    place.held = Held::Nothing;
+                    permit.status = Status::Released;
                     return Err(refusal);
                 }
                 Ok(Err(_)) => {
-                    place.held = Held::Nothing;
+                    permit.status = Status::Released;
                     let reason = Reason::TooLate;
-                    let retry = clock.now();
+                    let now = clock.now();
                     return Err(Refusal {
                         reason,
-                        retry_at: retry,
+                        retry_at: now,
                     });
                 }
-                Err(_) => lock(&self.inner).turn(clock.now()),
+                Err(_) => lock(&self.inner).wake_decided(clock.now()),
             }
         }
-        Ok(place)
+        Ok(permit)
     }
 
-    fn offer(&self, now: Instant, ask: &Request) -> Result<Held, Refusal> {
+    fn offer(&self, now: Instant, request: &Request) -> Result<Status, Refusal> {
         let mut inner = lock(&self.inner);
-        let Inner { control, rng, .. } = &mut *inner;
-        match control.offer(now, ask, rng) {
-            Verdict::Run(grant) => Ok(Held::Grant(grant)),
+        let Inner {
+            controller, rng, ..
+        } = &mut *inner;
+        match controller.offer(now, request, rng) {
+            Verdict::Run(grant) => Ok(Status::Running(grant)),
             Verdict::Refuse(refusal) => Err(refusal),
             Verdict::Wait(ticket) => {
-                let (waker, turn) = oneshot::channel();
-                inner.waiters.insert(ticket, waker);
-                Ok(Held::Turn(ticket, turn))
+                let (sender, decision) = oneshot::channel();
+                inner.waiters.insert(ticket, sender);
+                Ok(Status::Waiting(ticket, decision))
             }
         }
     }
 
-    /// Returns how many requests run and how many wait.
+    /// Returns the numbers of running and of waiting requests.
     #[must_use]
     pub fn load(&self) -> (usize, usize) {
-        lock(&self.inner).control.load()
+        lock(&self.inner).controller.load()
     }
 
-    /// Returns the figures of the state dump.
+    /// Returns the figures for the state dump.
     #[must_use]
     pub fn summary(&self) -> Summary {
-        lock(&self.inner).control.summary()
+        lock(&self.inner).controller.summary()
     }
 }
 
 impl Permit {
-    /// Returns where to record how the request goes.
+    /// Returns the meter that records the request's progress.
     #[must_use]
     pub fn meter(&self) -> Meter {
         self.meter.clone()
@@ -200,16 +205,16 @@
 }
 
 impl Inner {
-    /// Tells everyone whose turn has come. A waiter that has gone gives its
-    /// grant back when its [`Permit`] is dropped.
-    fn turn(&mut self, now: Instant) {
-        for turn in self.control.poll(now, &mut self.rng) {
-            let (ticket, answer) = match turn {
+    /// Wakes all waiters whose requests have been decided. A waiter that has been
+    /// cancelled returns its grant when its [`Permit`] is dropped.
+    fn wake_decided(&mut self, now: Instant) {
+        for resolution in self.controller.poll(now, &mut self.rng) {
+            let (ticket, decision) = match resolution {
                 Resolution::Run(ticket, grant) => (ticket, Ok(grant)),
                 Resolution::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            if let Some(waker) = self.waiters.remove(&ticket) {
-                let _ = waker.send(answer);
+            if let Some(sender) = self.waiters.remove(&ticket) {
+                let _ = sender.send(decision);
             }
         }
     }
@@ -219,21 +224,21 @@
     fn drop(&mut self) {
         let mut inner = lock(&self.gate.inner);
         let now = self.clock.now();
-        match std::mem::replace(&mut self.held, Held::Nothing) {
-            Held::Nothing => return,
-            Held::Grant(grant) => inner.control.finish(now, grant, self.meter.ended()),
-            Held::Turn(ticket, mut turn) => {
+        match std::mem::replace(&mut self.status, Status::Released) {
+            Status::Released => return,
+            Status::Running(grant) => inner.controller.finish(now, grant, self.meter.completion()),
+            Status::Waiting(ticket, mut decision) => {
                 inner.waiters.remove(&ticket);
-                if inner.control.cancel(ticket) {
+                if inner.controller.cancel(ticket) {
                     return;
                 }
-                // It was told its turn under this lock and did not read it.
-                match turn.try_recv() {
-                    Ok(Ok(grant)) => inner.control.finish(now, grant, Completion::Ignored),
+                // The decision was sent under this lock but not yet received.
+                match decision.try_recv() {
+                    Ok(Ok(grant)) => inner.controller.finish(now, grant, Completion::Ignored),
                     Ok(Err(_)) | Err(_) => return,
                 }
             }
         }
-        inner.turn(now);
+        inner.wake_decided(now);
     }
 }
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -192,13 +192,13 @@
                 Ok(Event::End) => {
                     suspects::record_end(&self.shared, &self.suspect_attempt, Ok(()));
                     self.running.ended_well();
-                    self.meter.whole();
+                    self.meter.record_complete();
                     let _ = self.sender.blocking_send(Ok(Event::End));
                     return stream.finish();
                 }
                 Ok(part) => {
                     self.running.answered();
-                    self.meter.part(self.shared.now());
+                    self.meter.record_part(self.shared.now());
                     let _ = self.sender.blocking_send(Ok(part));
                 }
                 Err(Failure::Cut(cause)) => {
@@ -267,7 +267,7 @@
             }
         );
         if refused || self.shared.now() >= self.deadline {
-            self.meter.overloaded();
+            self.meter.record_overload();
         }
     }
 }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -1,9 +1,9 @@
-//! Keeps claims in the store.
+//! Claims of non-idempotent calls in the store.
 //!
-//! A claim is taken and recorded by blocking threads that run
-//! [`fescuerack_core::claim`]. What cannot be recorded while the caller waits
-//! goes to a backlog, so that an outage of the store that begins in the middle
-//! of a run leaves its record behind as soon as it ends.
+//! Blocking threads that run [`fescuerack_core::claim`] take a claim and record
+//! its outcome. An outcome that cannot be recorded while the caller waits goes
+//! to a backlog. So if the store fails in the middle of a call, the outcome is
+//! recorded as soon as the store is back.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,28 +18,28 @@
 use crate::shared::{Shared, lock};
 use crate::stop::Stop;
 
-/// Milliseconds for which a new claim takes the lease at hand; after that a
-/// new lease is granted, which costs the fleet one call an hour and instance.
-const LEASE_USE_MS: u64 = 3_600_000;
-/// Milliseconds for which the caller waits for its answer to be recorded.
-const RECORD_MS: u64 = 1_000;
-/// Milliseconds for which recording is tried after that.
-const BACKLOG_MS: u64 = 30 * 60_000;
-/// Milliseconds that one try of the backlog takes.
-const SLICE_MS: u64 = 1_000;
-/// Bytes of the backlog.
-const LARGEST_BACKLOG: usize = 4 << 20;
-/// One in so many places may wait for a claim while the store is out. The rest
-/// is left to requests that need no claim.
-const WAITING_SHARE: usize = 4;
-
-/// What is still to be recorded.
+/// Milliseconds for which new claims share a lease. Then a new one is granted,
+/// which costs one call per hour and instance.
+const LEASE_SHARING_MS: u64 = 3_600_000;
+/// Milliseconds for which the caller waits until its answer is recorded.
+const RECORD_TIMEOUT_MS: u64 = 1_000;
+/// Milliseconds for which the backlog tries to record an outcome after that.
+const BACKLOG_RETENTION_MS: u64 = 30 * 60_000;
+/// Milliseconds that one attempt of the backlog may take.
+const BACKLOG_ATTEMPT_MS: u64 = 1_000;
+/// Maximum size of the backlog in bytes.
+const MAX_BACKLOG_BYTES: usize = 4 << 20;
+/// One in this many places may wait for a claim while the store is unavailable.
+/// The rest is left to requests that need no claim.
+const PLACES_PER_WAITING_CLAIM: usize = 4;
+
+/// A record that is still to be written.
 #[derive(Clone, Debug)]
 enum Job {
-    /// How a run ended.
-    End { claim: Claim, state: State },
-    /// A claim that was given up and may stand.
-    Lost {
+    /// Outcome of a claimed call.
+    Outcome { claim: Claim, state: State },
+    /// A claim that was given up, but that the store may have taken.
+    Unconfirmed {
         name: Name,
         nonce: u64,
         lease: Option<u64>,
@@ -48,37 +48,42 @@
 
 impl Job {
     fn size(&self) -> usize {
-        const FIELDS: usize = 512;
+        /// Size in bytes of a job without an answer's body.
+        const BASE_BYTES: usize = 512;
         match self {
-            Self::End {
+            Self::Outcome {
                 state: State::Done(answer),
                 ..
-            } => FIELDS + answer.body.len(),
-            _ => FIELDS,
+            } => BASE_BYTES + answer.body.len(),
+            _ => BASE_BYTES,
         }
     }
 
-    fn machine(&self, until: Instant) -> Recording {
+    /// Returns the state machine that writes the record.
+    fn recording(&self, until: Instant) -> Recording {
         match self {
-            Self::End { claim, state } => Recording::new(claim, state.clone(), until),
-            Self::Lost { name, nonce, lease } => {
+            Self::Outcome { claim, state } => Recording::new(claim, state.clone(), until),
+            Self::Unconfirmed { name, nonce, lease } => {
                 Recording::with_unconfirmed(name.clone(), *nonce, *lease, until)
             }
         }
     }
 }
 
-/// State of claims in one process.
+/// Backlog of claims in one process, with the lease that new claims share.
 #[derive(Debug, Default)]
 pub struct Queue {
+    /// Lease of new claims, and until when they share it.
     lease: Mutex<Option<(u64, Instant)>>,
+    /// Records to write, each with the time when it is given up.
     backlog: Mutex<VecDeque<(Instant, Job)>>,
     added: Condvar,
+    /// Number of calls that wait for a claim.
     waiting: AtomicUsize,
 }
 
 impl Queue {
-    /// Returns how many ends are still to be recorded.
+    /// Returns the number of records that are still to be written.
     pub fn backlog(&self) -> usize {
         lock(&self.backlog).len()
     }
@@ -86,9 +91,10 @@
     fn push(&self, shared: &Shared, until: Instant, job: Job) {
         let mut backlog = lock(&self.backlog);
         let bytes: usize = backlog.iter().map(|(_, job)| job.size()).sum();
-        if bytes + job.size() > LARGEST_BACKLOG {
-            // The record stays running and counts as unknown: true, only less
-            // than could be said.
+        if bytes + job.size() > MAX_BACKLOG_BYTES {
+            // The record in the store stays in the state "running" and later
+            // counts as unknown. That is true, although less precise than the
+            // outcome.
             shared.metrics.count("claim.backlog_full");
             return;
         }
@@ -96,6 +102,7 @@
         self.added.notify_one();
     }
 
+    /// Removes the first job; waits up to `wait` for one.
     fn pop(&self, wait: Duration) -> Option<(Instant, Job)> {
         let backlog = lock(&self.backlog);
         let (mut backlog, _) = self
@@ -106,31 +113,32 @@
     }
 }
 
-/// Returns the lease with which a new claim vanishes after its retention.
+/// Returns the lease that removes a new claim after its retention.
 fn lease(shared: &Shared) -> Option<u64> {
     let now = shared.wall.now();
-    let mut held = lock(&shared.claims.lease);
-    if let Some((id, until)) = *held
+    let mut current = lock(&shared.claims.lease);
+    if let Some((id, until)) = *current
         && now < until
     {
         return Some(id);
     }
-    let ttl = Duration::from_millis(RETENTION_MS + LEASE_USE_MS);
+    let ttl = Duration::from_millis(RETENTION_MS + LEASE_SHARING_MS);
     if let Ok(lease) = shared.store.grant(ttl) {
-        *held = Some((lease.id, now.plus_millis(LEASE_USE_MS)));
+        *current = Some((lease.id, now.plus_millis(LEASE_SHARING_MS)));
     } else {
         shared.metrics.count("claim.lease_failed");
     }
-    // Without a fresh one the old one serves: the claim is kept shorter.
-    held.map(|(id, _)| id)
+    // If no new lease was granted, the old one is used and the claim is retained
+    // for a shorter time.
+    current.map(|(id, _)| id)
 }
 
-/// Claims `name`, waiting while the store is out, until `deadline`.
+/// Claims `name`; while the store is unavailable, tries until `deadline`.
 pub fn claim(shared: &Shared, name: &Name, deadline: Instant) -> Outcome {
-    let most = (shared.settings.limits.concurrency / WAITING_SHARE).max(1);
+    let max_waiting = (shared.settings.limits.concurrency / PLACES_PER_WAITING_CLAIM).max(1);
     let waiting = shared.claims.waiting.fetch_add(1, Ordering::SeqCst);
-    let outcome = if waiting < most {
-        take(shared, name, deadline)
+    let outcome = if waiting < max_waiting {
+        try_claim(shared, name, deadline)
     } else {
         shared.metrics.count("claim.too_many");
         Outcome::StoreUnavailable { may_be_held: false }
@@ -139,7 +147,7 @@
     outcome
 }
 
-fn take(shared: &Shared, name: &Name, deadline: Instant) -> Outcome {
+fn try_claim(shared: &Shared, name: &Name, deadline: Instant) -> Outcome {
     let remaining = deadline.since(shared.now());
     let until = shared.wall.now() + remaining;
     let nonce = shared.random();
@@ -150,49 +158,51 @@
         shared.metrics.count("claim.out");
         if may_be_held {
             let name = name.clone();
-            let job = Job::Lost { name, nonce, lease };
-            let until = shared.wall.now().plus_millis(BACKLOG_MS);
+            let job = Job::Unconfirmed { name, nonce, lease };
+            let until = shared.wall.now().plus_millis(BACKLOG_RETENTION_MS);
             shared.claims.push(shared, until, job);
         }
     }
     outcome
 }
 
-/// Returns whether a claim may still be sent: its deadline is ahead. A process
-/// that was paused between claim and send must not send what others already
-/// take for unknown.
+/// Returns whether a claimed call may still be sent: its deadline has not
+/// passed. A process that was paused between claim and send must not send a call
+/// whose outcome other instances already report as unknown.
 pub fn may_send(shared: &Shared, claim: &Claim) -> bool {
     shared.wall.now() < claim.record.deadline
 }
 
-/// Records how a claimed request ended; returns at the latest after a second
-/// and leaves the rest to the backlog.
+/// Records the outcome of a claimed call. Returns after [`RECORD_TIMEOUT_MS`] at
+/// the latest and leaves a record that was not written to the backlog.
 pub fn record(shared: &Shared, claim: &Claim, state: State) {
     let now = shared.wall.now();
-    let mut machine = Recording::new(claim, state.clone(), now.plus_millis(RECORD_MS));
+    let mut machine = Recording::new(claim, state.clone(), now.plus_millis(RECORD_TIMEOUT_MS));
     if !drive::run(&shared.store, &shared.wall, &mut machine) {
         shared.metrics.count("claim.record_late");
         let claim = claim.clone();
-        let job = Job::End { claim, state };
-        shared.claims.push(shared, now.plus_millis(BACKLOG_MS), job);
+        let job = Job::Outcome { claim, state };
+        shared
+            .claims
+            .push(shared, now.plus_millis(BACKLOG_RETENTION_MS), job);
     }
 }
 
-/// Works off the backlog until `stop` is set.
+/// Writes the records of the backlog until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
-        record_next(shared, Duration::from_millis(SLICE_MS));
+        record_next(shared, Duration::from_millis(BACKLOG_ATTEMPT_MS));
     }
 }
 
-/// Tries the first item of the backlog, waiting for one; returns whether the
-/// backlog is empty.
+/// Tries to write the first record of the backlog, waiting up to `wait` for one;
+/// returns whether the backlog is empty.
 pub fn record_next(shared: &Shared, wait: Duration) -> bool {
     let Some((until, job)) = shared.claims.pop(wait) else {
         return true;
     };
-    let slice = shared.wall.now().plus_millis(SLICE_MS);
-    let mut machine = job.machine(slice.min(until));
+    let attempt_end = shared.wall.now().plus_millis(BACKLOG_ATTEMPT_MS);
+    let mut machine = job.recording(attempt_end.min(until));
     if !drive::run(&shared.store, &shared.wall, &mut machine) {
         if shared.wall.now() < until {
             shared.claims.push(shared, until, job);
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -25,7 +25,7 @@
         Instant::ORIGIN + self.origin.elapsed()
     }
 
-    /// Returns the point of the async runtime's clock that `at` stands for.
+    /// Converts `at` to an instant of the async runtime's clock.
     #[must_use]
     pub fn to_tokio(&self, at: Instant) -> tokio::time::Instant {
         let at = self.origin + at.since(Instant::ORIGIN);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns wall-clock time, for records that other instances read.
+/// Returns the wall-clock time, for records that other instances read.
 #[must_use]
 pub fn wall() -> Instant {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -1,13 +1,14 @@
-//! Reads the load that model engines report.
+//! Reads the load reports of model engines.
 //!
-//! One engine after the other, one a second: control may cost an instance 5 KB
-//! a second, of which the exchange with peers, the list and the configuration
-//! take 4.4, and a report with its headers takes about 500 bytes. So each of 12
-//! engines is read every 12 s. That costs little: with reports every 1, 6, 12
-//! and 30 s the first token of chat stays the same beside long work, and long
-//! work in time goes from 81 to between 77 and 79 in 100 (design page of
-//! routing). The choice of servers gives an old report little weight and
-//! relies on the instance's own count.
+//! Engines are read in turn, one per second. Control traffic may cost an
+//! instance 5 KB per second, of which the exchange with peers, the list and the
+//! configuration take 4.4 KB, and a report with its headers takes about 500
+//! bytes. So each of 12 engines is read every 12 s. Longer intervals cost little:
+//! with reports every 1, 6, 12 and 30 s, the time to first token of chat beside
+//! long work stays the same, and the share of long work that ends in time falls
+//! from 81% to between 77% and 79% (see the design page of routing). The choice
+//! of servers gives an old report little weight and relies on the local count of
+//! requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,31 +23,32 @@
 use crate::shared::{Shared, lock};
 use crate::stop::Stop;
 
-/// Time between two readings.
-const PERIOD: Duration = Duration::from_secs(1);
+/// Interval between two reads.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Time within which an engine must report.
-const TIMEOUT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Reads reports until `stop` is set.
+/// Reads load reports until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     let mut last = None;
-    while !stop.wait(PERIOD) {
-        let Some((server, address)) = after(shared, last) else {
+    while !stop.wait(READ_INTERVAL) {
+        let Some((server, address)) = next_engine(shared, last) else {
             continue;
         };
         last = Some(server);
-        match engine::load(&shared.upstream, &address, TIMEOUT) {
+        match engine::load(&shared.upstream, &address, REPORT_TIMEOUT) {
             Ok(report) => {
                 let now = shared.now();
-                lock(&shared.routes).apply_report(now, server, compiled(now, &report));
+                lock(&shared.routes).apply_report(now, server, to_score_report(now, &report));
             }
             Err(_) => shared.metrics.count("servers.load_failed"),
         }
     }
 }
 
-/// Returns the engine whose turn comes after `last`.
-fn after(shared: &Shared, last: Option<key::Server>) -> Option<(key::Server, String)> {
+/// Returns the engine after `last` in the order of keys, and its address; starts
+/// over after the last engine.
+fn next_engine(shared: &Shared, last: Option<key::Server>) -> Option<(key::Server, String)> {
     let force = shared.force();
     let fleets = force.catalog.fleets.iter();
     let engines = fleets.filter(|(_, fleet)| fleet.kind == Kind::Engine);
@@ -60,11 +62,11 @@
     Some((server, routes.get(server)?.address.clone()))
 }
 
-fn compiled(now: Instant, report: &load::Report) -> score::Report {
-    let age = report.age_ms.saturating_mul(1000);
+fn to_score_report(now: Instant, report: &load::Report) -> score::Report {
+    let age_us = report.age_ms.saturating_mul(1000);
     let adapters = report.adapters.iter();
     score::Report {
-        at: Instant(now.0.saturating_sub(age)),
+        at: Instant(now.0.saturating_sub(age_us)),
         work: report.work,
         adapters: adapters.map(|name| route::hash(name.as_bytes())).collect(),
         leaving: report.leaving,
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -1,4 +1,5 @@
-//! Follows the platform's list of instances.
+//! Polls the platform's list of instances and updates the table of backend
+//! servers and the list of peers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,28 +18,28 @@
 use crate::shared::{Force, Shared, lock};
 use crate::stop::Stop;
 
-/// Time between two readings of the list.
-const PERIOD: Duration = Duration::from_millis(500);
-/// Fleet under which the list shows the instances of fescuerack itself.
+/// Interval between two reads of the list.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Fleet under which the list contains the instances of fescuerack itself.
 pub const ROUTER_FLEET: &str = "fescuerack";
 
-/// Follows the list until `stop` is set.
+/// Polls the list until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     loop {
         match shared.directory.list() {
-            Ok(list) => take_over(shared, list),
-            // The last list stays in use: an outage of the list must not
+            Ok(list) => apply(shared, list),
+            // The last list stays in use, so that an outage of the list does not
             // empty the pools.
             Err(_) => shared.metrics.count("servers.list_failed"),
         }
-        tick(shared);
-        if stop.wait(PERIOD) {
+        update_thresholds(shared);
+        if stop.wait(LIST_INTERVAL) {
             return;
         }
     }
 }
 
-fn take_over(shared: &Shared, list: Instances) {
+fn apply(shared: &Shared, list: Instances) {
     let force = shared.force();
     let mut listed = Vec::new();
     let mut peers = Vec::new();
@@ -56,19 +57,20 @@
         listed.push((key, server(instance, fleet, &force)));
     }
     peers.sort_by(|a, b| a.id.cmp(&b.id));
-    let place = place(shared, &force, &peers);
+    let position = position(shared, &force, &peers);
     let mut routes = lock(&shared.routes);
-    routes.set_position(place);
+    routes.set_position(position);
     routes.apply_list(shared.now(), listed);
     drop(routes);
     peers::observe(shared, &peers);
     shared.listed.store(true, Ordering::SeqCst);
 }
 
-/// Place of this process among all: by name, so that all agree.
-fn place(shared: &Shared, force: &Force, peers: &[Instance]) -> Position {
-    let own = &shared.settings.instance;
-    let before = peers.iter().filter(|peer| peer.id < *own);
+/// Returns the position of this process among all instances, in the order of
+/// their names, so that all instances compute the same positions.
+fn position(shared: &Shared, force: &Force, peers: &[Instance]) -> Position {
+    let local = &shared.settings.instance;
+    let before = peers.iter().filter(|peer| peer.id < *local);
     Position {
         index: before.count(),
         instances: peers.len().max(1),
@@ -93,8 +95,9 @@
     }
 }
 
-/// Lets the decisions under load take note of time and configuration.
-fn tick(shared: &Shared) {
+/// Updates admission, rate limits, retry budgets and routes with the present
+/// time and configuration.
+fn update_thresholds(shared: &Shared) {
     let force = shared.force();
     let catalog = &force.catalog;
     let now = shared.now();
@@ -122,11 +125,11 @@
 }
 
 fn thresholds(catalog: &Catalog) -> route::Thresholds {
-    let whole = |name| num::whole(catalog.limit(name));
+    let integer = |name| num::whole(catalog.limit(name));
     route::Thresholds {
-        consecutive_failures: u32::try_from(whole("route.failures")).unwrap_or(u32::MAX),
+        consecutive_failures: u32::try_from(integer("route.failures")).unwrap_or(u32::MAX),
         slow_factor: catalog.limit("route.slow"),
         max_ejected_share: catalog.limit("route.ejected-share"),
-        ejection_ms: u64::try_from(whole("route.ejection-ms")).unwrap_or(u64::MAX),
+        ejection_ms: u64::try_from(integer("route.ejection-ms")).unwrap_or(u64::MAX),
     }
 }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -23,13 +23,14 @@
         condition.notify_all();
     }
 
-    /// Waits for `pause`; returns whether the flag is set.
+    /// Waits until the flag is set, but no longer than `timeout`; returns whether
+    /// it is set.
     #[must_use]
-    pub fn wait(&self, pause: Duration) -> bool {
+    pub fn wait(&self, timeout: Duration) -> bool {
         let (flag, condition) = &*self.inner;
         let guard = flag.lock().unwrap_or_else(PoisonError::into_inner);
         let (guard, _) = condition
-            .wait_timeout_while(guard, pause, |stopped| !*stopped)
+            .wait_timeout_while(guard, timeout, |stopped| !*stopped)
             .unwrap_or_else(PoisonError::into_inner);
         *guard
     }
