--- a/crates/node/tests/all/claims.rs
+++ b/crates/node/tests/all/claims.rs
@@ -1,4 +1,5 @@
-//! At most once: the same key to any instance, killed at each step.
+//! At-most-once calls: the same idempotency key sent to any instance, with an
+//! instance killed at each step.
 
 use std::time::Duration;
 
@@ -11,10 +12,10 @@
 
 type Response = ureq::http::Response<ureq::Body>;
 
-/// Milliseconds that a caller waits.
+/// Milliseconds for which a caller waits.
 const DEADLINE_MS: u64 = 2_000;
 
-/// Sends a booking; none when the connection broke.
+/// Sends a booking; returns `None` if the connection broke.
 pub fn book(
     process: &Process,
     key: Option<&str>,
@@ -44,7 +45,7 @@
     world.services[0].runs().values().sum()
 }
 
-/// Where an instance is killed.
+/// Step at which an instance is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Claiming,
@@ -53,10 +54,10 @@
     Answered,
 }
 
-// An instance dies while a parent's booking is under way: before the claim is
-// kept, while the service works, before the answer is recorded, or after it
-// was handed on. The caller sends the booking again through another instance.
-// The service's own count shows that no sitter is booked twice.
+// An instance is killed during a booking: before the claim is stored, while the
+// service runs the call, before the answer is recorded, or after it was sent. The
+// caller sends the booking again through another instance. The service's count
+// shows that it never runs twice.
 #[rstest]
 #[case::claiming(Step::Claiming)]
 #[case::running(Step::Running)]
@@ -115,8 +116,8 @@
     assert!(runs(&world) <= 1, "{step:?}: booked twice");
 }
 
-// The store takes a claim and its answer is lost, again and again. Whoever
-// took that for a failure would either never run the booking or run it twice.
+// The store accepts a claim but its answers are lost repeatedly. An instance that
+// took this for a failure would either never run the booking or run it twice.
 #[test]
 fn booking_lost_answers_runs_once() {
     let world = World::new();
@@ -146,8 +147,8 @@
     assert_eq!(runs(&world), 1);
 }
 
-// Another booking under a key that was used: answering it with the first one's
-// confirmation would leave a family without a sitter.
+// Another booking is sent under a key that was already used. Replaying the first
+// answer would confirm a booking that was never made.
 #[test]
 fn booking_other_body_is_refused() {
     let world = World::new();
@@ -162,8 +163,9 @@
     assert_eq!(runs(&world), 1);
 }
 
-// A client without an idempotency key times out and sends its booking again:
-// nothing could tell the two apart, so it is told at once what is missing.
+// A client without an idempotency key times out and sends its booking again. A
+// resent call could not be told from a new one, so a call without a key is refused
+// at once.
 #[test]
 fn booking_without_key_is_refused() {
     let world = World::new();
@@ -176,8 +178,8 @@
     assert_eq!(runs(&world), 0);
 }
 
-// The store cannot be reached: a booking waits, since it may return, and is
-// then truly refused. The same key works once the store is back.
+// The store is unavailable: a booking waits, as the store may return, and is then
+// refused as not run. The same key works once the store is back.
 #[test]
 fn booking_store_out_is_not_run() {
     let world = World::new();
--- a/crates/node/tests/all/engine.rs
+++ b/crates/node/tests/all/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's client against the engine's stand-in.
+//! The engine client against the stand-in of an engine.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reads to the end or the first failure; appends the texts.
+/// Reads to the end or the first failure; appends the text of each part.
 fn read(stream: &mut engine::Stream, text: &mut String) -> Result<(), Failure> {
     loop {
         match stream.next_event()? {
@@ -45,9 +45,9 @@
     stream.finish();
 }
 
-// Two callers' answers are swapped on their way back. Each would read a reply
-// that was meant for someone else, and so would whoever uses the connection
-// next: the answer is dropped, and the connection with it.
+// The answers of two requests are swapped. Each caller would receive the other
+// one's answer, and so would the next request on the connection. So the answer is
+// dropped and the connection closed.
 #[test]
 fn crossed_answer_closes_its_connection() {
     let runtime = Runtime::new().expect("a runtime");
@@ -82,7 +82,7 @@
     let mut text = String::new();
     let cut = read(&mut stream, &mut text);
     assert!(matches!(cut, Err(Failure::Cut(_))), "{cut:?}");
-    // A cut may lose what was on its way: the engine sent two events.
+    // A cut may lose events in transit: the engine sent two.
     let position = stream.position();
     assert!(position <= 2, "{position}");
     engine.cut_after(0);
--- a/crates/node/tests/all/input.rs
+++ b/crates/node/tests/all/input.rs
@@ -1,4 +1,5 @@
-//! Bad input: each a typed error, counted, nothing run, others unaffected.
+//! Invalid input: each case gets a typed error and is counted, nothing runs, and
+//! other callers are unaffected.
 
 use std::io::{Read as _, Write as _};
 use std::net::{Shutdown, TcpStream};
@@ -10,15 +11,15 @@
 
 use crate::support::{KEY, Process, World, client};
 
-/// Limits under which a test need not wait long.
+/// Limits that are low enough for short tests.
 const LIMITS: &str = "drain_lag_ms: 0, body_bytes: 10000, header_timeout_ms: 300, \
                       body_timeout_ms: 300";
-/// Time within which a socket must be answered.
-const ANSWER: Duration = Duration::from_secs(10);
+/// Time within which a socket must get an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const CHAT: &str = "/v1/chat/completions";
 const GOOD: &str = r#"{"model": "auto:chat-reply", "messages": [], "max_tokens": 2}"#;
 
-/// A request as it stands on the wire.
+/// A request in its wire format.
 struct Raw {
     head: String,
     body: String,
@@ -59,14 +60,16 @@
 fn connect(process: &Process) -> TcpStream {
     let address = process.callers.trim_start_matches("http://");
     let socket = TcpStream::connect(address).expect("a connection");
-    socket.set_read_timeout(Some(ANSWER)).expect("a time-out");
+    socket
+        .set_read_timeout(Some(ANSWER_TIMEOUT))
+        .expect("a time-out");
     socket
 }
 
-/// Sends bytes and reads all that comes until the other side closes.
+/// Sends bytes and reads until the other side closes the connection.
 fn exchange(process: &Process, bytes: &[u8], half_close: bool) -> String {
     let mut socket = connect(process);
-    // A refusal may come before everything is sent.
+    // A refusal may arrive before everything is sent.
     let _ = socket.write_all(bytes);
     if half_close {
         socket.shutdown(Shutdown::Write).expect("half closed");
@@ -100,8 +103,8 @@
     Raw::new("POST", CHAT).with_key(KEY).with_body(body)
 }
 
-// Whatever a broken or hostile client sends, it reads what was wrong and that
-// nothing was run, operators see it counted, and other callers notice nothing.
+// Whatever a faulty or hostile client sends, the reply says what was wrong and
+// that nothing was run, the error is counted, and other callers are unaffected.
 #[rstest]
 #[case::wrong_json(chat("{\"model\": "), 400, "invalid_request")]
 #[case::no_model(chat("{\"messages\": []}"), 400, "invalid_request")]
@@ -141,8 +144,8 @@
     assert_unharmed(&world, &process);
 }
 
-// A client that is broken below the request: it never ends its headers, or its
-// body, or closes its sending half in the middle of it.
+// A client never ends its headers or its body, or closes its sending half in the
+// middle of the body.
 #[rstest]
 #[case::slow_headers(
     "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\n",
@@ -170,8 +173,8 @@
     assert_unharmed(&world, &process);
 }
 
-// Heads that are no HTTP, or too large, end in a bare status: the library that
-// reads them answers before any code of ours runs.
+// A head that is not HTTP, or too large, gets a bare status, because hyper answers
+// it before any code of this project runs.
 #[rstest]
 #[case::no_http(b"hello\r\n\r\n".to_vec(), "400")]
 #[case::two_lengths(b"POST / HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n".to_vec(), "400")]
@@ -201,7 +204,7 @@
     let process = world.start("entry-0");
     body["model"] = "auto:chat-reply".into();
     body["max_tokens"] = 3.into();
-    // An engine knows more fields than the router does.
+    // Engines accept fields that the router does not know.
     body["a_field_of_the_engine"] = json!({"x": 1});
     let answer = ask(&process, path, &body);
     let answer: Value = serde_json::from_str(&answer).expect("JSON");
@@ -215,7 +218,7 @@
     assert_eq!(answer["usage"]["completion_tokens"], 3);
 }
 
-// An ordinary client adds up the parts of a stream, and fails on an event
+// An ordinary client concatenates the parts of a stream. It fails on an event
 // without choices unless it asked for the usage.
 #[rstest]
 #[case::chat_with_usage(CHAT, Some(true))]
@@ -223,7 +226,7 @@
 #[case::chat_refused(CHAT, Some(false))]
 #[case::text_with_usage("/v1/completions", Some(true))]
 #[case::text_without("/v1/completions", None)]
-fn stream_tells_usage_only_if_asked(#[case] path: &str, #[case] asked: Option<bool>) {
+fn stream_reports_usage_only_if_asked(#[case] path: &str, #[case] asked: Option<bool>) {
     let world = World::new();
     let process = world.start("entry-0");
     let mut body = json!({
@@ -265,7 +268,7 @@
     text
 }
 
-// Health checkers ask with HEAD, browsers with OPTIONS.
+// Health checkers use HEAD, browsers OPTIONS.
 #[test]
 fn head_and_options_are_answered() {
     let world = World::new();
@@ -284,9 +287,10 @@
     assert!(answer.contains("allow: POST, OPTIONS"), "{answer}");
 }
 
-// One organisation's list and refusals must not tell what others use.
+// The model list and the refusals of one organisation must not reveal the models
+// of others.
 #[test]
-fn models_of_others_are_not_told() {
+fn models_of_others_are_not_revealed() {
     let world = World::new();
     let process = world.start("entry-0");
     let get = Raw::new("GET", "/v1/models")
--- a/crates/node/tests/all/load.rs
+++ b/crates/node/tests/all/load.rs
@@ -1,13 +1,13 @@
-//! Decisions under load, through a real process.
+//! Admission and retries under load, in a real process.
 
 use fescuerack_wire::header;
 use serde_json::json;
 
 use crate::support::{KEY, World, client};
 
-// An engine is retired and refuses new work, while the instance list goes on
-// showing it as live. Callers see nothing of it: what it refuses has not run
-// and goes to another engine, outside the retry budget.
+// A retired engine refuses new work while the instance list still shows it as
+// live. Callers must not notice: a refused request has not run and goes to another
+// engine, outside the retry budget.
 #[test]
 fn chat_server_that_leaves_gets_no_new_work() {
     let world = World::new();
@@ -31,8 +31,8 @@
     assert_eq!(process.counter("attempts.retry_denied"), 0);
 }
 
-// A caller gives a deadline that has all but passed while every place is taken.
-// The answer comes at once, says that nothing ran and when to come back.
+// A request arrives with a deadline that is too short while every place is taken.
+// It is refused at once, as not run and with a time to retry.
 #[test]
 fn chat_too_late_is_refused_as_not_run() {
     let mut world = World::new();
--- a/crates/node/tests/all/path.rs
+++ b/crates/node/tests/all/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: callers, instance, backend servers, ledger.
+//! Requests along the whole path: caller, instance, backend servers, ledger.
 
 use std::io::{BufRead as _, BufReader};
 
@@ -69,9 +69,9 @@
     assert_eq!(entries[0].output_tokens, 8);
 }
 
-// A coordinator's client loses the answer to a booking and sends it again,
-// through the other instance. The sitter must not be booked twice, so the
-// second answer is the recorded one.
+// A client loses the answer to a booking and sends it again through the other
+// instance. The booking must not run twice, so the second answer is the recorded
+// one.
 #[test]
 fn booking_sent_again_runs_once() {
     let world = World::new();
--- a/crates/node/tests/all/stream.rs
+++ b/crates/node/tests/all/stream.rs
@@ -1,4 +1,4 @@
-//! Streams that are cut, crossed, left or read slowly.
+//! Streams that are cut, swapped, abandoned or read slowly.
 
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
 use std::net::TcpStream;
@@ -10,7 +10,7 @@
 
 use crate::support::{KEY, Process, World, client, wait_until};
 
-/// What a caller read of a streamed answer.
+/// What a caller received of a streamed answer.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Read {
     text: String,
@@ -66,9 +66,8 @@
     ledger::read(&store).expect("the ledger is readable").len()
 }
 
-// A parent reads a reply while the connection to the engine breaks again and
-// again. The engine still has the answer, so the parent reads all of it, each
-// word once.
+// The connection to the engine breaks repeatedly while an answer is streamed. The
+// engine still has the answer, so the caller receives all of it, each word once.
 #[rstest]
 #[case::streamed(true)]
 #[case::whole(false)]
@@ -91,9 +90,9 @@
     assert_eq!(started, 1, "resumed, not run again");
 }
 
-// The engine has forgotten the attempt. A parent who has read half a sentence
-// must not read another answer's other half, nor take half a sentence for the
-// whole: the stream ends with an error and a broken connection.
+// The stream breaks and the engine no longer has the attempt. The caller must
+// neither receive the rest of another answer nor take the part for a complete
+// one: the stream ends with an error and a broken connection.
 #[test]
 fn cut_stream_without_resume_ends_in_error() {
     let world = World::new();
@@ -109,9 +108,9 @@
     assert_eq!(process.counter("callers.cut"), 1);
 }
 
-// One engine cuts every answer and forgets them; a coordinator waits for a
-// whole summary, of which nothing has been handed on. It is run again
-// elsewhere, and billed once.
+// One engine cuts every answer and forgets its attempts. Nothing of an answer
+// that is not streamed has been sent, so it runs again on another engine and is
+// billed once.
 #[test]
 fn cut_whole_answer_runs_elsewhere() {
     let world = World::new();
@@ -130,8 +129,8 @@
     assert_eq!(billed(&world), 6);
 }
 
-// Two engines' answers arrive crossed: each belongs to another request. A
-// parent must never read someone else's reply.
+// Two engines swap their answers, so that each belongs to another request. A
+// caller must never receive the answer to another one's request.
 #[test]
 fn crossed_answer_is_dropped_and_run_elsewhere() {
     let world = World::new();
@@ -145,9 +144,9 @@
     });
 }
 
-// A parent closes the app while a long answer is thought about: no token has
-// come yet, or none comes for long. The engine must hear of it at once, not
-// when it writes the next token.
+// A caller disconnects before the first token, or while no token is generated for
+// a long time. The attempt must be cancelled at the engine at once, not when the
+// engine writes its next token.
 #[rstest]
 #[case::before_first_token(0)]
 #[case::between_tokens(1)]
@@ -199,9 +198,9 @@
     socket
 }
 
-// A phone in a tunnel stops reading in the middle of a very long answer. It
-// must not hold memory without bound, nor a place for ever, and others must
-// be answered meanwhile.
+// A caller stops reading in the middle of a very long answer, for instance a
+// phone without reception. It must not use unbounded memory nor hold its place
+// for ever, and other callers must be answered meanwhile.
 #[test]
 fn slow_reader_is_bounded_and_given_up() {
     const TOKENS: u64 = 200_000;
@@ -216,7 +215,7 @@
     let quick = read(&process, 4);
     assert!(quick.done);
     process.wait_for("callers.slow_reader", 1);
-    // The answer has more than 20 MB; what waits of it is bounded.
+    // The answer has more than 20 MB; what is buffered of it is bounded.
     let grown = process.resident_kb().saturating_sub(before);
     println!("grew by {grown} KB");
     assert!(grown < 16 << 10, "grew by {grown} KB");
@@ -224,7 +223,7 @@
         process.state()["admission"]["running"] == 0
     });
     let mut rest = Vec::new();
-    // A reset or a body without its last chunk: no clean end either way.
+    // The stream ends by a reset or without the last chunk of the body.
     let read = slow.read_to_end(&mut rest);
     assert!(read.is_err() || !rest.ends_with(b"0\r\n\r\n"));
 }
--- a/crates/node/tests/all/versions.rs
+++ b/crates/node/tests/all/versions.rs
@@ -1,5 +1,5 @@
-//! Versions through real processes: sessions, cascades, roll-outs, requests
-//! that crash servers.
+//! Choice of versions in real processes: sessions, cascades, roll-outs, and
+//! requests that crash servers.
 
 use std::io::Read as _;
 use std::net::TcpListener;
@@ -16,20 +16,23 @@
 
 use crate::support::{KEY, Process, World, client, wait_until};
 
+/// The cheap version; current one of its model's roll-out.
 const CHEAP: &str = "kaisla-mini@1";
-const NEXT: &str = "kaisla-mini@2";
-const DEAR: &str = "kaisla-max@1";
+/// The candidate of the roll-out.
+const CANDIDATE: &str = "kaisla-mini@2";
+/// The more expensive version, of another model.
+const EXPENSIVE: &str = "kaisla-max@1";
 
 type Response = ureq::http::Response<ureq::Body>;
 
-/// Puts the example in force with another file of roll-outs, and another state
-/// of the next version.
-fn publish(world: &World, rollouts: &str, next: &str) -> u64 {
+/// Publishes the example configuration with other roll-outs and another state of
+/// the candidate.
+fn publish(world: &World, rollouts: &str, candidate_state: &str) -> u64 {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/hoivapolku");
     let folder = Folder::read(&root).expect("the example is readable");
     let models = String::from_utf8(folder.files["10-models.yaml"].to_vec()).expect("text");
-    let state = format!("  {NEXT}:\n    state: {next}\n");
-    let models = models.replace(&format!("  {NEXT}:\n"), &state);
+    let state = format!("  {CANDIDATE}:\n    state: {candidate_state}\n");
+    let models = models.replace(&format!("  {CANDIDATE}:\n"), &state);
     let folder = folder
         .with_file("10-models.yaml", models)
         .with_file("40-rollouts.yaml", rollouts.to_owned());
@@ -39,18 +42,18 @@
 
 fn rollout(word: u64, stage: usize) -> String {
     format!(
-        "rollouts:\n  kaisla-mini: {{current: {CHEAP}, candidate: {NEXT}, stage: {stage}, \
+        "rollouts:\n  kaisla-mini: {{current: {CHEAP}, candidate: {CANDIDATE}, stage: {stage}, \
          word: {word}}}\n"
     )
 }
 
-fn in_force(process: &Process, revision: u64) {
-    wait_until("the configuration is in force", || {
+fn wait_until_active(process: &Process, revision: u64) {
+    wait_until("the configuration is active", || {
         process.state()["configuration"]["revision"] == revision
     });
 }
 
-/// Lists two instances and waits until both have heard the other.
+/// Lists two instances and waits until each has received a message of the other.
 fn introduce(world: &World, first: &Process, second: &Process) {
     for process in [first, second] {
         world.platform.list(Instance {
@@ -62,14 +65,14 @@
         });
     }
     for process in [first, second] {
-        wait_until("the instances hear each other", || {
+        wait_until("the instances have exchanged messages", || {
             process.state()["member"]["instances"][0]["heard_ms_ago"].is_number()
         });
     }
 }
 
-fn informed(process: &Process) {
-    wait_until("the records of roll-outs are known", || {
+fn wait_until_informed(process: &Process) {
+    wait_until("the roll-out records have been read", || {
         process.state()["versions"]["informed"] == true
     });
 }
@@ -97,9 +100,9 @@
     value.map_or("", |value| value.to_str().expect("text"))
 }
 
-// A parent chats while a roll-out goes from 1% to 100%. The chat stays on its
-// version, also through another instance. Then that version is withdrawn: the
-// chat moves once and is told so.
+// A roll-out goes from 1% to 100% during a session. The session stays on its
+// version, also through another instance. When its version is withdrawn, a
+// session moves once and the reply says so.
 #[test]
 fn session_with_token_keeps_its_version_until_withdrawn() {
     let world = World::new();
@@ -109,29 +112,29 @@
     assert_eq!(read(&answer, header::VERSION), CHEAP);
     let token = read(&answer, header::SESSION_TOKEN).to_owned();
     let revision = publish(&world, &rollout(1, 4), "open");
-    in_force(&second, revision);
-    informed(&second);
+    wait_until_active(&second, revision);
+    wait_until_informed(&second);
     let fresh = ask(&second, "kaisla-mini", Some(("family-2", "")));
-    assert_eq!(read(&fresh, header::VERSION), NEXT);
+    assert_eq!(read(&fresh, header::VERSION), CANDIDATE);
     let kept = ask(&second, "kaisla-mini", Some(("family-1", &token)));
     assert_eq!(read(&kept, header::VERSION), CHEAP);
     let stolen = ask(&second, "kaisla-mini", Some(("family-3", &token)));
-    assert_eq!(read(&stolen, header::VERSION), NEXT);
+    assert_eq!(read(&stolen, header::VERSION), CANDIDATE);
 
     let token = read(&fresh, header::SESSION_TOKEN).to_owned();
     let revision = publish(&world, &rollout(1, 4), "withdrawn");
-    in_force(&first, revision);
+    wait_until_active(&first, revision);
     let moved = ask(&first, "kaisla-mini", Some(("family-2", &token)));
     assert_eq!(read(&moved, header::VERSION), CHEAP);
-    assert_eq!(read(&moved, header::SESSION_MOVED), NEXT);
+    assert_eq!(read(&moved, header::SESSION_MOVED), CANDIDATE);
     let token = read(&moved, header::SESSION_TOKEN).to_owned();
     let again = ask(&first, "kaisla-mini", Some(("family-2", &token)));
     assert_eq!(read(&again, header::SESSION_MOVED), "");
 }
 
-// A shortlist is drafted by the cheap version. Good drafts are handed on; a
-// bad one is replaced by the dear version's, and both are billed as one. With
-// the rating service down nobody can tell, so the dear version answers.
+// A cascade asks the cheap version first. A good answer is sent to the caller; a
+// bad one is replaced by the expensive version's, and both are billed as one.
+// While the rating service is down, the expensive version answers.
 #[test]
 fn cascade_bad_answer_is_escalated_and_billed_once() {
     let world = World::new();
@@ -142,7 +145,7 @@
     assert_eq!(read(&good, header::VERSION), CHEAP);
     world.platform.rate(CHEAP, 0.1);
     let mut bad = ask(&process, "auto:shortlist", None);
-    assert_eq!(read(&bad, header::VERSION), DEAR);
+    assert_eq!(read(&bad, header::VERSION), EXPENSIVE);
     let completion: chat::Completion = bad.body_mut().read_json().expect("a completion");
     let usage = completion.usage.expect("usage");
     let cost = |input: u64, output: u64| {
@@ -152,13 +155,13 @@
     assert_eq!(read(&bad, header::COST), both.to_string());
     world.platform.rating_faults().set(Fault::Down, 1);
     let unrated = ask(&process, "auto:shortlist", None);
-    assert_eq!(read(&unrated, header::VERSION), DEAR);
+    assert_eq!(read(&unrated, header::VERSION), EXPENSIVE);
 }
 
-// At night the candidate turns bad while the store is down. The instance that
-// serves it stops giving it new work, also to its sessions, and the other one
-// hears of it. When the store is back the halt is kept there, and an instance
-// that starts afterwards knows it.
+// The candidate's answers become bad while the store is down. The instance that
+// detects it halts the candidate, also for its sessions, and the other instance
+// receives the halt. When the store is back, the halt is stored, and an instance
+// that starts later reads it.
 #[test]
 fn rollout_bad_candidate_is_halted_everywhere_without_the_store() {
     let world = World::new();
@@ -166,40 +169,42 @@
     let first = world.start("entry-0");
     let second = world.start("entry-1");
     introduce(&world, &first, &second);
-    informed(&first);
-    informed(&second);
+    wait_until_informed(&first);
+    wait_until_informed(&second);
     world.platform.store_faults().set(Fault::Down, 1);
-    world.platform.rate(NEXT, 0.1);
+    world.platform.rate(CANDIDATE, 0.1);
     let verdict = |process: &Process| {
         process.state()["versions"]["rollouts"]["kaisla-mini"]["verdict"].clone()
     };
     let halted = |process: &Process| {
         let state = process.state();
         let record = &state["versions"]["rollouts"]["kaisla-mini"]["record"];
-        record["halts"][NEXT]["word"] == 1
+        record["halts"][CANDIDATE]["word"] == 1
     };
     wait_until("the first instance halts the candidate", || {
         ask(&first, "auto:chat-reply", None);
         halted(&first)
     });
     assert_eq!(verdict(&first), json!({"halt": "ratings"}));
-    wait_until("the second instance hears of it", || halted(&second));
+    wait_until("the second instance receives the halt", || halted(&second));
     for _ in 0..8 {
         let answer = ask(&second, "kaisla-mini", None);
         assert_eq!(read(&answer, header::VERSION), CHEAP);
     }
-    assert_eq!(ask(&second, NEXT, None).status(), 503);
+    assert_eq!(ask(&second, CANDIDATE, None).status(), 503);
     world.platform.store_faults().set(Fault::Down, 0);
-    wait_until("the halt is kept", || {
+    wait_until("the halt is stored", || {
         first.counter("rollouts.kept") > 0 || second.counter("rollouts.kept") > 0
     });
     drop(first);
     let third = world.start("entry-2");
-    wait_until("an instance that starts later knows it", || halted(&third));
+    wait_until("an instance that starts later reads the halt", || {
+        halted(&third)
+    });
 }
 
-/// An engine that ends for good with the first request that it is sent.
-fn mortal(crashed: &Arc<AtomicU32>) -> String {
+/// Starts an engine that crashes for good on the first request that it receives.
+fn crashing_engine(crashed: &Arc<AtomicU32>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let crashed = Arc::clone(crashed);
@@ -209,7 +214,8 @@
             let read = stream.read(&mut head).unwrap_or(0);
             if head[..read].starts_with(b"POST") {
                 crashed.fetch_add(1, Ordering::SeqCst);
-                // The caller sees the break while the port still listens.
+                // The router sees the broken connection while the port still
+                // listens.
                 drop(stream);
                 std::thread::sleep(std::time::Duration::from_millis(10));
                 return;
@@ -219,9 +225,8 @@
     address
 }
 
-// One request kills every engine that runs it, and its caller sends it again
-// and again through two instances. Two engines are lost, not all six; another
-// request is still answered.
+// A request crashes every engine that runs it, and its caller sends it repeatedly
+// through two instances. Only two of the six engines may crash.
 #[test]
 fn poison_sent_again_costs_two_servers() {
     let mut world = World::new();
@@ -235,7 +240,7 @@
             id: format!("mortal-{index}"),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
-            address: mortal(&crashed),
+            address: crashing_engine(&crashed),
             state: State::Live,
         });
     }
@@ -243,7 +248,7 @@
     let second = world.start("entry-1");
     introduce(&world, &first, &second);
     assert_eq!(ask(&first, "kaisla-mini", None).status(), 502);
-    wait_until("the second instance hears of it", || {
+    wait_until("the second instance receives the suspicion", || {
         let state = second.state();
         let known = state["versions"]["suspects"]["known"].as_object();
         known.is_some_and(|known| !known.is_empty())
