--- /dev/null
+++ b/crates/gateway/src/load_report.rs
@@ -0,0 +1,220 @@
+//! Exchange of load and of attempt counts with the peers, through hubs.
+//!
+//! [`load`] describes how hubs aggregate the reports, and
+//! [`outlier`](fescuerack_core::routed::outlier) what the attempt counts are used for.
+
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use fescuerack_core::routed::load::{self, Duty, Hub, Table};
+use fescuerack_core::routed::outlier::AttemptCounts;
+use serde::{Deserialize, Serialize};
+
+use crate::clock::now;
+use crate::message;
+use crate::node::Node;
+
+/// Path on which a hub receives the reports of the nodes of its group.
+pub const MEMBER_PATH: &str = "/load";
+/// Path on which the top receives the reports of the hubs.
+pub const GROUP_PATH: &str = "/load/group";
+
+/// Values of a node or a group, by backend server.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct Tables {
+    /// Load.
+    load: Table,
+    /// Packed counts of the attempts that ended within the window.
+    #[serde(default, rename = "ends")]
+    attempts: Table,
+}
+
+/// The report of a node to its hub, or of a hub to the top.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct Report {
+    /// Name of the reporting node.
+    node: String,
+    tables: Tables,
+}
+
+/// Reports that a node has received as a hub or as the top.
+#[derive(Clone, Debug, Default)]
+pub struct Aggregator {
+    load: Hub,
+    attempts: Hub,
+}
+
+impl Aggregator {
+    /// Records the report of a node and returns the sum of all others.
+    fn receive_report(&mut self, report: Report) -> Tables {
+        Tables {
+            load: self.load.report(now(), &report.node, report.tables.load),
+            attempts: self
+                .attempts
+                .report(now(), &report.node, report.tables.attempts),
+        }
+    }
+
+    /// Returns the sum of the group, to be reported to the top.
+    fn group_sum(&mut self) -> Tables {
+        Tables {
+            load: self.load.group_sum(now()),
+            attempts: self.attempts.group_sum(now()),
+        }
+    }
+
+    /// Records the sum of the other groups.
+    fn receive_other_groups(&mut self, other_groups: Tables) {
+        self.load.receive(now(), other_groups.load);
+        self.attempts.receive(now(), other_groups.attempts);
+    }
+}
+
+/// Role of this node, with the address of the node that it reports to.
+enum Role {
+    Member(SocketAddr),
+    Hub(SocketAddr),
+    Top,
+}
+
+/// Reports to the hub or to the top until the process ends.
+pub async fn run(node: Rc<Node>) {
+    let mut was_idle = true;
+    loop {
+        tokio::time::sleep(Duration::from_millis(load::REPORT_INTERVAL_MS)).await;
+        let tables = local_tables(&node);
+        let role = role(&node);
+        // The first report after the last request is sent, so that the hub records that nothing is
+        // running any more. A hub always reports, since its group may have load.
+        let is_empty = tables.load.is_empty() && tables.attempts.is_empty();
+        let is_idle = is_empty && matches!(role, Role::Member(_));
+        if is_idle && was_idle {
+            continue;
+        }
+        was_idle = is_idle;
+        let report = Report {
+            node: node.settings.borrow().instance.clone(),
+            tables,
+        };
+        match role {
+            Role::Member(hub) => {
+                if let Some(others) = send(&node, hub, MEMBER_PATH, &report).await {
+                    apply_peer_sums(&node, &others);
+                }
+            }
+            Role::Hub(top) => {
+                apply_peer_sums(&node, &receive_member_report(&node, report));
+                let group = group_report(&node);
+                if let Some(other_groups) = send(&node, top, GROUP_PATH, &group).await {
+                    node.hub.borrow_mut().receive_other_groups(other_groups);
+                }
+            }
+            Role::Top => {
+                apply_peer_sums(&node, &receive_member_report(&node, report));
+                let other_groups = receive_group_report(&node, group_report(&node));
+                node.hub.borrow_mut().receive_other_groups(other_groups);
+            }
+        }
+    }
+}
+
+fn local_tables(node: &Node) -> Tables {
+    Tables {
+        load: local_load(node),
+        attempts: node.attempt_counts.borrow_mut().table(now()),
+    }
+}
+
+/// Applies the sums of all peers: records their load and runs outlier detection.
+fn apply_peer_sums(node: &Node, peers: &Tables) {
+    node.peer_load.borrow_mut().receive(now(), &peers.load);
+    let local = node.attempt_counts.borrow_mut().table(now());
+    let mut sums: HashMap<u32, u32> = HashMap::new();
+    for &(server, counts) in local.iter().chain(&peers.attempts) {
+        let sum = sums.entry(server).or_default();
+        *sum = sum.saturating_add(counts);
+    }
+    let counts = sums.into_iter();
+    let counts = counts.map(|(server, counts)| (server, AttemptCounts::unpack(counts)));
+    detect_outliers(node, &counts.collect());
+}
+
+/// Ejects the servers that fail more often than the others of their service and version.
+///
+/// A canary version is evaluated by [`rollout`](crate::rollout): if its only loaded server were
+/// ejected here, it would no longer show how it behaves under load.
+fn detect_outliers(node: &Node, counts: &HashMap<u32, AttemptCounts>) {
+    let view = node.view.borrow();
+    // The maps are ordered, so that all nodes choose the same servers if not all can be ejected.
+    let mut groups: BTreeMap<(&str, &str), BTreeMap<u32, &str>> = BTreeMap::new();
+    for server in view.servers.values() {
+        let entry = &server.entry;
+        let group = groups.entry((&entry.service, &entry.version)).or_default();
+        group.insert(load::short_id(server.identity), &server.entry.id);
+    }
+    for ((service, version), names) in groups {
+        let servers: Vec<u32> = names.keys().copied().collect();
+        for server in node.outliers.borrow_mut().detect(now(), &servers, counts) {
+            tracing::warn!(
+                event = "server-left-out-by-all",
+                server = names[&server],
+                service,
+                version,
+                failed = counts[&server].failed,
+                of = counts[&server].all
+            );
+        }
+    }
+}
+
+fn local_load(node: &Node) -> Table {
+    let view = node.view.borrow();
+    let busy = view.servers.values().filter(|server| server.work > 0.0);
+    busy.map(|server| {
+        (
+            load::short_id(server.identity),
+            load::hundredths(server.work),
+        )
+    })
+    .collect()
+}
+
+fn group_report(node: &Node) -> Report {
+    Report {
+        node: node.settings.borrow().instance.clone(),
+        tables: node.hub.borrow_mut().group_sum(),
+    }
+}
+
+fn role(node: &Node) -> Role {
+    let view = node.view.borrow();
+    let settings = node.settings.borrow();
+    let nodes: Vec<_> = view.instances().collect();
+    match load::duty(&settings.instance, &nodes) {
+        Duty::Member(hub) => Role::Member(view.nodes[hub].address),
+        Duty::Hub(top) => Role::Hub(view.nodes[top].address),
+        Duty::Top => Role::Top,
+    }
+}
+
+async fn send(node: &Node, address: SocketAddr, path: &str, report: &Report) -> Option<Tables> {
+    match message::send(node, address, path, report, message::HEAD_TIMEOUT).await {
+        Ok(tables) => Some(tables),
+        Err(error) => {
+            tracing::info!(event = "hub-failed", peer = %address, path, reason = %error);
+            None
+        }
+    }
+}
+
+/// Records, as a hub, the report of a node of the group and returns the sum of all other nodes.
+pub fn receive_member_report(node: &Node, report: Report) -> Tables {
+    node.hub.borrow_mut().receive_report(report)
+}
+
+/// Records, as the top, the report of a hub and returns the sum of the other groups.
+pub fn receive_group_report(node: &Node, report: Report) -> Tables {
+    node.top.borrow_mut().receive_report(report)
+}
