--- a/crates/gateway/src/apply.rs
+++ b/crates/gateway/src/apply.rs
@@ -1,12 +1,14 @@
-//! Bringing what was heard in force, and telling that it is.
+//! Application of received items to the view, and publication of the result.
 
 use crate::clock::now;
 use crate::node::Node;
 use crate::offload;
 use crate::platform::Item;
 
-/// Takes in items, the small ones at once. Whoever follows them sets the revision afterwards: a
-/// node that follows this one would else go on without the large ones.
+/// Applies items, the small ones first and at once.
+///
+/// Callers that follow the store set the revision of the view only afterwards: otherwise nodes that
+/// follow this one would continue without the large items.
 pub async fn apply_items(node: &Node, items: &[Item]) {
     let (large, small): (Vec<&Item>, Vec<&Item>) =
         items.iter().partition(|item| offload::is_needed(item));
@@ -15,24 +17,24 @@
         view.apply(now(), &*node.platform, item);
     }
     for item in large {
-        take_large(node, item.clone()).await;
+        apply_offloaded(node, item.clone()).await;
     }
 }
 
-/// Takes in an item that is decoded apart.
-async fn take_large(node: &Node, item: Item) {
+/// Decodes an item on another thread and applies it.
+async fn apply_offloaded(node: &Node, item: Item) {
     if let Some(decoded) = offload::decode(node, item).await {
         let mut view = node.view.borrow_mut();
         view.apply_change(now(), &decoded.item, decoded.change);
     }
 }
 
-/// Brings the gauges and those who ask this node up to what is in force.
+/// Updates the gauges, and wakes the polls of nodes that follow this one, to the state of the view.
 pub fn publish_view(node: &Node) {
     for address in node.view.borrow_mut().take_restarted() {
         node.pool.forget(address);
     }
-    note_ages(node);
+    observe_ages(node);
     let view = node.view.borrow();
     node.followed_revision.send_replace(view.revision);
     let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
@@ -45,19 +47,20 @@
         .set(i64::try_from(view.node_count()).unwrap_or(i64::MAX));
 }
 
-/// Counts how old what came in force is; of what a node reads when it starts that is not known.
-fn note_ages(node: &Node) {
-    let fresh = node.view.borrow_mut().take_activated();
+/// Observes the age of each change that became active. The age of what a node reads at its start is
+/// unknown and not observed.
+fn observe_ages(node: &Node) {
+    let activated = node.view.borrow_mut().take_activated();
     let arrivals = node.arrivals.borrow();
-    for (sort, revision) in fresh {
-        let Some(came) = arrivals.at(revision) else {
+    for (kind, revision) in activated {
+        let Some(arrived) = arrivals.at(revision) else {
             continue;
         };
-        let age = now().since(came).as_secs_f64();
+        let age = now().since(arrived).as_secs_f64();
         let ages = node
             .metrics
             .change_age_seconds
-            .with_label_values(&[sort.name()]);
+            .with_label_values(&[kind.name()]);
         ages.observe(age);
     }
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,12 +1,12 @@
-//! Following the store: one read of everything, then one waiting call at a time.
+//! Replication of the store: one full read, then one watch call at a time.
 //!
-//! A burst of changes is one call, since after a change the node pauses for
-//! a quarter of a second before it asks again. While the store does not answer, the node
-//! goes on with what it knows and asks a peer for what is newer.
+//! A burst of changes costs one call, since after a change the node waits for a quarter of a second
+//! before the next watch. While the store does not answer, the node continues with its current view
+//! and asks a peer for newer items.
 //!
-//! In a region with large availability zones two nodes watch, hubs of the zones ask these and the
-//! others their hubs ([`watcher`]); a node that finds none of those that it asks fresh
-//! watches for itself.
+//! In a region with large availability zones only two nodes watch the store. The hubs of the zones
+//! poll these watchers, and the other nodes poll their hubs ([`watcher`]). A node for which none of
+//! them is fresh watches the store itself.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,39 +23,39 @@
 use crate::offload::{self, Decoded};
 use crate::peer;
 use crate::platform::{Item, Page, StoreRequest, StoreResponse};
-use crate::source::{self, Failed, Source};
+use crate::source::{self, FailedWatchers, Source};
 use crate::store::Fault;
 use crate::updates::{self, Updates};
 
-/// Milliseconds that a watch waits. A watch on a connection that went silent is
-/// given up a second later, so this bounds how long a node can be deaf; changes
-/// must be in force within some seconds.
-const WAIT_MS: u64 = 3_000;
-/// Milliseconds for which changes gather before the next watch.
-const GATHER_MS: u64 = 250;
-/// Milliseconds that a watch waits while the store is away. A long wait on a store
-/// that does not answer is given up only seconds later, and a node that began one
-/// just before the store returned would learn of nothing meanwhile.
-const PROBE_MS: u64 = 50;
-/// Milliseconds between tries while the store is away.
-const RETRY_MS: u64 = 350;
-/// Everything in the store concerns the gateway.
-const ALL: &str = "";
+/// Milliseconds that a watch waits at the store. A watch on a dead connection times out one second
+/// after that, so this bounds how long a node can miss changes; they must become active within some
+/// seconds.
+const WATCH_WAIT_MS: u64 = 3_000;
+/// Milliseconds for which changes accumulate before the next watch.
+const BATCH_MS: u64 = 250;
+/// Milliseconds that a watch waits at the store during an outage. A long watch of a store that does
+/// not answer times out only seconds later, and a node that started one just before the end of the
+/// outage would receive nothing in the meantime.
+const OUTAGE_WATCH_WAIT_MS: u64 = 50;
+/// Mean of the milliseconds between two calls during an outage.
+const RETRY_DELAY_MS: u64 = 350;
+/// Prefix of the keys that are read and watched: all of the store concerns the gateway.
+const ALL_KEYS: &str = "";
 
-/// How a step of following ended.
+/// Result of a watch or poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// The node goes on from its revision.
-    On,
-    /// The history that it would go on from is gone.
-    Gone,
+    /// The node continues from its revision.
+    Continue,
+    /// The store no longer keeps the history after the node's revision; a full read is needed.
+    HistoryGone,
 }
 
-/// Follows the store until the process ends.
+/// Replicates the store until the process ends.
 pub async fn run(node: Rc<Node>) {
     let mut has_read = false;
-    let mut own_until = now();
-    let mut failed = Failed::default();
+    let mut direct_until = now();
+    let mut failed = FailedWatchers::default();
     loop {
         if !has_read {
             has_read = read(&node).await;
@@ -65,54 +65,55 @@
             continue;
         }
         let source = source::current(&node);
-        let is_away = node.view.borrow().outage.is_ongoing();
+        let is_outage = node.view.borrow().outage.is_ongoing();
         let step = match &source {
-            Source::Peers(watchers) if is_away => seek(&node, &source, watchers).await,
-            Source::Peers(watchers) if now() >= own_until => {
+            Source::Peers(watchers) if is_outage => follow_any(&node, &source, watchers).await,
+            Source::Peers(watchers) if now() >= direct_until => {
                 if follow_watcher(&node, watchers, &mut failed).await {
                     continue;
                 }
-                own_until = now().plus_millis(watcher::DIRECT_WATCH_MS);
+                direct_until = now().plus_millis(watcher::DIRECT_WATCH_MS);
                 watch(&node, &source).await
             }
             _ => watch(&node, &source).await,
         };
-        has_read = step == Step::On;
+        has_read = step == Step::Continue;
     }
 }
 
-/// Asks the store and all watchers at once, and goes on with whichever answers. While the
-/// store is away, watchers may be silent as well: asked one after the other, with the
-/// store in turn, a node learned up to 2.8 s after its return that it was back.
-async fn seek(node: &Rc<Node>, source: &Source, watchers: &[(String, SocketAddr)]) -> Step {
+/// Calls the store and polls all watchers concurrently, and continues with the first answer.
+///
+/// During an outage of the store, watchers may not answer either. If they and the store were called
+/// one after the other, a node would detect the end of the outage up to 2.8 s late.
+async fn follow_any(node: &Rc<Node>, source: &Source, watchers: &[(String, SocketAddr)]) -> Step {
     let mut asked = JoinSet::new();
     for (name, address) in watchers.iter().cloned() {
         let node = node.clone();
         asked.spawn_local(async move {
-            let news = fresh_news(&node, &name, address).await?;
-            Some((news, address))
+            let updates = fresh_updates(&node, &name, address).await?;
+            Some((updates, address))
         });
     }
     let first_fresh = async {
         while let Some(answer) = asked.join_next().await {
-            if let Ok(Some(news)) = answer {
-                return Some(news);
+            if let Ok(Some(updates)) = answer {
+                return Some(updates);
             }
         }
         None
     };
     tokio::pin!(first_fresh);
-    let own = watch(node, source);
-    tokio::pin!(own);
+    let direct = watch(node, source);
+    tokio::pin!(direct);
     tokio::select! {
-        news = &mut first_fresh => match news {
-            Some((news, address)) => {
-                take_news(node, &news, address).await;
-                Step::On
+        updates = &mut first_fresh => match updates {
+            Some((updates, address)) => {
+                apply_updates(node, &updates, address).await;
+                Step::Continue
             }
-            None => own.await,
+            None => direct.await,
         },
-        step = &mut own => step,
+        step = &mut direct => step,
     }
 }
 
@@ -120,39 +121,42 @@
     match read_all(node).await {
         Ok(()) => true,
         Err(fault) => {
-            note_fault(node, "range", &fault);
-            recover(node).await;
+            record_fault(node, "range", &fault);
+            back_off(node).await;
             false
         }
     }
 }
 
-/// Asks the watchers in turn; returns whether one of them is fresh.
+/// Polls the watchers in turn and applies the first fresh response. Returns whether there was one.
 async fn follow_watcher(
     node: &Rc<Node>,
     watchers: &[(String, SocketAddr)],
-    failed: &mut Failed,
+    failed: &mut FailedWatchers,
 ) -> bool {
     for (name, address) in failed.ordered(watchers) {
-        if let Some(news) = fresh_news(node, &name, address).await {
-            take_news(node, &news, address).await;
+        if let Some(updates) = fresh_updates(node, &name, address).await {
+            apply_updates(node, &updates, address).await;
             return true;
         }
-        failed.note(address);
+        failed.record(address);
     }
     false
 }
 
-/// What a watcher knows, unless it is silent or does not know better than this node.
-async fn fresh_news(node: &Node, name: &str, address: SocketAddr) -> Option<Updates> {
+/// Polls a watcher. Returns its updates, or `None` if it does not answer, is stale or lacks changes
+/// after this node's revision.
+async fn fresh_updates(node: &Node, name: &str, address: SocketAddr) -> Option<Updates> {
     let after = node.view.borrow().revision;
     match updates::poll(node, address, after).await {
-        Ok(news) if news.is_whole && news.age_ms <= watcher::MAX_AGE_MS => return Some(news),
-        Ok(news) => tracing::info!(
+        Ok(updates) if updates.is_whole && updates.age_ms <= watcher::MAX_AGE_MS => {
+            return Some(updates);
+        }
+        Ok(updates) => tracing::info!(
             event = "watcher-stale",
             peer = name,
-            age_ms = news.age_ms,
-            whole = news.is_whole,
+            age_ms = updates.age_ms,
+            whole = updates.is_whole,
             after
         ),
         Err(error) => tracing::info!(event = "peer-failed", peer = name, reason = %error),
@@ -160,77 +164,82 @@
     None
 }
 
-async fn take_news(node: &Node, news: &Updates, teller: SocketAddr) {
-    // Those who follow this node hear how fresh the store's own answer is, not this one's.
-    let answered = now().minus_millis(news.age_ms);
+async fn apply_updates(node: &Node, updates: &Updates, peer: SocketAddr) {
+    // Nodes that follow this one receive the age of the store's answer, not of the watcher's.
+    let answered = now().minus_millis(updates.age_ms);
     node.store_answered
         .set(answered.max(node.store_answered.get()));
-    for arrival in &news.arrivals {
+    for arrival in &updates.arrivals {
         let at = now().minus_millis(arrival.age_ms);
         node.arrivals.borrow_mut().record(arrival.revision, at);
     }
-    apply::apply_items(node, &news.items).await;
+    apply::apply_items(node, &updates.items).await;
     let mut view = node.view.borrow_mut();
-    view.revision = view.revision.max(news.revision);
+    view.revision = view.revision.max(updates.revision);
     let is_back = view.outage.record_answer(now());
     drop(view);
-    fetch::receive_notices(node, &news.large, teller);
+    fetch::receive_notices(node, &updates.large, peer);
     if is_back {
         tracing::info!(event = "store-regained", call = "watcher");
     }
     apply::publish_view(node);
 }
 
-/// Makes one waiting call at the store, in short waits where others depend on how fresh it is.
+/// Makes one watch call at the store. The call is short on nodes whose freshness other nodes rely
+/// on.
 async fn watch(node: &Rc<Node>, source: &Source) -> Step {
-    let (after, is_away) = {
+    let (after, is_outage) = {
         let view = node.view.borrow();
         (view.revision, view.outage.is_ongoing())
     };
-    let (wait_ms, gather_ms) = match source {
-        Source::Store => (WAIT_MS, GATHER_MS),
+    let (wait_ms, batch_ms) = match source {
+        Source::Store => (WATCH_WAIT_MS, BATCH_MS),
         Source::StoreAsWatcher | Source::Peers(_) => (watcher::STORE_WAIT_MS, watcher::BATCH_MS),
     };
-    let wait_ms = if is_away { PROBE_MS } else { wait_ms };
+    let wait_ms = if is_outage {
+        OUTAGE_WATCH_WAIT_MS
+    } else {
+        wait_ms
+    };
     let call = StoreRequest::Watch {
-        prefix: ALL,
+        prefix: ALL_KEYS,
         after,
         wait_ms,
     };
-    match answer(node, &call, is_away).await {
+    match call_store(node, &call, is_outage).await {
         Ok(StoreResponse::Page(page)) => {
-            note_answer(node, "watch");
-            let has_news = !page.items.is_empty();
-            take(node, &page).await;
-            if has_news {
-                tokio::time::sleep(Duration::from_millis(gather_ms)).await;
+            record_answer(node, "watch");
+            let has_changes = !page.items.is_empty();
+            apply_page(node, &page).await;
+            if has_changes {
+                tokio::time::sleep(Duration::from_millis(batch_ms)).await;
             }
         }
         Ok(StoreResponse::Gone) => {
-            note_answer(node, "watch");
+            record_answer(node, "watch");
             tracing::info!(event = "history-gone", after);
-            return Step::Gone;
+            return Step::HistoryGone;
         }
         Ok(other) => {
             tracing::error!(event = "store-odd-answer", call = "watch", answer = ?other);
-            recover(node).await;
+            back_off(node).await;
         }
         Err(fault) => {
-            note_fault(node, "watch", &fault);
-            recover(node).await;
+            record_fault(node, "watch", &fault);
+            back_off(node).await;
         }
     }
-    Step::On
+    Step::Continue
 }
 
-/// Makes a call; while the store is away a peer is asked at the same time, so that
-/// a call which hangs does not keep this node from what peers know.
-async fn answer(
+/// Makes a call to the store. During an outage a peer is asked for newer items at the same time, so
+/// that a call that hangs does not delay these.
+async fn call_store(
     node: &Rc<Node>,
     call: &StoreRequest<'_>,
-    is_away: bool,
+    is_outage: bool,
 ) -> Result<StoreResponse, Fault> {
-    if !is_away {
+    if !is_outage {
         return node.store.call(call).await;
     }
     let (called, asked) = (node.store.call(call), peer::catch_up(node));
@@ -246,15 +255,15 @@
     }
 }
 
-/// Reads everything; pages are not a snapshot, so the watch goes on from the first
-/// page's revision and hears again what changed between them.
+/// Reads the whole store. The pages are not one snapshot, so the watch continues from the revision
+/// of the first page and receives changes made between the pages again.
 async fn read_all(node: &Rc<Node>) -> Result<(), Fault> {
     let mut items: Vec<Item> = Vec::new();
     let mut revision = None;
     loop {
         let after = items.last().map(|item| item.key.clone());
         let call = StoreRequest::Range {
-            prefix: ALL,
+            prefix: ALL_KEYS,
             after: after.as_deref(),
         };
         match node.store.call(&call).await? {
@@ -268,7 +277,7 @@
             other => return Err(Fault::NotDone(format!("{other:?}"))),
         }
     }
-    note_answer(node, "range");
+    record_answer(node, "range");
     let revision = revision.unwrap_or_default();
     tracing::info!(event = "store-read", items = items.len(), revision);
     node.arrivals.borrow_mut().record(revision, now());
@@ -286,7 +295,7 @@
     Ok(())
 }
 
-async fn take(node: &Node, page: &Page) {
+async fn apply_page(node: &Node, page: &Page) {
     node.arrivals.borrow_mut().record(page.revision, now());
     apply::apply_items(node, &page.items).await;
     let mut view = node.view.borrow_mut();
@@ -295,13 +304,13 @@
     apply::publish_view(node);
 }
 
-/// Waits a little, not as long as the others do.
-async fn recover(node: &Rc<Node>) {
-    let spread = node.random.borrow_mut().random_range(0..RETRY_MS);
-    tokio::time::sleep(Duration::from_millis(RETRY_MS / 2 + spread)).await;
+/// Waits before the next call, with jitter so that the nodes do not call at the same time.
+async fn back_off(node: &Rc<Node>) {
+    let jitter = node.random.borrow_mut().random_range(0..RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(RETRY_DELAY_MS / 2 + jitter)).await;
 }
 
-fn note_answer(node: &Node, kind: &str) {
+fn record_answer(node: &Node, kind: &str) {
     node.store_answered.set(now());
     node.metrics
         .store_calls
@@ -312,7 +321,7 @@
     }
 }
 
-fn note_fault(node: &Node, kind: &str, fault: &Fault) {
+fn record_fault(node: &Node, kind: &str, fault: &Fault) {
     node.metrics
         .store_calls
         .with_label_values(&[kind, "failed"])
