--- a/crates/gateway/src/delta.rs
+++ b/crates/gateway/src/delta.rs
@@ -1,4 +1,4 @@
-//! A large value on its way between two nodes.
+//! Large values in the form in which nodes transfer them.
 
 use std::sync::Arc;
 
@@ -12,23 +12,23 @@
 use crate::message;
 use crate::platform::Item;
 
-/// A value as its difference from another one.
+/// A value, encoded as its difference from an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// What it gives.
+    /// Key, revision, length and digest of the encoded value.
     pub notice: Notice,
-    /// Revision of the value that it refers to; zero for none.
+    /// Revision of the base, the value from which it differs; zero for none.
     pub base: u64,
     /// The difference, in base64.
     pub frame: Arc<str>,
 }
 
 impl Delta {
-    /// Writes `item` as its difference from the value `base`, which it had at `base_revision`.
+    /// Encodes `item` as its difference from `base`, its value at `base_revision`.
     ///
     /// # Errors
     ///
-    /// When the item was removed, is small, or cannot be written.
+    /// When the item was removed, is small, or cannot be encoded.
     pub fn new(item: &Item, base: &str, base_revision: u64) -> anyhow::Result<Self> {
         let notice = Notice::new(item);
         let notice = notice.ok_or_else(|| anyhow::anyhow!("{} is not large", item.key))?;
@@ -41,12 +41,12 @@
         })
     }
 
-    /// Puts the item together that was `wanted`, or a newer one; `base` is the value that this
-    /// node has at the piece's base revision, if any.
+    /// Reconstructs the `wanted` item, or a newer one. `base` is the value that this node has at the
+    /// base revision, if any.
     ///
     /// # Errors
     ///
-    /// When it is of another key or older, is damaged, or refers to a value that this node has not.
+    /// When the delta is for another key, is older or damaged, or its base is missing on this node.
     pub fn apply(&self, wanted: &Notice, base: Option<&str>) -> anyhow::Result<Item> {
         let Notice {
             key,
@@ -54,16 +54,28 @@
             length,
             digest,
         } = &self.notice;
-        ensure!(*key == wanted.key, "it is of {key}");
-        ensure!(*revision >= wanted.revision, "it is of revision {revision}");
+        ensure!(
+            *key == wanted.key,
+            "delta is for key {key}, not {}",
+            wanted.key
+        );
+        ensure!(
+            *revision >= wanted.revision,
+            "delta is for revision {revision}, older than {}",
+            wanted.revision
+        );
         ensure!(
             *revision > wanted.revision || self.notice == *wanted,
-            "it is another value of the same revision"
+            "delta has another value for revision {revision}"
+        );
+        ensure!(
+            *length <= message::MAX_BYTES,
+            "value has {length} bytes, more than {}",
+            message::MAX_BYTES
         );
-        ensure!(*length <= message::MAX_BYTES, "it has {length} bytes");
         ensure!(
             self.base == 0 || base.is_some(),
-            "it refers to revision {}, which is not kept",
+            "value of base revision {} is not kept",
             self.base
         );
         let frame = STANDARD.decode(&*self.frame)?;
--- a/crates/gateway/src/fetch.rs
+++ b/crates/gateway/src/fetch.rs
@@ -1,8 +1,9 @@
-//! Fetching large items from other nodes.
+//! Transfer of large items from other nodes.
 //!
-//! A node that heard of a [large](crate::large) item asks those that have it, one at a time and
-//! beside everything else that it does: the watchers of its availability zone, then any peers, and
-//! the store itself only when none of them has given it for 0.8 s.
+//! A node that received a notice of a [large](crate::large) item requests it from the nodes that may
+//! have it, one at a time and concurrently with its other tasks. It asks the watchers of its
+//! availability zone, then some peers, and the store only if none of them has provided the item
+//! for 0.8 s.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -19,35 +20,36 @@
 use crate::message;
 use crate::node::Node;
 use crate::platform::{Item, StoreRequest, StoreResponse as Stored};
-use crate::publisher::{Answer, PATH, Question};
+use crate::publisher::{ItemRequest, ItemResponse, PATH};
 use crate::source::{self, Source};
 
-/// Longest wait for the head of an answer. A node that has the item answers in milliseconds; one
-/// that is silent, frozen or short of link must not hold the change up.
-const HEAD: Duration = Duration::from_millis(300);
-/// Milliseconds for which peers are asked before the store is. A change must be in force within
-/// some seconds, and the whole value takes the slowest link one of them.
-const PEERS_MS: u64 = 800;
-/// Least and most milliseconds between two rounds: those who were told first have the item by then.
-const PAUSE_MS: Range<u64> = 40..120;
-/// The same once peers have not given it for [`PEERS_MS`]. When the store is away and nobody has
-/// the item, each round of each node costs others five questions.
-const LATE_PAUSE_MS: Range<u64> = 300..600;
-/// Peers that are asked besides the watchers in each round. Each that has the item is asked by two
-/// others on the mean, so in each round twice as many have it.
-const OTHERS: usize = 2;
+/// Timeout for the head of a response. A node that has the item responds in milliseconds; one that
+/// is down, frozen or short of bandwidth must not delay the change.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(300);
+/// Milliseconds for which only peers are asked, before the store is. A change must become active
+/// within some seconds, and reading the full value takes one of them on the slowest link.
+const PEERS_ONLY_MS: u64 = 800;
+/// Range of the milliseconds between two rounds. In that time the nodes that were notified first
+/// get the item.
+const ROUND_DELAY_MS: Range<u64> = 40..120;
+/// The same range once [`PEERS_ONLY_MS`] have passed. If the store is down and no node has the item,
+/// each round of each node costs the others five requests.
+const LATE_ROUND_DELAY_MS: Range<u64> = 300..600;
+/// Number of peers that are asked in each round besides the watchers. A node that has the item is
+/// asked by two others on average, so the number of nodes that have it doubles in each round.
+const PEERS_PER_ROUND: usize = 2;
 
-/// Takes in notices from a peer at `teller`.
-pub fn receive_notices(node: &Node, notices: &[Notice], teller: SocketAddr) {
+/// Records notices from the node at `peer`.
+pub fn receive_notices(node: &Node, notices: &[Notice], peer: SocketAddr) {
     let mut view = node.view.borrow_mut();
     for notice in notices {
-        if view.record_notice(now(), notice, teller) {
+        if view.record_notice(now(), notice, peer) {
             node.large_item_awaited.notify_one();
         }
     }
 }
 
-/// Fetches what is awaited until the process ends.
+/// Fetches the awaited items until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
         let next = node.view.borrow().large.next_awaited();
@@ -56,102 +58,108 @@
             continue;
         };
         if !fetch(&node, &awaited).await {
-            let is_late = now() >= awaited.since.plus_millis(PEERS_MS);
-            let range = if is_late { LATE_PAUSE_MS } else { PAUSE_MS };
-            let pause = node.random.borrow_mut().random_range(range);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let is_late = now() >= awaited.since.plus_millis(PEERS_ONLY_MS);
+            let range = if is_late {
+                LATE_ROUND_DELAY_MS
+            } else {
+                ROUND_DELAY_MS
+            };
+            let delay = node.random.borrow_mut().random_range(range);
+            tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
 }
 
-/// Asks in turn those that may have the item; returns whether one gave it.
+/// Requests the item from each node that may have it, then from the store if it is time. Returns
+/// whether it was received.
 async fn fetch(node: &Rc<Node>, awaited: &Awaited) -> bool {
-    let mut can_refer = true;
+    let mut allows_base = true;
     for address in sources(node, awaited) {
-        let piece = match ask(node, awaited, address, can_refer).await {
-            Ok(Answer::Found(piece)) => piece,
-            Ok(Answer::Behind | Answer::Busy) => continue,
+        let delta = match request(node, awaited, address, allows_base).await {
+            Ok(ItemResponse::Found(delta)) => delta,
+            Ok(ItemResponse::Behind | ItemResponse::Busy) => continue,
             Err(error) => {
-                note_failed(awaited, address, &error);
+                log_failed(awaited, address, &error);
                 continue;
             }
         };
-        match take(node, awaited, &piece).await {
+        match apply_delta(node, awaited, &delta).await {
             Ok(()) => {
-                note_taken(node, awaited, address);
+                record_received(node, awaited, address);
                 return true;
             }
             Err(error) => {
-                note_failed(awaited, address, &error);
-                // What one side has as the base may be what is wrong.
-                can_refer = false;
+                log_failed(awaited, address, &error);
+                // The base value of one of the two nodes may be the wrong one.
+                allows_base = false;
             }
         }
     }
-    let is_away = node.view.borrow().outage.is_ongoing();
-    if is_away || now() < awaited.since.plus_millis(PEERS_MS) {
+    let is_outage = node.view.borrow().outage.is_ongoing();
+    if is_outage || now() < awaited.since.plus_millis(PEERS_ONLY_MS) {
         return false;
     }
-    read(node, awaited).await
+    read_from_store(node, awaited).await
 }
 
-/// The watchers in any order, so that they share the work, then some peers.
+/// Returns the nodes to ask: the watchers in random order, so that they share the load, then some
+/// random peers of the same availability zone.
 fn sources(node: &Node, awaited: &Awaited) -> Vec<SocketAddr> {
     let mut watchers: Vec<SocketAddr> = match source::current(node) {
-        Source::Peers(others) => others.into_iter().map(|(_, address)| address).collect(),
+        Source::Peers(peers) => peers.into_iter().map(|(_, address)| address).collect(),
         Source::Store | Source::StoreAsWatcher => Vec::new(),
     };
     if !watchers.contains(&awaited.peer) {
         watchers.push(awaited.peer);
     }
-    let (own_zone, own_address) = {
+    let (local_zone, local_address) = {
         let settings = node.settings.borrow();
         (settings.zone.clone(), settings.peers)
     };
     let view = node.view.borrow();
-    let near = view.nodes.values().filter(|peer| peer.zone == own_zone);
-    let mut others: Vec<SocketAddr> = near
+    let same_zone = view.nodes.values().filter(|peer| peer.zone == local_zone);
+    let mut peers: Vec<SocketAddr> = same_zone
         .map(|peer| peer.address)
         .filter(|address| !watchers.contains(address))
         .collect();
     let random = &mut *node.random.borrow_mut();
     watchers.shuffle(random);
-    others.shuffle(random);
-    others.truncate(OTHERS);
-    watchers.extend(others);
-    watchers.retain(|address| *address != own_address);
+    peers.shuffle(random);
+    peers.truncate(PEERS_PER_ROUND);
+    watchers.extend(peers);
+    watchers.retain(|address| *address != local_address);
     watchers
 }
 
-async fn ask(
+async fn request(
     node: &Node,
     awaited: &Awaited,
     address: SocketAddr,
-    can_refer: bool,
-) -> anyhow::Result<Answer> {
+    allows_base: bool,
+) -> anyhow::Result<ItemResponse> {
     let key = awaited.notice.key.clone();
     let known = node.view.borrow().revision_of(&key);
-    let question = Question {
+    let request = ItemRequest {
         key,
         revision: awaited.notice.revision,
-        base: if can_refer { known } else { 0 },
+        base: if allows_base { known } else { 0 },
     };
-    message::send(node, address, PATH, &question, HEAD).await
+    message::send(node, address, PATH, &request, HEAD_TIMEOUT).await
 }
 
-/// Puts the value together and takes it in.
-async fn take(node: &Node, awaited: &Awaited, piece: &Delta) -> anyhow::Result<()> {
+/// Reconstructs the value and applies it.
+async fn apply_delta(node: &Node, awaited: &Awaited, delta: &Delta) -> anyhow::Result<()> {
     let item = {
         let view = node.view.borrow();
-        let base = view.value_at(&awaited.notice.key, piece.base);
-        piece.apply(&awaited.notice, base)?
+        let base = view.value_at(&awaited.notice.key, delta.base);
+        delta.apply(&awaited.notice, base)?
     };
     apply::apply_items(node, &[item]).await;
     apply::publish_view(node);
     Ok(())
 }
 
-fn note_failed(awaited: &Awaited, peer: SocketAddr, error: &anyhow::Error) {
+fn log_failed(awaited: &Awaited, peer: SocketAddr, error: &anyhow::Error) {
     tracing::warn!(
         event = "large-item-failed",
         key = awaited.notice.key,
@@ -161,21 +169,23 @@
     );
 }
 
-fn note_taken(node: &Node, awaited: &Awaited, peer: SocketAddr) {
-    let took = now().since(awaited.since);
-    node.metrics.large_item_seconds.observe(took.as_secs_f64());
+fn record_received(node: &Node, awaited: &Awaited, peer: SocketAddr) {
+    let elapsed = now().since(awaited.since);
+    node.metrics
+        .large_item_seconds
+        .observe(elapsed.as_secs_f64());
     tracing::info!(
         event = "large-item",
         key = awaited.notice.key,
         revision = awaited.notice.revision,
         bytes = awaited.notice.length,
         peer = %peer,
-        ms = took.as_secs_f64() * 1_000.0
+        ms = elapsed.as_secs_f64() * 1_000.0
     );
 }
 
-/// Reads the item from the store.
-async fn read(node: &Node, awaited: &Awaited) -> bool {
+/// Reads the item from the store. Returns whether the store answered.
+async fn read_from_store(node: &Node, awaited: &Awaited) -> bool {
     let key = &awaited.notice.key;
     let call = StoreRequest::Range {
         prefix: key,
@@ -193,7 +203,7 @@
         }
     };
     let found = page.items.into_iter().find(|item| item.key == *key);
-    // A key that is gone was removed after the notice.
+    // A key that is not in the store was removed after the notice.
     let item = found.unwrap_or_else(|| Item {
         key: key.clone(),
         value: None,
@@ -207,7 +217,7 @@
         peer = "store"
     );
     apply::apply_items(node, &[item]).await;
-    // What the store has is what there is, whatever a peer has told.
+    // The store is authoritative, whatever a peer has announced.
     node.view.borrow_mut().large.resolve(&awaited.notice);
     apply::publish_view(node);
     true
--- a/crates/gateway/src/large.rs
+++ b/crates/gateway/src/large.rs
@@ -1,14 +1,14 @@
-//! Items that are too large to be told with others.
+//! Items that are too large to be sent together with other updates.
 //!
-//! The pattern: an operator adds a thousand routes, and every node of an availability zone asks
-//! the same two watchers. Told whole and at once, the copies fill a watcher's link for ten
-//! seconds, and whatever else it has to tell waits behind them: a server that leaves, a key
-//! that is taken away, the next configuration.
+//! If an operator adds a thousand routes, every node of an availability zone polls the same two
+//! watchers. Sent in full and at once, the copies would saturate a watcher's link for ten seconds
+//! and delay all other updates: a server that leaves, an API key that is revoked, the next
+//! configuration.
 //!
-//! So nodes tell each other small items themselves, and of a large one a [`Notice`]: key, revision
-//! and digest. Whoever lacks it [fetches](crate::fetch) the [`difference`]
-//! from the value that it has, beside everything else. Values from before are kept
-//! for that, four of each key.
+//! Nodes therefore send each other small items in full, and for a large item only a [`Notice`] with
+//! its key, revision and digest. A node that lacks the item [fetches](crate::fetch) the
+//! [`difference`] from the value that it has, concurrently with other updates. For this, nodes keep
+//! four former values of each key.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,12 +19,13 @@
 use crate::difference;
 use crate::platform::Item;
 
-/// Bytes of a value from which on it is large: what a link of 10 Mbit/s carries in 6 ms. Entries
-/// of servers and nodes are some hundred bytes.
+/// Minimum size of a large value in bytes: what a link of 10 Mbit/s transfers in 6 ms. Entries of
+/// servers and nodes have some hundred bytes.
 pub const MIN_LARGE_BYTES: usize = 8_192;
-/// Values of a key from before the one in force that are kept. Nodes ask within seconds of a
-/// change, and operators make a few in that time; with values of a megabyte at most this is 4 MB.
-const FORMER: usize = 4;
+/// Maximum number of former values that are kept of a key. Nodes request an item within seconds of a
+/// change, and operators make a few changes in that time. Values have a megabyte at most, so these
+/// have 4 MB.
+const MAX_FORMER: usize = 4;
 
 /// Whether the value of `item` is large.
 #[must_use]
@@ -34,21 +35,21 @@
         .is_some_and(|value| value.len() >= MIN_LARGE_BYTES)
 }
 
-/// Says that a large item has changed.
+/// Announcement that a large item has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     /// Key.
     pub key: String,
     /// Revision of its last change.
     pub revision: u64,
-    /// Bytes of the value.
+    /// Length of the value in bytes.
     pub length: usize,
     /// Digest of the value.
     pub digest: u64,
 }
 
 impl Notice {
-    /// Creates the notice of `item`, unless it is small.
+    /// Creates the notice of `item`; `None` if it is small or was removed.
     #[must_use]
     pub fn new(item: &Item) -> Option<Self> {
         let value = item.value.as_ref().filter(|_| is_large(item))?;
@@ -61,30 +62,32 @@
     }
 }
 
-/// A large item that this node knows of and does not have.
+/// A large item of which this node has a notice but not the value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Awaited {
-    /// What is missing.
+    /// Newest notice of the item.
     pub notice: Notice,
-    /// Node that told of it.
+    /// Node that sent the notice.
     pub peer: SocketAddr,
-    /// When this node first heard that its value is old.
+    /// When this node received the first notice of a newer value than its own.
     pub since: Instant,
 }
 
 /// The large items of a view.
 #[derive(Debug, Default)]
 pub struct LargeItems {
+    /// Notices of the values that this node has.
     held: BTreeMap<String, Notice>,
     awaited: BTreeMap<String, Awaited>,
+    /// Former values, the newest first.
     former: HashMap<String, VecDeque<Item>>,
 }
 
 impl LargeItems {
-    /// Takes in that `item` is in force in place of `before`.
+    /// Records that `item` has replaced `before`.
     pub fn record_item(&mut self, before: Option<Item>, item: &Item) {
-        let is_here = |awaited: &Awaited| awaited.notice.revision <= item.revision;
-        if self.awaited.get(&item.key).is_some_and(is_here) {
+        let is_received = |awaited: &Awaited| awaited.notice.revision <= item.revision;
+        if self.awaited.get(&item.key).is_some_and(is_received) {
             self.awaited.remove(&item.key);
         }
         match Notice::new(item) {
@@ -94,34 +97,34 @@
         if let Some(before) = before.filter(is_large) {
             let former = self.former.entry(before.key.clone()).or_default();
             former.push_front(before);
-            former.truncate(FORMER);
+            former.truncate(MAX_FORMER);
         }
     }
 
-    /// Takes in what a peer at `teller` says has changed; `known` is the revision of the key
-    /// that this node has. Returns whether it is news.
+    /// Records a notice from the node at `peer`. `known` is the revision of the key that this node
+    /// has. Returns whether the notice announces a newer revision than that and all earlier notices.
     pub fn record_notice(
         &mut self,
         now: Instant,
         notice: &Notice,
         known: u64,
-        teller: SocketAddr,
+        peer: SocketAddr,
     ) -> bool {
         let awaited = self.awaited.get(&notice.key);
-        let heard = awaited.map_or(0, |awaited| awaited.notice.revision);
-        if notice.revision <= known.max(heard) {
+        let announced = awaited.map_or(0, |awaited| awaited.notice.revision);
+        if notice.revision <= known.max(announced) {
             return false;
         }
         let awaited = Awaited {
             since: awaited.map_or(now, |awaited| awaited.since),
             notice: notice.clone(),
-            peer: teller,
+            peer,
         };
         self.awaited.insert(notice.key.clone(), awaited);
         true
     }
 
-    /// Takes in that `notice` needs nothing more.
+    /// Stops awaiting the item of `notice`, unless a newer notice has replaced it.
     pub fn resolve(&mut self, notice: &Notice) {
         let awaited = self.awaited.get(&notice.key);
         if awaited.is_some_and(|awaited| awaited.notice == *notice) {
@@ -129,14 +132,14 @@
         }
     }
 
-    /// An item that is to be fetched.
+    /// Returns an item that is to be fetched, if there is one.
     #[must_use]
     pub fn next_awaited(&self) -> Option<Awaited> {
         self.awaited.values().next().cloned()
     }
 
-    /// Notices of changes after `revision`, also of those that this node still awaits: whoever
-    /// follows it would else take the store as followed without them.
+    /// Returns notices of the changes after `revision`, including those that this node still awaits:
+    /// otherwise a node that follows this one would advance its revision without them.
     #[must_use]
     pub fn notices_since(&self, revision: u64) -> Vec<Notice> {
         let awaited = self.awaited.values().map(|awaited| &awaited.notice);
@@ -148,13 +151,13 @@
             .collect()
     }
 
-    /// Whether the value of `key` in force here is large.
+    /// Whether this node has a large value of `key`.
     #[must_use]
     pub fn has_large(&self, key: &str) -> bool {
         self.held.contains_key(key)
     }
 
-    /// The value that `key` had at `revision`, if it is kept.
+    /// Returns the value that `key` had at `revision`, if it is kept as a former one.
     #[must_use]
     pub fn former_value(&self, key: &str, revision: u64) -> Option<&str> {
         let former = self.former.get(key)?;
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages between nodes: JSON bodies over the one HTTP client.
+//! Messages between nodes: JSON bodies, sent with the same HTTP client as requests to backend
+//! servers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,23 +15,23 @@
 use crate::node::Node;
 use crate::upstream::{self, Sent};
 
-/// Longest time until the head of an answer. Nodes answer in milliseconds; a
-/// new connection to one that is dark takes longer than that and must not hold others up.
+/// Default timeout for the head of a response. Nodes respond in milliseconds; connecting to one that
+/// is down takes longer and must not delay messages to others.
 pub const HEAD_TIMEOUT: Duration = Duration::from_millis(700);
-/// Bytes that a message has at most.
+/// Maximum size of a message in bytes.
 pub const MAX_BYTES: usize = 4 << 20;
 
-/// Which way a message goes.
+/// Direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// To this node.
+    /// Received by this node.
     In,
-    /// From this node.
+    /// Sent by this node.
     Out,
 }
 
-/// Counts the bytes of a message. A node whose link is full of messages answers others late, and
-/// only this tells it from one that is short of processor time.
+/// Counts the bytes of a message. A node whose link is saturated by messages responds late, and only
+/// this metric distinguishes it from one that is short of processor time.
 pub fn count_bytes(node: &Node, path: &str, direction: Direction, bytes: usize) {
     let direction = match direction {
         Direction::In => "in",
@@ -43,17 +44,17 @@
     counter.inc_by(u64::try_from(bytes).unwrap_or(u64::MAX));
 }
 
-/// Sends a message to a peer and reads its answer.
+/// Sends a message to a peer and reads the response.
 ///
 /// # Errors
 ///
-/// When no head comes within `patience`, or no answer that can be read.
+/// When no head arrives within `head_timeout`, or the response cannot be read or decoded.
 pub async fn send<R: DeserializeOwned>(
     node: &Node,
     address: SocketAddr,
     path: &str,
     message: &impl Serialize,
-    patience: Duration,
+    head_timeout: Duration,
 ) -> anyhow::Result<R> {
     let body = Bytes::from(serde_json::to_vec(message)?);
     count_bytes(node, path, Direction::Out, body.len());
@@ -62,7 +63,7 @@
         .uri(path)
         .header(HOST, address.to_string())
         .body(Full::new(body))?;
-    let sent = tokio::time::timeout(patience, node.pool.send(address, request, true)).await;
+    let sent = tokio::time::timeout(head_timeout, node.pool.send(address, request, true)).await;
     let answered = match sent.context("no answer in time")? {
         Sent::Answered(answered) => answered,
         Sent::NotSent(reason) | Sent::Broken(reason) => anyhow::bail!(reason),
--- a/crates/gateway/src/permits.rs
+++ b/crates/gateway/src/permits.rs
@@ -1,27 +1,28 @@
-//! Permits for answers that a node gives at the same time.
+//! Permits that limit how many large responses a node sends at the same time.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Answers that a node gives at a time. All at once end at the same late moment, and small news
-/// gets one part of the link in as many as there are connections; with four it has a fifth at least.
-const AT_ONCE: usize = 4;
+/// Maximum number of large responses at a time. Without a limit all of them would complete at the
+/// same late moment. Connections share the link equally, so with four of them small updates get at
+/// least a fifth of it.
+const MAX_CONCURRENT: usize = 4;
 
-/// The places of a node.
+/// The permits of a node; counts those that are held.
 #[derive(Debug, Default)]
 pub struct Permits(Rc<Cell<usize>>);
 
-/// One place, which is free again when this is dropped.
+/// A permit, which is released on drop.
 #[derive(Debug)]
 pub struct Permit(Rc<Cell<usize>>);
 
 impl Permits {
-    /// Takes a place, if one is free.
+    /// Acquires a permit, if one is free.
     #[must_use]
-    pub fn take(&self) -> Option<Permit> {
-        let taken = self.0.get();
-        (taken < AT_ONCE).then(|| {
-            self.0.set(taken + 1);
+    pub fn try_acquire(&self) -> Option<Permit> {
+        let held = self.0.get();
+        (held < MAX_CONCURRENT).then(|| {
+            self.0.set(held + 1);
             Permit(self.0.clone())
         })
     }
--- a/crates/gateway/src/publisher.rs
+++ b/crates/gateway/src/publisher.rs
@@ -1,4 +1,4 @@
-//! Telling large items to the nodes that ask for them.
+//! Serving large items to the nodes that request them.
 
 use std::cell::RefCell;
 
@@ -11,102 +11,103 @@
 use crate::permits::{Permit, Permits};
 use crate::platform::Item;
 
-/// Path on which a node is asked for a large item.
+/// Path on which a node serves large items.
 pub const PATH: &str = "/large";
-/// Differences that are kept for the next who asks. Nodes of a zone follow each other within a second,
-/// so most have one of the last few versions; each is some ten kilobytes.
-const KEPT: usize = 4;
+/// Maximum number of encoded deltas that are cached. The nodes of a zone receive a change within a
+/// second of each other, so most have one of the last few revisions as their base; a delta has some
+/// ten kilobytes.
+const MAX_CACHED: usize = 4;
 
-/// What a node asks for.
+/// Request for a large item.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Question {
+pub struct ItemRequest {
     /// Key.
     pub key: String,
-    /// Revision that is needed at least.
+    /// Minimum revision.
     pub revision: u64,
-    /// Revision of the value that the asking node has; zero for none.
+    /// Revision of the value that the requesting node has; zero for none.
     pub base: u64,
 }
 
-/// What the asked node says.
+/// Response to an [`ItemRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ItemResponse {
     /// The value.
     Found(Delta),
-    /// It has no value of that revision.
+    /// The node has no value of that revision or a newer one.
     Behind,
-    /// It is telling others.
+    /// The node is serving the maximum number of other nodes.
     Busy,
 }
 
-/// What this node has told of large items.
+/// State of serving large items.
 #[derive(Debug, Default)]
 pub struct Publisher {
-    kept: RefCell<Vec<Delta>>,
-    places: Permits,
-    /// Held while a piece is written.
-    writing: Mutex<()>,
+    cache: RefCell<Vec<Delta>>,
+    permits: Permits,
+    /// Held while a delta is encoded.
+    encoding: Mutex<()>,
 }
 
 impl Publisher {
     fn find(&self, item: &Item, base: u64) -> Option<Delta> {
-        let is_same = |piece: &&Delta| {
-            let notice = &piece.notice;
-            (notice.key.as_str(), notice.revision, piece.base)
+        let is_same = |delta: &&Delta| {
+            let notice = &delta.notice;
+            (notice.key.as_str(), notice.revision, delta.base)
                 == (item.key.as_str(), item.revision, base)
         };
-        self.kept.borrow().iter().find(is_same).cloned()
+        self.cache.borrow().iter().find(is_same).cloned()
     }
 
-    fn keep(&self, piece: Delta) {
-        let mut kept = self.kept.borrow_mut();
-        if kept.len() >= KEPT {
-            kept.remove(0);
+    fn insert(&self, delta: Delta) {
+        let mut cache = self.cache.borrow_mut();
+        if cache.len() >= MAX_CACHED {
+            cache.remove(0);
         }
-        kept.push(piece);
+        cache.push(delta);
     }
 }
 
-/// Answers a question; the place is held until the answer has left.
-pub async fn serve(node: &Node, question: &Question) -> (Answer, Option<Permit>) {
-    let is_here = {
+/// Answers a request. The permit is held until the response has been sent.
+pub async fn serve(node: &Node, request: &ItemRequest) -> (ItemResponse, Option<Permit>) {
+    let is_available = {
         let view = node.view.borrow();
-        view.item(&question.key, question.revision).is_some()
+        view.item(&request.key, request.revision).is_some()
     };
-    if !is_here {
-        return (Answer::Behind, None);
+    if !is_available {
+        return (ItemResponse::Behind, None);
     }
-    let Some(place) = node.publisher.places.take() else {
-        return (Answer::Busy, None);
+    let Some(permit) = node.publisher.permits.try_acquire() else {
+        return (ItemResponse::Busy, None);
     };
-    // Many ask for the same at once; the first one's piece is there for the others.
-    let _writing = node.publisher.writing.lock().await;
-    match find_or_write(node, question).await {
-        Ok(Some(piece)) => (Answer::Found(piece), Some(place)),
-        Ok(None) => (Answer::Behind, None),
+    // Many nodes request the same delta at once; all but the first get it from the cache.
+    let _encoding = node.publisher.encoding.lock().await;
+    match find_or_encode(node, request).await {
+        Ok(Some(delta)) => (ItemResponse::Found(delta), Some(permit)),
+        Ok(None) => (ItemResponse::Behind, None),
         Err(error) => {
-            tracing::error!(event = "large-item-not-told", key = question.key, reason = %error);
-            (Answer::Behind, None)
+            tracing::error!(event = "large-item-not-told", key = request.key, reason = %error);
+            (ItemResponse::Behind, None)
         }
     }
 }
 
-/// The piece that answers a question; `None` if the item was removed meanwhile.
-async fn find_or_write(node: &Node, question: &Question) -> anyhow::Result<Option<Delta>> {
+/// Returns the delta for a request; `None` if the item has been removed in the meantime.
+async fn find_or_encode(node: &Node, request: &ItemRequest) -> anyhow::Result<Option<Delta>> {
     let (item, base, base_revision) = {
         let view = node.view.borrow();
-        let Some(item) = view.item(&question.key, question.revision) else {
+        let Some(item) = view.item(&request.key, request.revision) else {
             return Ok(None);
         };
-        let base = view.large.former_value(&question.key, question.base);
-        let base_revision = base.map_or(0, |_| question.base);
-        if let Some(piece) = node.publisher.find(item, base_revision) {
-            return Ok(Some(piece));
+        let base = view.large.former_value(&request.key, request.base);
+        let base_revision = base.map_or(0, |_| request.base);
+        if let Some(delta) = node.publisher.find(item, base_revision) {
+            return Ok(Some(delta));
         }
         let base = base.unwrap_or_default().to_owned();
         (item.clone(), base, base_revision)
     };
-    let piece = offload::run(move || Delta::new(&item, &base, base_revision)).await??;
-    node.publisher.keep(piece.clone());
-    Ok(Some(piece))
+    let delta = offload::run(move || Delta::new(&item, &base, base_revision)).await??;
+    node.publisher.insert(delta.clone());
+    Ok(Some(delta))
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store.
+//! Client of the platform's store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 use crate::platform::{Platform, StoreRequest, StoreResponse};
 use crate::upstream::{self, Pool, Sent};
 
-/// Bytes that an answer has at most: a page of items is a megabyte, or one large item.
-const MOST: usize = 16 << 20;
-/// Longest wait for the head of the answer of a call that does not wait by itself. The store
-/// answers in milliseconds; slow phases of it take tens of times as long.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// What a waiting call gets besides its own wait: a slow store takes some hundred
+/// Maximum size of a response in bytes. A page of items has a megabyte, or one large item.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Timeout for the head of the response to a call other than a watch. The store responds in
+/// milliseconds, and tens of times as slowly in its slow phases.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time that a watch may take beyond its wait at the store: a slow store takes some hundred
 /// milliseconds.
-const MARGIN: Duration = Duration::from_secs(1);
+const WATCH_MARGIN: Duration = Duration::from_secs(1);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Nothing was done.
+    /// The store did not execute the call.
     #[error("the store did nothing: {0}")]
     NotDone(String),
-    /// It may have been done, or may yet be.
+    /// The store may have executed the call, or may still do so.
     #[error("the store may have done it: {0}")]
     Unknown(String),
 }
@@ -65,51 +65,51 @@
     ///
     /// # Errors
     ///
-    /// When no answer came that says what was done.
+    /// When no response states the outcome of the call.
     pub async fn call(&self, call: &StoreRequest<'_>) -> Result<StoreResponse, Fault> {
-        let patience = match call {
-            StoreRequest::Watch { wait_ms, .. } => Duration::from_millis(*wait_ms) + MARGIN,
-            _ => PATIENCE,
+        let timeout = match call {
+            StoreRequest::Watch { wait_ms, .. } => Duration::from_millis(*wait_ms) + WATCH_MARGIN,
+            _ => HEAD_TIMEOUT,
         };
-        self.exchange(call, patience).await
+        self.exchange(call, timeout).await
     }
 
     async fn exchange(
         &self,
         call: &StoreRequest<'_>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<StoreResponse, Fault> {
-        let wire = self.platform.encode_store_request(call);
+        let encoded = self.platform.encode_store_request(call);
         let request = Request::builder()
-            .method(wire.method)
-            .uri(wire.target)
+            .method(encoded.method)
+            .uri(encoded.target)
             .header(HOST, self.address.to_string())
             .header(CONTENT_TYPE, "application/json")
-            .body(Full::new(wire.body))
+            .body(Full::new(encoded.body))
             .map_err(|error| Fault::NotDone(error.to_string()))?;
         let may_repeat = matches!(
             call,
             StoreRequest::Range { .. } | StoreRequest::Watch { .. }
         );
         let sent = self.pool.send(self.address, request, may_repeat);
-        let answered = match tokio::time::timeout(patience, sent).await {
+        let answered = match tokio::time::timeout(timeout, sent).await {
             Ok(Sent::Answered(answered)) => answered,
             Ok(Sent::NotSent(reason)) => return Err(Fault::NotDone(reason)),
             Ok(Sent::Broken(reason)) => return Err(Fault::Unknown(reason)),
-            Err(_) => return Err(Fault::Unknown(format!("no answer in {patience:?}"))),
+            Err(_) => return Err(Fault::Unknown(format!("no answer in {timeout:?}"))),
         };
         let (head, body) = answered.response.into_parts();
-        let body = upstream::collect(body, MOST).await;
+        let body = upstream::collect(body, MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| Fault::Unknown(error.to_string()))?;
         self.pool.keep(answered.connection);
-        match self.read(call, head.status, body).await? {
+        match self.decode(call, head.status, body).await? {
             StoreResponse::Refused => Err(Fault::NotDone(format!("status {}", head.status))),
             StoreResponse::Unreadable(reason) => Err(Fault::Unknown(reason)),
-            answer => Ok(answer),
+            response => Ok(response),
         }
     }
 
-    async fn read(
+    async fn decode(
         &self,
         call: &StoreRequest<'_>,
         status: StatusCode,
@@ -119,8 +119,8 @@
             return Ok(self.platform.decode_store_response(call, status, &body));
         }
         let (platform, call) = (self.platform.clone(), call.to_static());
-        let answer =
+        let response =
             offload::run(move || platform.decode_store_response(&call, status, &body)).await;
-        answer.map_err(|error| Fault::Unknown(error.to_string()))
+        response.map_err(|error| Fault::Unknown(error.to_string()))
     }
 }
