--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,24 +1,24 @@
-//! The steady clock of this process.
+//! The monotonic clock of this process.
 
 use std::sync::OnceLock;
-use std::time::{Duration, Instant as Steady};
+use std::time::{Duration, Instant as StdInstant};
 
 use fescuerack_core::clock::Instant;
 
-static ORIGIN: OnceLock<Steady> = OnceLock::new();
+static STARTED: OnceLock<StdInstant> = OnceLock::new();
 
-/// What the clock shows when the process first asks: what peers tell of the time before
-/// that, such as the age of an order, must be representable.
-const BEGINS: Duration = Duration::from_hours(24 * 30);
+/// Time on the clock when it is first read. It is above zero because times before that must be
+/// representable: peers report them, for example as the age of an order.
+const START_OFFSET: Duration = Duration::from_hours(24 * 30);
 
-/// Returns the time on a clock that the process starts.
+/// Returns the current time.
 #[must_use]
 pub fn now() -> Instant {
-    let origin = *ORIGIN.get_or_init(Steady::now);
-    Instant::ORIGIN + BEGINS + origin.elapsed()
+    let started = *STARTED.get_or_init(StdInstant::now);
+    Instant::ORIGIN + START_OFFSET + started.elapsed()
 }
 
-/// Returns the point on the runtime's clock that `at` stands for.
+/// Converts `at` to the clock of the runtime, for use in timeouts.
 #[must_use]
 pub fn deadline(at: Instant) -> tokio::time::Instant {
     tokio::time::Instant::now() + at.since(now())
--- a/crates/gateway/src/difference.rs
+++ b/crates/gateway/src/difference.rs
@@ -1,9 +1,9 @@
-//! A text as its difference from an earlier one.
+//! Delta compression of a text against an earlier text.
 //!
-//! A configuration of 2,000 routes is 0.4 MB and most changes concern one route. Written as a
-//! Zstandard frame that refers to the earlier text, such a change is some hundred bytes, and 1,400
-//! routes that are new are a tenth of their text. Without an earlier text the frame
-//! stands alone.
+//! A configuration of 2,000 routes has 0.4 MB, and most changes concern one route. Encoded as a
+//! Zstandard frame with the earlier text as its prefix, such a change has some hundred bytes, and
+//! 1,400 new routes have a tenth of their text. Without an earlier text the frame is
+//! self-contained.
 
 use std::io::{Cursor, Read as _};
 
@@ -11,27 +11,27 @@
 use xxhash_rust::xxh3::xxh3_64;
 use zstd::stream::{read, write};
 
-/// Effort, the least of the library's usual range: more makes a large change no smaller, and takes
-/// longer for a small one.
+/// Compression level, the lowest of the library's usual range: a higher one makes a large change no
+/// smaller and takes longer for a small one.
 const LEVEL: i32 = 1;
-/// Smallest and largest window that the format has, as powers of two.
+/// Range of the window sizes that the format supports, as powers of two.
 const WINDOW_LOG: std::ops::RangeInclusive<u32> = 10..=27;
 
-/// Returns a hash of `text`, by which a text that was put together is checked.
+/// Returns the digest of `text`, against which a decoded text is checked.
 #[must_use]
 pub fn digest(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
 
-/// Returns `text` as its difference from `base`, which is empty if there is none.
+/// Encodes `text` as its difference from `base`, which is empty if there is none.
 ///
 /// # Errors
 ///
-/// What the library says.
+/// When the library fails.
 pub fn encode(base: &str, text: &str) -> anyhow::Result<Vec<u8>> {
     let mut frame = Vec::new();
     let mut encoder = write::Encoder::with_ref_prefix(&mut frame, LEVEL, base.as_bytes())?;
-    // Only what lies within the window is referred to: both texts must fit.
+    // The frame can refer only to data within the window, so both texts must fit into it.
     encoder.window_log(window_log(base.len() + text.len()))?;
     encoder.long_distance_matching(true)?;
     encoder.set_pledged_src_size(Some(u64::try_from(text.len())?))?;
@@ -40,22 +40,29 @@
     Ok(frame)
 }
 
-/// Puts a text of `length` bytes together again and checks it against its digest.
+/// Decodes a text of `length` bytes and checks it against its digest.
 ///
 /// # Errors
 ///
-/// When the frame is damaged, refers to another text than `base`, or gives another text than
-/// the one that was meant.
+/// When the frame is damaged, was encoded against another text than `base`, or does not decode to
+/// the expected text.
 pub fn decode(base: &str, frame: &[u8], length: usize, expected: u64) -> anyhow::Result<String> {
     let mut decoder = read::Decoder::with_ref_prefix(Cursor::new(frame), base.as_bytes())?;
     decoder.window_log_max(*WINDOW_LOG.end())?;
     let mut text = String::with_capacity(length);
-    // A byte more than expected, so that a longer text shows.
-    let most = u64::try_from(length)?.saturating_add(1);
-    let read = decoder.take(most).read_to_string(&mut text);
-    read.context("the frame is damaged")?;
-    ensure!(text.len() == length, "{} bytes, not {length}", text.len());
-    ensure!(digest(&text) == expected, "the digest differs");
+    // Reads up to one byte more than expected, so that a longer text is detected.
+    let limit = u64::try_from(length)?.saturating_add(1);
+    let read = decoder.take(limit).read_to_string(&mut text);
+    read.context("frame is damaged")?;
+    ensure!(
+        text.len() == length,
+        "decoded text has {} bytes, not {length}",
+        text.len()
+    );
+    ensure!(
+        digest(&text) == expected,
+        "digest of the decoded text does not match"
+    );
     Ok(text)
 }
 
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,9 +1,9 @@
-//! Log lines on standard output, as JSON, one a line.
+//! Logging to standard output, with one JSON object a line.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the reader
-//! of the output stands still the queue fills and lines are left out and counted;
-//! the request path never waits for it. Each kind of line has a budget a second, so
-//! that a storm of one kind costs neither processor nor the lines of others.
+//! Lines go through a bounded queue to a thread that writes them. If the reader of the output
+//! stalls, the queue fills up and further lines are dropped and counted; requests never wait for the
+//! log. Each call site is rate-limited, so that a burst of lines from one site neither takes much
+//! processor time nor displaces the lines of other sites.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,13 +19,14 @@
 use tracing_subscriber::layer::{Context, Filter, SubscriberExt as _};
 use tracing_subscriber::util::SubscriberInitExt as _;
 
-/// Lines that wait to be written: some seconds of a busy node.
-const QUEUE: usize = 4_096;
-/// Lines of one kind that are written in a second. A node of the planned size answers
-/// 15 requests a second, with up to four lines each; the budget bears twenty times that.
+/// Capacity of the queue in lines: some seconds of a busy node.
+const QUEUE_LINES: usize = 4_096;
+/// Maximum number of lines from one call site in a second. A node of the planned size answers 15
+/// requests a second and writes up to four lines for each; the budget allows twenty times as many
+/// requests.
 pub const MAX_LINES_PER_SECOND: u32 = 300;
 
-/// Keeps the writer alive and counts what was left out.
+/// The running log; it keeps the writer alive and counts the dropped lines.
 #[derive(Debug)]
 pub struct Logs {
     _guard: WorkerGuard,
@@ -34,23 +35,23 @@
 }
 
 impl Logs {
-    /// Starts writing.
+    /// Starts the writer and installs the log as the process's global subscriber.
     #[must_use]
     pub fn new() -> Self {
         let (writer, guard) = NonBlockingBuilder::default()
-            .buffered_lines_limit(QUEUE)
+            .buffered_lines_limit(QUEUE_LINES)
             .lossy(true)
             .finish(std::io::stdout());
         let unwritten = writer.error_counter();
         let budget = Budget::new();
-        let over_budget = budget.left_out.clone();
-        let lines = tracing_subscriber::fmt::layer()
+        let over_budget = budget.dropped.clone();
+        let layer = tracing_subscriber::fmt::layer()
             .json()
             .flatten_event(true)
             .with_target(false)
             .with_writer(writer)
             .with_filter(budget);
-        tracing_subscriber::registry().with(lines).init();
+        tracing_subscriber::registry().with(layer).init();
         Self {
             _guard: guard,
             unwritten,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Lines that were left out.
+    /// Returns the number of dropped lines.
     #[must_use]
     pub fn dropped(&self) -> usize {
         self.unwritten.dropped_lines() + self.over_budget.load(Ordering::Relaxed)
@@ -71,34 +72,35 @@
     }
 }
 
-/// Lets [`MAX_LINES_PER_SECOND`] lines of each kind pass in a second.
+/// Rate limit that passes [`MAX_LINES_PER_SECOND`] lines of each call site in a second.
 #[derive(Debug)]
 pub struct Budget {
-    began: Instant,
-    kinds: Mutex<HashMap<Identifier, (u64, u32)>>,
-    left_out: Arc<AtomicUsize>,
+    started: Instant,
+    /// The current second and the number of lines in it, by call site.
+    sites: Mutex<HashMap<Identifier, (u64, u32)>>,
+    dropped: Arc<AtomicUsize>,
 }
 
 impl Budget {
-    /// Creates a budget of which nothing is used.
+    /// Creates an unused budget.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            began: Instant::now(),
-            kinds: Mutex::default(),
-            left_out: Arc::default(),
+            started: Instant::now(),
+            sites: Mutex::default(),
+            dropped: Arc::default(),
         }
     }
 
-    /// Counts a line of a kind; returns whether it passes.
-    pub fn take(&self, kind: Identifier) -> bool {
-        let second = self.began.elapsed().as_secs();
+    /// Counts a line of a call site; returns whether it passes.
+    pub fn try_acquire(&self, site: Identifier) -> bool {
+        let second = self.started.elapsed().as_secs();
         let passes = {
-            let mut kinds = self
-                .kinds
+            let mut sites = self
+                .sites
                 .lock()
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
-            let (current, count) = kinds.entry(kind).or_insert((second, 0));
+            let (current, count) = sites.entry(site).or_insert((second, 0));
             if *current != second {
                 (*current, *count) = (second, 0);
             }
@@ -106,7 +108,7 @@
             *count <= MAX_LINES_PER_SECOND
         };
         if !passes {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         passes
     }
@@ -120,7 +122,7 @@
 
 impl<S: Subscriber> Filter<S> for Budget {
     fn enabled(&self, metadata: &Metadata<'_>, _: &Context<'_, S>) -> bool {
-        *metadata.level() <= Level::INFO && self.take(metadata.callsite())
+        *metadata.level() <= Level::INFO && self.try_acquire(metadata.callsite())
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters and histograms, served as text.
+//! Metrics of a node, served in the Prometheus text format.
 
 use prometheus::{
     Histogram, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds in seconds of latency buckets: from a plain call to a long stream.
-const SECONDS: &[f64] = &[
+/// Upper bounds of latency buckets in seconds: from a short call to a long stream.
+const BUCKETS_S: &[f64] = &[
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0, 25.0,
 ];
 
@@ -20,11 +20,12 @@
     pub first_seconds: HistogramVec,
     /// Attempts by service and outcome.
     pub attempts: IntCounterVec,
-    /// Further attempts by service and reason.
+    /// Retries by service and reason.
     pub further_attempts: IntCounterVec,
-    /// Answers asked for again of a larger model, by route.
+    /// Answers that were dropped because the request was escalated to a larger model, by route.
     pub dropped_answers: IntCounterVec,
-    /// Weak answers that callers got since no larger model's came, by route.
+    /// Answers of low confidence that were sent to callers because the larger model did not answer,
+    /// by route.
     pub fallback_answers: IntCounterVec,
     /// Requests to servers that were warming up, by service.
     pub cold_requests: IntCounterVec,
@@ -36,23 +37,24 @@
     pub store_calls: IntCounterVec,
     /// Bytes of messages between nodes, by path and direction.
     pub peer_bytes: IntCounterVec,
-    /// Seconds from when the first node heard of a change until it was in force, by sort.
+    /// Seconds from the arrival of a change at the first node until it became active on this one, by
+    /// kind.
     pub change_age_seconds: HistogramVec,
-    /// Seconds from the notice of a large item until it was in force.
+    /// Seconds from the notice of a large item until it became active.
     pub large_item_seconds: Histogram,
     /// Requests in progress.
     pub in_progress: IntGauge,
-    /// Highest revision of the store that was heard of.
+    /// Revision up to which the store was followed.
     pub revision: IntGauge,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub configuration: IntGauge,
-    /// Entries of the store that could not be read.
+    /// Entries of the store that could not be decoded.
     pub unreadable: IntGauge,
-    /// Nodes known.
+    /// Nodes in the view.
     pub nodes: IntGauge,
     /// Connections opened to backend servers, peers and the store.
     pub connections: IntGauge,
-    /// Log lines left out.
+    /// Dropped log lines.
     pub log_lines_dropped: IntGauge,
 }
 
@@ -61,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// When two metrics have one name.
+    /// When two metrics have the same name.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -78,19 +80,19 @@
             "fescuerack_first_seconds",
             "Seconds until a request's answer began",
         );
-        let first_seconds = HistogramVec::new(options.buckets(SECONDS.to_vec()), &["route"])?;
+        let first_seconds = HistogramVec::new(options.buckets(BUCKETS_S.to_vec()), &["route"])?;
         registry.register(Box::new(first_seconds.clone()))?;
         let options = HistogramOpts::new(
             "fescuerack_large_item_seconds",
             "Seconds from the notice of a large item until it was in force",
         );
-        let large_item_seconds = Histogram::with_opts(options.buckets(SECONDS.to_vec()))?;
+        let large_item_seconds = Histogram::with_opts(options.buckets(BUCKETS_S.to_vec()))?;
         registry.register(Box::new(large_item_seconds.clone()))?;
         let options = HistogramOpts::new(
             "fescuerack_change_age_seconds",
             "Seconds from when the first node heard of a change until it was in force",
         );
-        let change_age_seconds = HistogramVec::new(options.buckets(SECONDS.to_vec()), &["sort"])?;
+        let change_age_seconds = HistogramVec::new(options.buckets(BUCKETS_S.to_vec()), &["sort"])?;
         registry.register(Box::new(change_age_seconds.clone()))?;
         Ok(Self {
             change_age_seconds,
@@ -156,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// When a metric cannot be written.
+    /// When a metric cannot be encoded.
     pub fn text(&self) -> prometheus::Result<String> {
         TextEncoder::new().encode_to_string(&self.registry.gather())
     }
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its settings, what it knows, and its handles.
+//! One node: its settings, its state and its clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -16,7 +16,6 @@
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use slab::Slab;
-
 use tokio::sync::{Notify, watch};
 
 use crate::arrival::Arrivals;
@@ -32,86 +31,86 @@
 use crate::view::View;
 use crate::warming::Warming;
 
-/// What this node has seen of one roll-out, and what it has heard of others.
+/// Evidence on one roll-out: what this node has counted and what it has received from peers.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// Version on trial.
+    /// Canary version.
     pub version: String,
-    /// Counted here.
+    /// Counts of this node.
     pub local: Counts,
-    /// Counted by others, by node.
+    /// Counts of the peers that report to this node, by node.
     pub peers: BTreeMap<String, Counts>,
-    /// Sum that a peer has told.
+    /// Sum of the counts of all nodes, as last reported by a peer.
     pub reported_sum: Counts,
-    /// Servers of the version that broke off what they ran, by a short hash, seen by any
-    /// node.
+    /// Servers of the version that crashed, as observed by any node, by a short hash.
     pub crashed: BTreeSet<u32>,
 }
 
-/// One node. Everything runs on one thread, so that state needs no lock.
+/// One node. All tasks run on one thread, so the state needs no locks.
 pub struct Node {
     /// Settings.
     pub settings: RefCell<Settings>,
-    /// The platform's forms.
+    /// Adapter for the platform's formats.
     pub platform: Arc<dyn Platform>,
-    /// Connections.
+    /// Pool of HTTP connections.
     pub pool: Pool,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Store,
-    /// What is in force.
+    /// Active state of the store on this node.
     pub view: RefCell<View>,
-    /// Further attempts by service.
+    /// Retry budgets by service.
     pub retry_budgets: RefCell<HashMap<Arc<str>, Budget>>,
-    /// Requests that crash servers.
+    /// Requests suspected to crash servers.
     pub suspects: RefCell<Suspects>,
-    /// Roll-outs by service.
+    /// Evidence on roll-outs, by service.
     pub evidence: RefCell<HashMap<Arc<str>, Evidence>>,
-    /// Attempts whose answers a roll-out awaits.
+    /// Attempts without an answer yet, at services with a roll-out.
     pub pending_attempts: RefCell<Slab<PendingAttempt>>,
-    /// Sessions served lately by versions that were not on trial.
+    /// Sessions that this node recently served on versions that are not canaries.
     pub recent_sessions: RefCell<Recent>,
-    /// The same of other nodes, as far as a trial would move them.
+    /// Such sessions of other nodes, restricted to those that a canary would move.
     pub peer_sessions: RefCell<Recent>,
-    /// Work of other nodes by server.
+    /// Load of the peers by server.
     pub peer_load: RefCell<PeerLoad>,
-    /// What this node may send to servers that are warming up.
+    /// Limits on requests to servers that are warming up.
     pub warming: RefCell<Warming>,
-    /// How attempts on servers ended here.
+    /// Counts of this node's recent attempts by server.
     pub attempt_counts: RefCell<Window>,
-    /// Servers that all nodes leave out.
+    /// Detector of outliers, the servers that all nodes eject.
     pub outliers: RefCell<Detector>,
-    /// What the nodes of its group have told this node as their hub.
+    /// Reports from the nodes of its group, which this node receives as their hub.
     pub hub: RefCell<Aggregator>,
-    /// What hubs have told this node as the top.
+    /// Reports from the hubs, which this node receives as the top.
     pub top: RefCell<Aggregator>,
-    /// How long answers usually take, by route and model.
+    /// Usual timing of answers, by the latency class of their route and model.
     pub baselines: RefCell<HashMap<u64, Baseline>>,
-    /// What this node has learned of how long requests wait, by service.
+    /// Estimates of how long requests wait at a server, by service.
     pub waits: RefCell<HashMap<Arc<str>, Wait>>,
-    /// When changes of the store came.
+    /// When changes of the store arrived.
     pub arrivals: RefCell<Arrivals>,
-    /// What this node has told of large items.
+    /// State of serving large items to other nodes.
     pub publisher: Publisher,
-    /// Tells that a large item is awaited.
+    /// Notifies the fetcher that a large item is awaited.
     pub large_item_awaited: Notify,
-    /// Tells that the view has followed the store up to a revision.
+    /// Publishes the revision up to which the view has followed the store.
     pub followed_revision: watch::Sender<u64>,
-    /// When the store last answered, to this node or to the watcher that it asked.
+    /// When the store last answered this node or the watcher that it polled.
     pub store_answered: Cell<Instant>,
     /// Whether the process is stopping.
     pub is_stopping: Cell<bool>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Randomness for spreading; no decision that nodes must share uses it.
+    /// Random numbers for spreading load and calls. Decisions on which nodes must agree do not use
+    /// them.
     pub random: RefCell<SmallRng>,
 }
 
 impl Node {
-    /// Creates a node that knows nothing yet.
+    /// Creates a node with an empty view.
     ///
     /// # Errors
     ///
-    /// When metrics cannot be set up.
+    /// When the metrics cannot be registered.
     pub fn new(settings: Settings, platform: Arc<dyn Platform>) -> anyhow::Result<Self> {
         let pool = Pool::new();
         let store = Store::new(settings.store, pool.clone(), platform.clone());
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: one thread, its tasks and its signals.
+//! The process of a node: its thread, tasks and signals.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::settings::Settings;
 use crate::{fetch, follow, load_report, peer, registration, rollout};
 
-/// Threads besides the one that serves, for work on large items. One does it in turn, and each
-/// further one would take more of the machine from the requests.
+/// Number of threads for work on large items, besides the one that serves requests. The work is
+/// sequential, and each further thread would take more of the processor from requests.
 const OFFLOAD_THREADS: usize = 1;
-/// Time between sweeps of what has run out.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Interval at which expired state is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Runs a node until a signal stops it. `reload` reads the settings again.
+/// Runs a node until a signal stops it. `reload` reads the settings, at the start and on each SIGHUP.
 ///
 /// # Errors
 ///
-/// When the settings cannot be used or an address cannot be bound.
+/// When the settings are unusable or an address cannot be bound.
 pub fn run(
     platform: Arc<dyn Platform>,
     reload: impl Fn() -> anyhow::Result<Settings>,
@@ -59,18 +59,22 @@
         version = env!("CARGO_PKG_VERSION")
     );
     let node = Rc::new(Node::new(settings, platform)?);
-    let front = Listeners::bind(&node).await?;
+    let listeners = Listeners::bind(&node).await?;
     let (stop, stopped) = watch::channel(None);
-    let serving = start(front, node.clone(), stopped);
-    let signals = signals(&node, &stop, reload, logs);
+    let serving = start(listeners, node.clone(), stopped);
+    let signals = handle_signals(&node, &stop, reload, logs);
     tokio::select! {
         () = serving => Ok(()),
         result = signals => result,
     }
 }
 
-/// Starts all tasks of a node and serves until a stop is asked for on `stopped`.
-pub async fn start(front: Listeners, node: Rc<Node>, stopped: watch::Receiver<Option<Instant>>) {
+/// Starts all tasks of a node and serves until a stop is requested on `stopped`.
+pub async fn start(
+    listeners: Listeners,
+    node: Rc<Node>,
+    stopped: watch::Receiver<Option<Instant>>,
+) {
     tokio::task::spawn_local(follow::run(node.clone()));
     tokio::task::spawn_local(fetch::run(node.clone()));
     tokio::task::spawn_local(registration::run(node.clone()));
@@ -78,10 +82,10 @@
     tokio::task::spawn_local(load_report::run(node.clone()));
     tokio::task::spawn_local(rollout::run(node.clone()));
     tokio::task::spawn_local(sweep(node.clone()));
-    front.run(node, stopped).await;
+    listeners.run(node, stopped).await;
 }
 
-async fn signals(
+async fn handle_signals(
     node: &Node,
     stop: &watch::Sender<Option<Instant>>,
     reload: impl Fn() -> anyhow::Result<Settings>,
@@ -98,17 +102,17 @@
             _ = interrupt.recv() => {
                 stop.send_replace(Some(now()));
             }
-            _ = hangup.recv() => read_again(node, &reload),
-            () = tokio::time::sleep(SWEEP) => note_dropped(node, logs),
+            _ = hangup.recv() => reload_settings(node, &reload),
+            () = tokio::time::sleep(SWEEP_INTERVAL) => update_log_gauge(node, logs),
         }
     }
 }
 
-fn read_again(node: &Node, reload: impl Fn() -> anyhow::Result<Settings>) {
+fn reload_settings(node: &Node, reload: impl Fn() -> anyhow::Result<Settings>) {
     match reload() {
         Ok(settings) => {
-            let is_new = settings != *node.settings.borrow();
-            tracing::info!(event = "reload", changed = is_new);
+            let is_changed = settings != *node.settings.borrow();
+            tracing::info!(event = "reload", changed = is_changed);
             *node.settings.borrow_mut() = settings;
         }
         Err(error) => {
@@ -117,22 +121,23 @@
     }
 }
 
-/// Drops what has run out, until the process ends.
+/// Drops expired state until the process ends.
 async fn sweep(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        let gone = node.view.borrow_mut().sweep(now());
-        if gone > 0 {
-            tracing::info!(event = "servers-not-back", count = gone);
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        let dropped = node.view.borrow_mut().sweep(now());
+        if dropped > 0 {
+            tracing::info!(event = "servers-not-back", count = dropped);
         }
-        note_cold(&node);
+        sweep_warming(&node);
         node.pool.sweep();
         let connections = i64::try_from(node.pool.opened()).unwrap_or(i64::MAX);
         node.metrics.connections.set(connections);
     }
 }
 
-fn note_cold(node: &Node) {
+/// Drops the limits of servers that are warm, and updates the gauges of cold servers and zones.
+fn sweep_warming(node: &Node) {
     let view = node.view.borrow();
     node.warming.borrow_mut().sweep(now(), &view);
     let cold = view.servers.values().filter(|server| server.is_cold(now()));
@@ -143,7 +148,7 @@
         .set(gauge(view.evacuated.len()));
 }
 
-fn note_dropped(node: &Node, logs: &Logs) {
+fn update_log_gauge(node: &Node, logs: &Logs) {
     let dropped = i64::try_from(logs.dropped()).unwrap_or(i64::MAX);
     node.metrics.log_lines_dropped.set(dropped);
 }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -1,9 +1,8 @@
-//! Running roll-outs: counting answers, judging, and keeping the record.
+//! Roll-outs: counts answers, evaluates the evidence and writes the record.
 //!
-//! Any node may write the record of a roll-out, under the condition that nobody
-//! wrote it since this node read it; a record that says how it ended is never
-//! written again. So no lease is needed, and a node that dies in between is
-//! replaced by whichever judges next.
+//! Any node may write the record of a roll-out, on the condition that it has not changed since this
+//! node read it. A record with an outcome is never written again. No lease is therefore needed, and
+//! if a node fails in between, the next node that evaluates the roll-out continues it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,29 +20,29 @@
 use crate::platform::{Progress, RolloutStatus, StoreRequest, StoreResponse};
 use crate::view::Order;
 
-/// Milliseconds between judgements.
-const JUDGE_MS: u64 = 300;
-/// Milliseconds for which a node that is not the collector leaves a good ending to
-/// the collector.
-const DEFER_MS: u64 = 1_500;
+/// Milliseconds between two evaluations.
+const EVALUATION_INTERVAL_MS: u64 = 300;
+/// Milliseconds for which the other nodes leave it to the collector to open the record and to record
+/// a completion.
+const COLLECTOR_LEAD_MS: u64 = 1_500;
 
-/// How an answer of a service on trial ended.
+/// Outcome of an answer, as it counts for a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnswerOutcome {
-    /// With success.
+    /// The answer was successful.
     Succeeded(Timing),
-    /// With a failure that the server answered.
+    /// The server answered with an error.
     Failed,
-    /// Nothing came in the time that the attempt had.
+    /// No answer arrived before the timeout of the attempt.
     TimedOut,
-    /// The server broke off.
+    /// The connection broke before the answer was complete.
     Broken,
 }
 
-/// Judges and records until the process ends.
+/// Evaluates the roll-outs and records their progress until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(JUDGE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(EVALUATION_INTERVAL_MS)).await;
         let orders: Vec<Order> = node.view.borrow().orders.values().cloned().collect();
         for order in orders {
             step(&node, &order).await;
@@ -51,15 +50,15 @@
     }
 }
 
-/// Begins to gather what is seen of each roll-out that is ordered.
+/// Initialises the evidence of each ordered roll-out.
 pub fn init_evidence(node: &Node) {
     let orders: Vec<Order> = node.view.borrow().orders.values().cloned().collect();
     for order in orders {
-        gather(node, &order);
+        sum_evidence(node, &order);
     }
 }
 
-/// Returns the trial that an order stands for.
+/// Returns the canary of an order.
 #[must_use]
 pub fn canary(node: &Node, order: &Order) -> Canary {
     Canary {
@@ -69,22 +68,22 @@
     }
 }
 
-/// An attempt whose answer a roll-out awaits.
+/// An attempt without an answer yet, at a server of a service with a roll-out.
 ///
-/// A slow version's answers end long after those of the other, and many not in the time of the
-/// trial. So an answer that is known to be slow is counted before it has ended.
+/// Answers of a slow version end long after those of the other version, many of them after the end
+/// of the canary. An answer that is already slow is therefore counted before it has ended.
 #[derive(Debug)]
 pub struct PendingAttempt {
     service: Arc<str>,
     route: Arc<str>,
     is_new: bool,
-    /// From when it is slow.
+    /// From when the answer counts as slow.
     slow_from: Option<Instant>,
-    /// Whether it began in the stage under load and has no head.
-    waits: bool,
+    /// Whether the attempt started in the stage under load and has no response head yet.
+    is_waiting: bool,
 }
 
-/// An attempt's place among those that are awaited, given up when dropped.
+/// Keeps an attempt in [`Node::pending_attempts`] until it is dropped.
 pub struct PendingGuard {
     node: Rc<Node>,
     key: usize,
@@ -97,72 +96,73 @@
 }
 
 impl PendingGuard {
-    /// Notes that the head is there: later than now it does not become slow.
+    /// Records that the response head was received: from now on the answer does not become slow.
     pub fn record_head(&mut self) {
-        if let Some(awaited) = self.node.pending_attempts.borrow_mut().get_mut(self.key) {
-            awaited.slow_from = awaited.slow_from.filter(|from| now() >= *from);
-            awaited.waits = false;
+        if let Some(attempt) = self.node.pending_attempts.borrow_mut().get_mut(self.key) {
+            attempt.slow_from = attempt.slow_from.filter(|from| now() >= *from);
+            attempt.is_waiting = false;
         }
     }
 }
 
-/// Watches an attempt that begins, if its service has a roll-out that is not decided.
+/// Tracks an attempt that starts, if its service has a roll-out without an outcome. `latency_class`
+/// identifies answers with a similar usual latency.
 #[must_use]
 pub fn track(
     node: &Rc<Node>,
     pick: &Pick,
     route: &Arc<str>,
-    kind: u64,
+    latency_class: u64,
     expected_ms: f64,
 ) -> Option<PendingGuard> {
     let (is_new, is_loaded) = {
         let view = node.view.borrow();
         let order = view.orders.get(&pick.service)?;
-        let is_decided = matches!(
+        let has_outcome = matches!(
             order.progress,
             Some(Progress::Completed | Progress::RolledBack)
         );
-        if is_decided {
+        if has_outcome {
             return None;
         }
         let is_loaded = canary(node, order).stage(now()) == Stage::Loaded;
         (order.rollout.version == pick.version, is_loaded)
     };
-    let usual = node.baselines.borrow().get(&kind).copied();
-    let slow_ms = usual.and_then(|usual| usual.slow_threshold_ms(expected_ms));
-    // Servers under load, and cold ones, are slower whatever their version is.
+    let baseline = node.baselines.borrow().get(&latency_class).copied();
+    let slow_ms = baseline.and_then(|baseline| baseline.slow_threshold_ms(expected_ms));
+    // Servers under load and cold servers are slower regardless of their version.
     let slow_ms = slow_ms.filter(|_| !is_loaded && !pick.is_cold);
-    let awaited = PendingAttempt {
+    let attempt = PendingAttempt {
         service: pick.service.clone(),
         route: route.clone(),
         is_new,
         slow_from: slow_ms.map(|millis| now() + Duration::from_secs_f64(millis / 1_000.0)),
-        waits: is_loaded,
+        is_waiting: is_loaded,
     };
-    let key = node.pending_attempts.borrow_mut().insert(awaited);
+    let key = node.pending_attempts.borrow_mut().insert(attempt);
     Some(PendingGuard {
         node: node.clone(),
         key,
     })
 }
 
-/// What this node has seen of a roll-out, slow answers that have not ended included.
+/// Returns the counts of this node for a roll-out, including slow answers that have not ended.
 #[must_use]
 pub fn local_counts(node: &Node, service: &str, known: &Evidence) -> canary::Counts {
     let mut counts = known.local.clone();
-    let awaited = node.pending_attempts.borrow();
-    let of_service = awaited
+    let pending = node.pending_attempts.borrow();
+    let of_service = pending
         .iter()
-        .filter(|(_, awaited)| *awaited.service == *service);
-    for (_, awaited) in of_service {
-        let pair = counts.entry(awaited.route.to_string()).or_default();
-        let side = if awaited.is_new {
+        .filter(|(_, attempt)| *attempt.service == *service);
+    for (_, attempt) in of_service {
+        let pair = counts.entry(attempt.route.to_string()).or_default();
+        let side = if attempt.is_new {
             &mut pair.new
         } else {
             &mut pair.old
         };
-        side.waiting += u32::from(awaited.waits);
-        if awaited.slow_from.is_some_and(|from| now() >= from) {
+        side.waiting += u32::from(attempt.is_waiting);
+        if attempt.slow_from.is_some_and(|from| now() >= from) {
             side.all += 1;
             side.slow += 1;
         }
@@ -170,56 +170,65 @@
     counts
 }
 
-/// Counts how an attempt at `pick` ended, if its service has a roll-out; `kind` tells apart
-/// what usually takes unlike long.
-pub fn record_outcome(node: &Node, pick: &Pick, route: &str, kind: u64, ended: AnswerOutcome) {
+/// Records the outcome of an attempt at `pick`: in the baseline of its latency class, unless the new
+/// version or a cold server answered, and in the evidence if its service has a roll-out.
+pub fn record_outcome(
+    node: &Node,
+    pick: &Pick,
+    route: &str,
+    latency_class: u64,
+    outcome: AnswerOutcome,
+) {
     let order = node.view.borrow().orders.get(&pick.service).cloned();
-    let is_slow = is_slow(node, kind, ended);
+    let is_slow = is_slow(node, latency_class, outcome);
     let Some(order) = order else {
         if !pick.is_cold {
-            learn(node, kind, ended);
+            observe_baseline(node, latency_class, outcome);
         }
         return;
     };
     let is_new = order.rollout.version == pick.version;
     if !is_new && !pick.is_cold {
-        learn(node, kind, ended);
+        observe_baseline(node, latency_class, outcome);
     }
     let mut evidence = node.evidence.borrow_mut();
     let Some(known) = evidence.get_mut(&pick.service) else {
         return;
     };
-    if ended == AnswerOutcome::Broken {
+    if outcome == AnswerOutcome::Broken {
         if is_new {
             known.crashed.insert(load::short_id(pick.identity));
         }
         return;
     }
-    // Servers under load, and cold ones, are slower whatever their version is, but not silent for twice the target.
+    // Servers under load and cold servers are slower regardless of their version, but not so slow
+    // that they do not answer within twice the target.
     let is_loaded = canary(node, &order).stage(now()) == Stage::Loaded;
-    let slow_counts = ended == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
+    let counts_slow = outcome == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
     let pair = known.local.entry(route.to_owned()).or_default();
     let side = if is_new { &mut pair.new } else { &mut pair.old };
     side.all += 1;
-    side.bad += u32::from(ended == AnswerOutcome::Failed);
-    side.loaded += u32::from(is_loaded && ended != AnswerOutcome::TimedOut);
-    side.slow += u32::from(is_slow && slow_counts);
+    side.bad += u32::from(outcome == AnswerOutcome::Failed);
+    side.loaded += u32::from(is_loaded && outcome != AnswerOutcome::TimedOut);
+    side.slow += u32::from(is_slow && counts_slow);
 }
 
-fn is_slow(node: &Node, kind: u64, ended: AnswerOutcome) -> bool {
-    let pace = match ended {
-        AnswerOutcome::Succeeded(pace) => pace,
+fn is_slow(node: &Node, latency_class: u64, outcome: AnswerOutcome) -> bool {
+    let timing = match outcome {
+        AnswerOutcome::Succeeded(timing) => timing,
         AnswerOutcome::TimedOut => return true,
         AnswerOutcome::Failed | AnswerOutcome::Broken => return false,
     };
-    let usual = node.baselines.borrow();
-    usual.get(&kind).is_some_and(|usual| usual.is_slow(&pace))
+    let baselines = node.baselines.borrow();
+    baselines
+        .get(&latency_class)
+        .is_some_and(|baseline| baseline.is_slow(&timing))
 }
 
-fn learn(node: &Node, kind: u64, ended: AnswerOutcome) {
-    if let AnswerOutcome::Succeeded(pace) = ended {
-        let mut usual = node.baselines.borrow_mut();
-        usual.entry(kind).or_default().observe(&pace);
+fn observe_baseline(node: &Node, latency_class: u64, outcome: AnswerOutcome) {
+    if let AnswerOutcome::Succeeded(timing) = outcome {
+        let mut baselines = node.baselines.borrow_mut();
+        baselines.entry(latency_class).or_default().observe(&timing);
     }
 }
 
@@ -230,34 +239,37 @@
             return;
         }
         Some(Progress::Running) => {}
-        None => record(node, order, Progress::Running).await,
+        None => write_record(node, order, Progress::Running).await,
     }
-    let evidence = gather(node, order);
+    let evidence = sum_evidence(node, order);
     let verdict = canary(node, order).evaluate(now(), &evidence);
     match verdict {
         Verdict::Hold => {}
         Verdict::Reject => {
             halt(node, order, &evidence);
-            record(node, order, Progress::RolledBack).await;
+            write_record(node, order, Progress::RolledBack).await;
         }
         Verdict::Complete => {
             if !order.is_halted && may_complete(node, order, now()) {
                 tracing::info!(event = "rollout-proved", service = &*order.rollout.service, evidence = ?evidence);
-                record(node, order, Progress::Completed).await;
+                write_record(node, order, Progress::Completed).await;
             }
         }
     }
 }
 
-/// Whether this node should record a good ending: the collector at once, others
-/// when the collector has not done so.
+/// Whether this node may record a completion: the collector at once, the other nodes if the
+/// collector has not done so in time.
 fn may_complete(node: &Node, order: &Order, now: Instant) -> bool {
     let canary = canary(node, order);
-    let is_left_open = canary.is_completion_allowed(now.minus_millis(DEFER_MS));
-    peer::collector(node, &order.rollout.service).is_none() || is_left_open
+    let is_overdue = canary.is_completion_allowed(now.minus_millis(COLLECTOR_LEAD_MS));
+    peer::collector(node, &order.rollout.service).is_none() || is_overdue
 }
 
-fn gather(node: &Node, order: &Order) -> canary::Evidence {
+/// Returns the evidence on a roll-out from all nodes: the sum of the counts that this node has
+/// received, or the sum that a peer has reported if that covers more answers. Evidence on another
+/// version is discarded.
+fn sum_evidence(node: &Node, order: &Order) -> canary::Evidence {
     let mut evidence = node.evidence.borrow_mut();
     let known = evidence.entry(order.rollout.service.clone()).or_default();
     if *known.version != *order.rollout.version {
@@ -266,18 +278,18 @@
             ..Evidence::default()
         };
     }
-    let own = local_counts(node, &order.rollout.service, known);
-    let heard = peer::sum_counts(&own, &known.peers);
-    let size = |counts: &canary::Counts| -> u32 {
+    let local = local_counts(node, &order.rollout.service, known);
+    let received = peer::sum_counts(&local, &known.peers);
+    let answers = |counts: &canary::Counts| -> u32 {
         counts
             .values()
             .map(|pair| pair.old.all + pair.new.all)
             .sum()
     };
-    let counts = if size(&known.reported_sum) > size(&heard) {
+    let counts = if answers(&known.reported_sum) > answers(&received) {
         known.reported_sum.clone()
     } else {
-        heard
+        received
     };
     canary::Evidence {
         counts,
@@ -285,7 +297,7 @@
     }
 }
 
-/// Stops sending to the new version here, whether or not the record can be kept.
+/// Stops sending requests to the new version from this node, even if the record cannot be written.
 fn halt(node: &Node, order: &Order, evidence: &canary::Evidence) {
     let mut view = node.view.borrow_mut();
     if let Some(known) = view.orders.get_mut(&order.rollout.service)
@@ -302,7 +314,7 @@
     }
 }
 
-async fn record(node: &Rc<Node>, order: &Order, progress: Progress) {
+async fn write_record(node: &Rc<Node>, order: &Order, progress: Progress) {
     if node.view.borrow().outage.is_ongoing() {
         return;
     }
@@ -318,9 +330,9 @@
         revision: Some(order.record_revision),
         lease: None,
     };
-    // Only the collector opens the record, so that not every node writes it; the
-    // others do if it stays closed for a while.
-    let is_due = now() >= order.ordered_at.plus_millis(DEFER_MS);
+    // The collector opens the record, so that not every node writes it. The other nodes do so only
+    // if it is still missing after a while.
+    let is_due = now() >= order.ordered_at.plus_millis(COLLECTOR_LEAD_MS);
     let is_collector = peer::collector(node, &order.rollout.service).is_none();
     if progress == Progress::Running && !is_collector && !is_due {
         return;
@@ -335,7 +347,7 @@
             };
             node.view.borrow_mut().apply(now(), &*node.platform, &item);
         }
-        // Somebody else has written; the watch tells what.
+        // Another node has written the record; the watch returns it.
         Ok(other) => {
             tracing::info!(event = "rollout-not-recorded", key, ?progress, answer = ?other);
         }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,48 +5,48 @@
 
 use fescuerack_core::routed::budget::Bound;
 
-/// Where and within which bounds a node runs.
+/// Addresses and limits of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of the instance.
     pub instance: String,
     /// Availability zone.
     pub zone: String,
-    /// What the instance's link carries, in megabits a second; zero if that is not known.
+    /// Bandwidth of the instance's link in megabits a second; zero if unknown.
     pub link_mbps: u32,
     /// Region by availability zone.
     pub regions: HashMap<String, String>,
-    /// Address for callers.
+    /// Address on which the node listens for callers.
     pub callers: SocketAddr,
-    /// Address that answers whether the node takes callers.
+    /// Address of the readiness check, which reports whether the node accepts callers.
     pub readiness: SocketAddr,
-    /// Path that is asked on the readiness address.
+    /// Path of the readiness check.
     pub readiness_path: String,
-    /// Address for other nodes.
+    /// Address on which the node listens for its peers.
     pub peers: SocketAddr,
     /// Address that serves metrics, if any.
     pub metrics: Option<SocketAddr>,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Shortest lease in milliseconds that the store grants.
+    /// Shortest time to live of a lease that the store grants, in milliseconds.
     pub lease_ms: u64,
-    /// Milliseconds that a stopped process has until it is killed.
+    /// Milliseconds from the stop signal until the process is killed.
     pub grace_ms: u64,
-    /// Further attempts of all nodes together.
+    /// Limit on the retries of all nodes together.
     pub retries: Bound,
-    /// Milliseconds within which the next request of a session comes.
+    /// Maximum number of milliseconds between two requests of a session.
     pub session_ms: u64,
-    /// Part of a service's requests that a new version on trial may get.
+    /// Share of a service's requests that a canary version may get.
     pub exposure: f64,
-    /// How far the rate that a service states for its cold servers may be exceeded.
+    /// How far the rate that a service allows for its cold servers may be exceeded.
     pub warmup: Excess,
 }
 
-/// How far a rate may be exceeded before it counts as broken.
+/// How far a rate may be exceeded before it counts as violated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Excess {
-    /// Factor on the rate.
+    /// Factor by which the rate may be exceeded.
     pub overage: f64,
-    /// Requests beyond that.
+    /// Number of requests beyond that.
     pub slack: f64,
 }
--- a/crates/gateway/tests/all/logs.rs
+++ b/crates/gateway/tests/all/logs.rs
@@ -22,13 +22,13 @@
 /// A service fails and each request writes the same line. The storm must cost a bounded
 /// number of lines and none of another kind.
 #[test]
-fn take_a_storm_of_one_kind_leaves_the_others() {
+fn try_acquire_burst_of_one_site_leaves_the_others() {
     let budget = Budget::new();
     let storm = Identifier(&STORM);
     let passed = (0..10 * MAX_LINES_PER_SECOND)
-        .filter(|_| budget.take(storm.clone()))
+        .filter(|_| budget.try_acquire(storm.clone()))
         .count();
     let most = usize::try_from(2 * MAX_LINES_PER_SECOND).expect("few");
     assert!((1..=most).contains(&passed), "{passed}");
-    assert!(budget.take(Identifier(&OTHER)));
+    assert!(budget.try_acquire(Identifier(&OTHER)));
 }
