--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -35,9 +35,9 @@
 }
 
 fn admission_request(shared: &Shared, call: &Call, class: Option<key::Class>) -> Request {
-    let force = shared.force();
-    let organisation = force.catalog.organisations.get(call.organisation);
-    let entry = class.and_then(|class| force.catalog.classes.get(class));
+    let active = shared.active_configuration();
+    let organisation = active.catalog.organisations.get(call.organisation);
+    let entry = class.and_then(|class| active.catalog.classes.get(class));
     let due = entry.map(|class| shared.now().plus_millis(class.deadline_ms));
     Request {
         organisation: call.organisation,
@@ -62,8 +62,8 @@
 
 /// Takes a request from the organisation's rate limit, if it has one.
 fn check_rate(shared: &Shared, call: &Call) -> Result<(), Refusal> {
-    let force = shared.force();
-    let organisation = force.catalog.organisations.get(call.organisation);
+    let active = shared.active_configuration();
+    let organisation = active.catalog.organisations.get(call.organisation);
     let Some(rate) = organisation.and_then(|organisation| organisation.rate) else {
         return Ok(());
     };
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -15,8 +15,8 @@
 use super::prompt::Prompt;
 use super::upstream::{self, Events};
 use crate::admission::Meter;
-use crate::running::LEAVING;
-use crate::shared::{Force, Shared, lock};
+use crate::in_flight::LEAVING_MESSAGE;
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::versions::suspects;
 
 /// Maximum number of attempts of one request, hedges included.
@@ -61,7 +61,7 @@
 /// Runs the attempts of one completion.
 pub struct AttemptRunner {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     attempts: Attempts,
     spec: AttemptSpec,
     prompt: Prompt,
@@ -77,7 +77,7 @@
 
 impl AttemptRunner {
     /// Prepares the attempts of `spec`; none is made yet.
-    pub fn new(shared: Arc<Shared>, force: Arc<Force>, spec: AttemptSpec) -> Self {
+    pub fn new(shared: Arc<Shared>, active: Arc<ActiveConfiguration>, spec: AttemptSpec) -> Self {
         Self {
             attempts: Attempts::new(true, spec.deadline, MAX_ATTEMPTS),
             prompt: Prompt::new(&spec.body),
@@ -85,7 +85,7 @@
             fleet: None,
             hedged: false,
             shared,
-            force,
+            active,
             spec,
         }
     }
@@ -128,7 +128,7 @@
     /// Sends an attempt to a server that was not tried; returns `None` when
     /// there is none or the request may no longer run.
     fn send(&mut self) -> Option<PendingAttempt> {
-        let fleets = &self.force.catalog.versions[self.spec.version].fleets;
+        let fleets = &self.active.catalog.versions[self.spec.version].fleets;
         let fingerprint = self.spec.fingerprint;
         let avoid = suspects::avoid(&self.shared, fingerprint, self.attempts.tried());
         let request = Request {
@@ -139,7 +139,7 @@
             prefix: self.prompt.prefix,
             adapter: None,
         };
-        let running = self.shared.place_attempt(&request)?;
+        let running = self.shared.start_attempt_with(&request)?;
         if !suspects::start(&self.shared, fingerprint, running.server) {
             return None;
         }
@@ -189,7 +189,7 @@
         if self.hedged || is_suspected || waiting > 0 || self.attempts.made() >= MAX_ATTEMPTS {
             return None;
         }
-        let min_s = self.force.catalog.limit("attempt.hedge-ms") / 1000.0;
+        let min_s = self.active.catalog.limit("attempt.hedge-ms") / 1000.0;
         let remaining = self.spec.deadline.since(self.shared.now());
         let routes = lock(&self.shared.routes);
         hedge::delay(routes.first_token_mean(self.fleet?)?, min_s, remaining)
@@ -224,7 +224,8 @@
     }
 
     fn may_retry(&self) -> bool {
-        self.fleet.is_some_and(|fleet| self.shared.may_retry(fleet))
+        self.fleet
+            .is_some_and(|fleet| self.shared.try_take_retry(fleet))
     }
 }
 
@@ -255,7 +256,9 @@
 pub fn outcome_of(fault: &Fault) -> AttemptOutcome {
     match fault {
         Fault::NotSent(_) => AttemptOutcome::NotRun,
-        Fault::Refused { message, .. } if message.trim() == LEAVING => AttemptOutcome::NotRun,
+        Fault::Refused { message, .. } if message.trim() == LEAVING_MESSAGE => {
+            AttemptOutcome::NotRun
+        }
         Fault::Unknown(_) | Fault::Malformed(_) => AttemptOutcome::Unknown,
         Fault::Refused { .. } => AttemptOutcome::Failed,
     }
--- a/crates/node/src/callers/billing.rs
+++ b/crates/node/src/callers/billing.rs
@@ -9,7 +9,7 @@
 use fescuerack_wire::chat::Usage;
 
 use super::request::Call;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 
 /// Tokens and cost of the steps of one request, which one ledger entry bills.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,10 +21,10 @@
 
 impl Spent {
     /// Adds the usage of a step.
-    pub fn add(&mut self, force: &Force, version: key::Version, usage: Usage) {
+    pub fn add(&mut self, active: &ActiveConfiguration, version: key::Version, usage: Usage) {
         self.input_tokens += usage.prompt_tokens;
         self.output_tokens += usage.completion_tokens;
-        self.cost += cost(force, version, usage);
+        self.cost += cost(active, version, usage);
     }
 
     /// Returns the cost of all steps in micro-euro.
@@ -40,20 +40,20 @@
 /// milliseconds until the entry is durable.
 pub async fn completion(
     shared: &Arc<Shared>,
-    force: &Force,
+    active: &ActiveConfiguration,
     call: &Call,
     version: key::Version,
     usage: Usage,
     mut spent: Spent,
 ) -> u64 {
-    spent.add(force, version, usage);
+    spent.add(active, version, usage);
     let entry = Entry {
         request: shared.random_id(),
-        version: force.names.versions.name(version).to_string(),
+        version: active.names.versions.name(version).to_string(),
         input_tokens: spent.input_tokens,
         output_tokens: spent.output_tokens,
         cost: spent.cost,
-        ..entry(force, call)
+        ..entry(active, call)
     };
     let ticket = shared.ledger.add(entry);
     wait_until_durable(shared, ticket).await;
@@ -63,7 +63,7 @@
 /// Bills an answered call of a plain service under the identity `billing_id`.
 pub async fn call(
     shared: &Arc<Shared>,
-    force: &Force,
+    active: &ActiveConfiguration,
     call: &Call,
     service: &str,
     billing_id: String,
@@ -71,16 +71,16 @@
     let entry = Entry {
         request: billing_id,
         version: service.to_owned(),
-        ..entry(force, call)
+        ..entry(active, call)
     };
-    let ticket = shared.ledger.add_claimed(entry);
+    let ticket = shared.ledger.add_shared(entry);
     wait_until_durable(shared, ticket).await;
 }
 
 /// Returns an entry without usage. The caller's request identifier is only its
 /// label, never its identity, because two callers may choose the same one.
-fn entry(force: &Force, call: &Call) -> Entry {
-    let organisation = force.names.organisations.name(call.organisation);
+fn entry(active: &ActiveConfiguration, call: &Call) -> Entry {
+    let organisation = active.names.organisations.name(call.organisation);
     Entry {
         organisation: organisation.to_string(),
         label: call.request.clone(),
@@ -91,8 +91,8 @@
 }
 
 /// Returns the cost of an answer in micro-euro.
-fn cost(force: &Force, version: key::Version, usage: Usage) -> u64 {
-    let cost = force.catalog.versions[version].cost;
+fn cost(active: &ActiveConfiguration, version: key::Version, usage: Usage) -> u64 {
+    let cost = active.catalog.versions[version].cost;
     cost.of(usage.prompt_tokens, usage.completion_tokens)
 }
 
@@ -100,7 +100,7 @@
 async fn wait_until_durable(shared: &Arc<Shared>, ticket: Ticket) {
     let start = shared.now();
     let wait = Duration::from_millis(shared.settings.limits.ledger_wait_ms);
-    if !shared.ledger.safe(ticket, wait).await {
+    if !shared.ledger.wait_durable(ticket, wait).await {
         shared.metrics.count("ledger.unsafe");
     }
     let waited = shared.now().since(start);
--- a/crates/node/src/callers/plan_runner.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -27,7 +27,7 @@
 use super::observer::Observer;
 use super::request::Call;
 use crate::admission::Meter;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 use crate::versions::ratings;
 
 /// Milliseconds for which a request waits when no plan's pool has a server.
@@ -42,7 +42,7 @@
     /// State of the process.
     pub shared: &'a Arc<Shared>,
     /// Configuration under which the request runs.
-    pub force: &'a Arc<Force>,
+    pub active: &'a Arc<ActiveConfiguration>,
     /// The request.
     pub call: &'a Call,
     /// Version, class and plans that were chosen for it.
@@ -145,7 +145,7 @@
             None => "cascade.not_judged",
         });
         let mut spent = Spent::default();
-        spent.add(self.force, first, answer.usage);
+        spent.add(self.active, first, answer.usage);
         match self.direct(second, spent).await {
             // The organisation prefers an answer below the target to none.
             Err(_) if self.is_below_target_allowed() => Ok(complete(first, answer)),
@@ -156,7 +156,7 @@
     }
 
     fn is_below_target_allowed(&self) -> bool {
-        let organisations = &self.force.catalog.organisations;
+        let organisations = &self.active.catalog.organisations;
         let entry = organisations.get(self.call.organisation);
         entry.is_some_and(|entry| entry.below_target)
     }
@@ -180,7 +180,7 @@
     /// used up or no rating came in time.
     async fn rate(&self, version: key::Version, answer: &Answer) -> Option<f64> {
         let class = self.choice.class?;
-        if !ratings::try_acquire(self.shared, self.force, Purpose::Cascade) {
+        if !ratings::try_acquire(self.shared, self.active, Purpose::Cascade) {
             self.shared.metrics.count("ratings.over_rate");
             return None;
         }
@@ -198,7 +198,7 @@
 
     fn observer(&self, version: key::Version, is_judged: bool) -> Observer {
         let class = self.choice.class;
-        Observer::new(self.shared, self.force, version, class, is_judged)
+        Observer::new(self.shared, self.active, version, class, is_judged)
     }
 
     fn attempts(&self, version: key::Version) -> AttemptRunner {
@@ -206,11 +206,11 @@
             version,
             path: Endpoint::new(&self.call.path).path(),
             priority: self.choice.priority,
-            fingerprint: fingerprint(self.force, self.call),
-            body: engine_body(self.force, version, self.asked),
+            fingerprint: fingerprint(self.active, self.call),
+            body: engine_body(self.active, version, self.asked),
             deadline: self.call.deadline,
         };
-        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.force), spec)
+        AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.active), spec)
             .with_meter(self.meter.clone())
     }
 }
@@ -226,18 +226,22 @@
 /// Returns the body of the request to the engine. It always asks for a stream
 /// with usage: the attempt can then be cancelled, its first token arrives as soon
 /// as it exists, and it can be billed.
-fn engine_body(force: &Force, version: key::Version, asked: &chat::Request) -> Bytes {
+fn engine_body(
+    active: &ActiveConfiguration,
+    version: key::Version,
+    asked: &chat::Request,
+) -> Bytes {
     let mut rest = asked.rest.clone();
     request_usage(&mut rest);
     let request = chat::Request {
-        model: force.names.versions.name(version).to_string(),
+        model: active.names.versions.name(version).to_string(),
         stream: true,
         rest,
     };
     Bytes::from(serde_json::to_vec(&request).expect("wire messages have only plain fields"))
 }
 
-fn fingerprint(force: &Force, call: &Call) -> Fingerprint {
-    let organisation = force.names.organisations.name(call.organisation);
+fn fingerprint(active: &ActiveConfiguration, call: &Call) -> Fingerprint {
+    let organisation = active.names.organisations.name(call.organisation);
     Fingerprint::new(organisation, &call.body)
 }
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -22,7 +22,7 @@
 
 use super::attempts::AttemptSpec;
 use crate::admission::Meter;
-use crate::running::Running;
+use crate::in_flight::InFlight;
 use crate::shared::Shared;
 use crate::versions::suspects;
 
@@ -61,7 +61,7 @@
 }
 
 /// Starts an attempt.
-pub fn start(shared: &Arc<Shared>, running: Running, spec: AttemptSpec, meter: Meter) -> Events {
+pub fn start(shared: &Arc<Shared>, running: InFlight, spec: AttemptSpec, meter: Meter) -> Events {
     let (sender, receiver) = mpsc::channel(BUFFERED_EVENTS);
     let attempt = Attempt {
         address: running.address.clone(),
@@ -167,7 +167,7 @@
     attempt: Attempt,
     deadline: Instant,
     sender: mpsc::Sender<Result<Event, Fault>>,
-    running: Running,
+    running: InFlight,
     meter: Meter,
     suspect_attempt: suspects::Attempt,
 }
@@ -191,13 +191,13 @@
                 }
                 Ok(Event::End) => {
                     suspects::record_end(&self.shared, &self.suspect_attempt, Ok(()));
-                    self.running.ended_well();
+                    self.running.record_success();
                     self.meter.record_complete();
                     let _ = self.sender.blocking_send(Ok(Event::End));
                     return stream.finish();
                 }
                 Ok(part) => {
-                    self.running.answered();
+                    self.running.record_part();
                     self.meter.record_part(self.shared.now());
                     let _ = self.sender.blocking_send(Ok(part));
                 }
@@ -251,7 +251,7 @@
         let fault = failure.into();
         // Recorded before the request receives the fault and retries.
         suspects::record_end(&self.shared, &self.suspect_attempt, Err(&fault));
-        self.running.failed(&fault);
+        self.running.record_failure(&fault);
         self.record_overload(&fault);
         let _ = self.sender.blocking_send(Err(fault));
     }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -15,7 +15,7 @@
 
 use crate::admission;
 use crate::peers;
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Interval between two reads of the list.
@@ -40,7 +40,7 @@
 }
 
 fn apply(shared: &Shared, list: Instances) {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let mut listed = Vec::new();
     let mut peers = Vec::new();
     for instance in list.instances {
@@ -54,32 +54,32 @@
                 names.fleets.intern(&instance.fleet),
             )
         });
-        listed.push((key, server(instance, fleet, &force)));
+        listed.push((key, server(instance, fleet, &active)));
     }
     peers.sort_by(|a, b| a.id.cmp(&b.id));
-    let position = position(shared, &force, &peers);
+    let position = position(shared, &active, &peers);
     let mut routes = lock(&shared.routes);
     routes.set_position(position);
     routes.apply_list(shared.now(), listed);
     drop(routes);
     peers::observe(shared, &peers);
-    shared.listed.store(true, Ordering::SeqCst);
+    shared.has_server_list.store(true, Ordering::SeqCst);
 }
 
 /// Returns the position of this process among all instances, in the order of
 /// their names, so that all instances compute the same positions.
-fn position(shared: &Shared, force: &Force, peers: &[Instance]) -> Position {
+fn position(shared: &Shared, active: &ActiveConfiguration, peers: &[Instance]) -> Position {
     let local = &shared.settings.instance;
     let before = peers.iter().filter(|peer| peer.id < *local);
     Position {
         index: before.count(),
         instances: peers.len().max(1),
-        size: num::whole(force.catalog.limit("route.subset")),
+        size: num::whole(active.catalog.limit("route.subset")),
     }
 }
 
-fn server(instance: Instance, key: key::Fleet, force: &Force) -> Listed {
-    let fleet = force.catalog.fleets.get(key);
+fn server(instance: Instance, key: key::Fleet, active: &ActiveConfiguration) -> Listed {
+    let fleet = active.catalog.fleets.get(key);
     let retired = fleet.is_some_and(|fleet| fleet.retired.contains(&instance.id));
     Listed {
         id: instance.id,
@@ -98,8 +98,8 @@
 /// Updates admission, rate limits, retry budgets and routes with the present
 /// time and configuration.
 fn update_thresholds(shared: &Shared) {
-    let force = shared.force();
-    let catalog = &force.catalog;
+    let active = shared.active_configuration();
+    let catalog = &active.catalog;
     let now = shared.now();
     let places = shared.settings.limits.concurrency;
     shared
