--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -145,7 +145,7 @@
         while let Status::Waiting(_, decision) = &mut permit.status {
             // The waiter that wakes first refuses all whose deadline has passed.
             let expiry = lock(&self.inner).controller.next_expiry();
-            let expiry = clock.to_tokio(expiry.unwrap_or(request.deadline));
+            let expiry = clock.tokio_instant(expiry.unwrap_or(request.deadline));
             match tokio::time::timeout_at(expiry, decision).await {
                 Ok(Ok(Ok(grant))) => permit.status = Status::Running(grant),
                 Ok(Ok(Err(refusal))) => {
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -27,7 +27,7 @@
 
     /// Converts `at` to an instant of the async runtime's clock.
     #[must_use]
-    pub fn to_tokio(&self, at: Instant) -> tokio::time::Instant {
+    pub fn tokio_instant(&self, at: Instant) -> tokio::time::Instant {
         let at = self.origin + at.since(Instant::ORIGIN);
         tokio::time::Instant::from_std(at)
     }
