--- a/crates/node/tests/all/configuration.rs
+++ b/crates/node/tests/all/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration in force: racing operators, bad files, missed events.
+//! Activation of configurations: concurrent operators, invalid files, missed
+//! events.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,8 @@
     HttpStore::new(&world.platform.address())
 }
 
-fn seen(world: &World) -> Manifest {
+/// Returns the manifest in the store.
+fn current(world: &World) -> Manifest {
     let read = manifest::read(&store(world)).expect("the store answers");
     read.expect("a manifest").1
 }
@@ -35,73 +37,73 @@
     }
 }
 
-fn in_force(fleet: &[Process], revision: u64) {
+fn wait_until_active(fleet: &[Process], revision: u64) {
     for process in fleet {
-        wait_until("the revision is in force", || {
-            process.revision() == revision
-        });
+        wait_until("the revision is active", || process.revision() == revision);
     }
 }
 
-// Two teams change their own files at the same time, many times over. Each
-// change is accepted, none undoes another, and every instance ends with all.
+// Two teams repeatedly change different files at the same time. Every change
+// must be accepted, none may undo another, and every instance must activate
+// them all.
 #[test]
 fn apply_different_files_both_win() {
     const CHANGES: usize = 8;
     let world = World::new();
     let fleet = world.start_fleet(["entry-0", "entry-1", "entry-2"]);
-    let before = seen(&world);
+    let before = current(&world);
     let teams = ["lapset", "kuljetus"].map(|team| {
         let store = store(&world);
-        let mut seen = before.clone();
+        let mut base = before.clone();
         std::thread::spawn(move || {
             for change in 0..CHANGES {
                 let file = format!("90-{team}.yaml");
                 let content = format!("models:\n  {team}: {{note: \"{change}\"}}\n");
                 let request = format!("{team}-{change}");
-                let change_request = change_request(&seen, team, &file, &content, &request);
+                let change_request = change_request(&base, team, &file, &content, &request);
                 let applied = manifest::apply(&store, change_request);
                 assert!(matches!(applied, Applied::Accepted { .. }), "{applied:?}");
-                seen = manifest::read(&store).expect("an answer").expect("one").1;
+                base = manifest::read(&store).expect("an answer").expect("one").1;
             }
         })
     });
     for team in teams {
         team.join().expect("the team is done");
     }
-    let after = seen(&world);
+    let after = current(&world);
     assert_eq!(after.revision, before.revision + 2 * CHANGES as u64);
     assert_eq!(after.files["90-lapset.yaml"].author, "lapset");
     assert_eq!(after.files["90-kuljetus.yaml"].author, "kuljetus");
     let history = manifest::history(&store(&world), 100).expect("a history");
     let revisions: Vec<_> = history.iter().map(|change| change.revision).collect();
     let expected: Vec<_> = (1..=after.revision).rev().collect();
-    assert_eq!(revisions, expected, "every change has its line");
-    in_force(&fleet, after.revision);
+    assert_eq!(revisions, expected, "every change is in the history");
+    wait_until_active(&fleet, after.revision);
 }
 
-// Two operators change the same file from the same state: the second is told
-// whose change stands, and nothing of its own is in force.
+// Two operators change the same file from the same state. The second must get a
+// conflict that names the author of the accepted change, and its own change
+// must not become active.
 #[test]
 fn apply_same_file_conflicts() {
     let world = World::new();
-    let seen_by_both = seen(&world);
+    let base = current(&world);
     let store = store(&world);
     let first = change_request(
-        &seen_by_both,
+        &base,
         "aino",
         "90-lapset.yaml",
         "models:\n  a: {note: one}\n",
         "1",
     );
     let second = change_request(
-        &seen_by_both,
+        &base,
         "eero",
         "90-lapset.yaml",
         "models:\n  a: {note: two}\n",
         "2",
     );
-    let revision = seen_by_both.revision + 1;
+    let revision = base.revision + 1;
     assert_eq!(
         manifest::apply(&store, first.clone()),
         Applied::Accepted { revision }
@@ -110,22 +112,24 @@
         panic!("no conflict");
     };
     assert_eq!(file, "90-lapset.yaml");
-    assert_eq!(theirs.expect("it stands").author, "aino");
-    assert_eq!(seen(&world).revision, revision);
-    // The first operator's tool lost its answer and sends the same again.
+    assert_eq!(theirs.expect("an accepted change").author, "aino");
+    assert_eq!(current(&world).revision, revision);
+    // The first operator's tool did not receive the answer and sends the same
+    // request again.
     assert_eq!(
         manifest::apply(&store, first),
         Applied::Accepted { revision }
     );
 }
 
-// A file that does not parse is refused with its line, and one that somebody
-// wrote past the tool does not reach callers: the old configuration stays.
+// An invalid file must be refused with its line. If an invalid file is written
+// to the store without the tool, the instances must refuse it and keep the
+// previous configuration active.
 #[test]
-fn apply_bad_file_leaves_the_old_in_force() {
+fn apply_bad_file_keeps_the_active_configuration() {
     let world = World::new();
     let process = world.start("entry-0");
-    let before = seen(&world);
+    let before = current(&world);
     let store = store(&world);
     let bad = change_request(
         &before,
@@ -135,14 +139,14 @@
         "1",
     );
     let Applied::Refused(problems) = manifest::apply(&store, bad) else {
-        panic!("taken");
+        panic!("not refused");
     };
     assert_eq!(
         (problems[0].file.as_str(), problems[0].line),
         ("90-bad.yaml", 3)
     );
-    assert_eq!(seen(&world), before);
-    past_the_tool(&store, &before);
+    assert_eq!(current(&world), before);
+    write_without_the_tool(&store, &before);
     wait_until("the bad revision is refused", || {
         process.state()["configuration"]["refused"] == before.revision + 1
     });
@@ -150,8 +154,8 @@
     assert!(process.is_ready());
 }
 
-/// Swaps in a manifest whose file is nonsense, as no tool of ours would.
-fn past_the_tool(store: &HttpStore, before: &Manifest) {
+/// Writes a manifest with an invalid file, which the tool would refuse.
+fn write_without_the_tool(store: &HttpStore, before: &Manifest) {
     let content = Bytes::from("nonsense: 2\n");
     let digest = fescuerack_config::folder::digest(&content);
     let key = format!("config/file/{digest}");
@@ -169,8 +173,8 @@
     assert!(matches!(swapped, Ok(fescuerack_client::Swap::Swapped(_))));
 }
 
-// Watch events are lost, or come late, and reads are old. An accepted change
-// still comes into force on every instance, and stays.
+// Watch events are lost or delayed, or reads return old values. An accepted
+// change must still become active on every instance and stay active.
 #[rstest::rstest]
 #[case::missed(Fault::MissWatch, 1)]
 #[case::late(Fault::LateWatchMs, 700)]
@@ -178,7 +182,7 @@
 fn apply_watch_faults_in_force(#[case] fault: Fault, #[case] value: u64) {
     let world = World::new();
     let fleet = world.start_fleet(["entry-0", "entry-1"]);
-    let mut revision = seen(&world).revision;
+    let mut revision = current(&world).revision;
     world.platform.store_faults().set(fault, value);
     for change in 0..3 {
         let content = format!("models:\n  a: {{note: \"{change}\"}}\n");
@@ -192,5 +196,5 @@
         revision = current.revision + 1;
         assert_eq!(applied, Applied::Accepted { revision });
     }
-    in_force(&fleet, revision);
+    wait_until_active(&fleet, revision);
 }
--- a/crates/node/tests/all/main.rs
+++ b/crates/node/tests/all/main.rs
@@ -1,4 +1,5 @@
-//! Integration tests: real processes against stand-ins.
+//! Integration tests: real processes with stand-ins for the platform and the
+//! backend servers.
 
 mod claims;
 mod configuration;
--- a/crates/node/tests/all/metrics.rs
+++ b/crates/node/tests/all/metrics.rs
@@ -1,34 +1,35 @@
-//! The documented list of metrics against the code.
+//! Compares the documented list of metrics with the code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// What a metric is counted or timed by.
-const CALLS: [&str; 2] = [".count(", ".time("];
-/// Prefix of names that are chosen apart from the call that counts them.
-const ERRORS: &str = "errors.";
+/// Calls that record a metric.
+const RECORDING_CALLS: [&str; 2] = [".count(", ".time("];
+/// Prefix of metric names that do not stand in the call that counts them.
+const ERROR_PREFIX: &str = "errors.";
 
-fn read(path: &Path, texts: &mut Vec<String>) {
+fn read_sources(path: &Path, texts: &mut Vec<String>) {
     for entry in std::fs::read_dir(path).expect("a directory") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            read(&path, texts);
+            read_sources(&path, texts);
         } else {
             texts.push(std::fs::read_to_string(&path).expect("a source file"));
         }
     }
 }
 
-/// Returns the literals of a piece of code that look like names of metrics.
+/// Returns the string literals of a piece of code that look like metric names.
 fn names(code: &str) -> impl Iterator<Item = &str> {
     let inside = code.split('"').skip(1).step_by(2);
     inside.filter(|literal| {
-        let plain = |letter: char| letter.is_ascii_lowercase() || "._0123456789".contains(letter);
-        literal.contains('.') && literal.chars().all(plain)
+        let is_allowed =
+            |letter: char| letter.is_ascii_lowercase() || "._0123456789".contains(letter);
+        literal.contains('.') && literal.chars().all(is_allowed)
     })
 }
 
-/// Returns the arguments of a call whose opening bracket has been passed.
+/// Returns the arguments of a call from the code after its opening bracket.
 fn arguments(code: &str) -> &str {
     let mut depth = 1;
     for (at, letter) in code.char_indices() {
@@ -40,15 +41,16 @@
     code
 }
 
-fn counted() -> BTreeSet<String> {
+/// Returns the metric names in the sources of the crate.
+fn recorded() -> BTreeSet<String> {
     let mut texts = Vec::new();
-    read(
+    read_sources(
         &Path::new(env!("CARGO_MANIFEST_DIR")).join("src"),
         &mut texts,
     );
     let mut found = BTreeSet::new();
     for text in &texts {
-        for call in CALLS {
+        for call in RECORDING_CALLS {
             for rest in text.split(call).skip(1) {
                 found.extend(names(arguments(rest)).map(str::to_owned));
             }
@@ -56,13 +58,14 @@
         let errors = text.lines().flat_map(names);
         found.extend(
             errors
-                .filter(|name| name.starts_with(ERRORS))
+                .filter(|name| name.starts_with(ERROR_PREFIX))
                 .map(str::to_owned),
         );
     }
     found
 }
 
+/// Returns the metric names in the page.
 fn documented() -> BTreeSet<String> {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/METRICS.md");
     let page = std::fs::read_to_string(page).expect("the page");
@@ -73,17 +76,17 @@
 
 #[test]
 fn metrics_are_documented() {
-    let counted = counted();
+    let recorded = recorded();
     let documented = documented();
-    let missing: Vec<_> = counted.difference(&documented).collect();
+    let missing: Vec<_> = recorded.difference(&documented).collect();
     assert!(
         missing.is_empty(),
         "add rows to docs/METRICS.md for {missing:?}"
     );
-    let gone: Vec<_> = documented.difference(&counted).collect();
+    let obsolete: Vec<_> = documented.difference(&recorded).collect();
     assert!(
-        gone.is_empty(),
-        "take the rows of {gone:?} out of docs/METRICS.md"
+        obsolete.is_empty(),
+        "remove the rows of {obsolete:?} from docs/METRICS.md"
     );
-    assert!(counted.len() > 50, "the search finds names: {counted:?}");
+    assert!(recorded.len() > 50, "too few names found: {recorded:?}");
 }
--- a/crates/node/tests/all/orders.rs
+++ b/crates/node/tests/all/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: one instance gives them, also when it is paused.
+//! Orders to engines: only one instance sends them, even if it is paused.
 
 use std::process::Command;
 
@@ -9,7 +9,7 @@
 /// Versions of the fleet `kaisla-llm` in the example configuration.
 const VERSIONS: usize = 3;
 
-fn holds(process: &Process) -> bool {
+fn holds_lease(process: &Process) -> bool {
     process.state()["orders"]["kaisla-llm"]["held"] == true
 }
 
@@ -18,7 +18,7 @@
     engines.all(|engine| engine.orders().loaded().len() == VERSIONS)
 }
 
-fn numbers(orders: &[Order]) -> Vec<u64> {
+fn fencing_tokens(orders: &[Order]) -> Vec<u64> {
     orders.iter().map(|order| order.number).collect()
 }
 
@@ -28,40 +28,47 @@
     assert!(status.is_ok_and(|status| status.success()));
 }
 
-// The configuration names three versions and the engines have none. One
-// instance orders the loads; nothing is ordered twice.
+// The configuration lists three versions and the engines have none loaded. One
+// instance must order the loads, and none may be ordered twice.
 #[test]
 fn engines_are_ordered_to_load_once() {
     let world = World::new();
     let fleet = world.start_fleet(["entry-0", "entry-1"]);
     wait_until("every engine has every version", || all_loaded(&world));
-    assert_eq!(fleet.iter().filter(|process| holds(process)).count(), 1);
+    assert_eq!(
+        fleet.iter().filter(|process| holds_lease(process)).count(),
+        1
+    );
     for engine in &world.engines {
         assert_eq!(engine.orders().taken().len(), VERSIONS);
     }
 }
 
-// One engine is busy and takes no order. The others must get theirs, and the
-// instance must not give up the lease as if a newer holder had been seen.
+// One engine is busy and refuses orders. The other engines must still get
+// theirs, and the instance must not release its lease, as it would after a
+// refusal because of a higher fencing token.
 #[test]
 fn engine_busy_does_not_end_the_lease() {
     let world = World::new();
     world.engines[0].orders().refuse(true);
     let [process] = world.start_fleet(["entry-0"]);
-    wait_until("the others have every version", || {
+    wait_until("the other engines have every version", || {
         let mut others = world.engines[1..].iter();
         others.all(|engine| engine.orders().loaded().len() == VERSIONS)
     });
     process.wait_for("orders.failed", 1);
-    assert!(holds(&process));
+    assert!(holds_lease(&process));
     assert_eq!(process.counter("orders.fenced"), 0);
     world.engines[0].orders().refuse(false);
-    wait_until("the busy one has them later", || all_loaded(&world));
+    wait_until("the busy engine has every version later", || {
+        all_loaded(&world)
+    });
 }
 
-// The instance that gives the orders is frozen and its lease lapses. The other
-// takes over and orders a load. The first wakes: its orders must not come
-// after the newer holder's, although these engines ignore fencing numbers.
+// The instance that sends the orders is suspended and its lease lapses. The
+// other instance takes over and orders a load. When the first one resumes, its
+// orders must not follow those of the new lease holder, although these engines
+// ignore fencing tokens.
 #[test]
 fn holder_frozen_gives_no_order_after_a_newer_one() {
     let world = World::new();
@@ -71,13 +78,14 @@
     }
     let fleet = world.start_fleet(["entry-0", "entry-1"]);
     wait_until("every engine has every version", || all_loaded(&world));
-    let frozen = fleet.iter().find(|process| holds(process));
+    let frozen = fleet.iter().find(|process| holds_lease(process));
     let frozen = frozen.expect("an instance holds the lease");
-    let other = fleet.iter().find(|process| !holds(process));
-    let other = other.expect("and one does not");
+    let other = fleet.iter().find(|process| !holds_lease(process));
+    let other = other.expect("an instance without the lease");
     signal(frozen, "-STOP");
-    wait_until("the other instance takes over", || holds(other));
-    // An engine that lost its memory gives both something to order.
+    wait_until("the other instance takes over", || holds_lease(other));
+    // The engines forget their versions, so that both instances have something
+    // to order.
     for engine in &world.engines {
         engine.orders().forget();
     }
@@ -86,10 +94,12 @@
         engine.orders().forget();
     }
     signal(frozen, "-CONT");
-    wait_until("somebody orders", || all_loaded(&world));
-    wait_until("the woken instance knows", || !holds(frozen));
+    wait_until("an instance orders", || all_loaded(&world));
+    wait_until("the resumed instance has lost the lease", || {
+        !holds_lease(frozen)
+    });
     for engine in &world.engines {
-        let numbers = numbers(&engine.orders().taken());
-        assert!(numbers.is_sorted(), "{numbers:?}");
+        let fencing_tokens = fencing_tokens(&engine.orders().taken());
+        assert!(fencing_tokens.is_sorted(), "{fencing_tokens:?}");
     }
 }
--- a/crates/node/tests/all/outage.rs
+++ b/crates/node/tests/all/outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the store: what goes on, and that nothing is lost.
+//! Outages of the store: requests are served, and no ledger entry is lost.
 
 use std::time::Duration;
 
@@ -28,8 +28,9 @@
     (totals.total().requests, totals.duplicates)
 }
 
-// The store is out for a while. Parents' chat must not notice, and every
-// answer of that time is billed once when the store is back.
+// The store is unavailable for a while. Chat requests must still be answered,
+// and every answer of that time must be billed exactly once when the store is
+// back.
 #[test]
 fn chat_store_out_is_billed_once() {
     let world = World::new();
@@ -41,12 +42,12 @@
     }
     assert_eq!(process.state()["ledger"]["pending"], 5);
     store.set(Fault::Down, 0);
-    wait_until("the ledger is kept", || billed(&world).0 == 5);
+    wait_until("the ledger is stored", || billed(&world).0 == 5);
     assert!(process.is_ready());
 }
 
-// Instances are replaced in a long outage. The one that ends hands its ledger
-// to a peer, which writes it when the store is back.
+// An instance shuts down during a long store outage. It must hand its ledger to
+// a peer, which writes it when the store is back.
 #[test]
 fn drain_store_out_hands_off() {
     let world = World::new();
@@ -58,23 +59,25 @@
     assert_eq!(chat(&second), "done");
     first.terminate();
     assert!(first.child.wait().expect("an exit").success());
-    assert_eq!(billed_while_out(&world), 0);
+    assert_eq!(stored_segments(&world), 0);
     world.platform.store_faults().set(Fault::Down, 0);
-    wait_until("the ledger is kept", || billed(&world).0 == 4);
+    wait_until("the ledger is stored", || billed(&world).0 == 4);
     wait_until("the peer has nothing left", || {
         second.state()["ledger"]["pending"] == 0
     });
     assert_eq!(billed(&world).0, 4);
 }
 
-fn billed_while_out(world: &World) -> usize {
+/// Returns the number of ledger segments in the store, without a call.
+fn stored_segments(world: &World) -> usize {
     world
         .platform
         .with_store(|store| store.keys("ledger/", 0).items.len())
 }
 
-// In an outage an instance answers and is killed at once. A peer has a copy of
-// the entry and writes it after the owner has been silent.
+// During a store outage an instance answers a request and is killed right
+// afterwards. A peer that holds a copy of the entry must write it once the owner
+// has sent no message for some time.
 #[test]
 fn kill_store_out_peer_keeps_the_entry() {
     let world = World::new();
@@ -87,11 +90,11 @@
     first.child.kill().expect("it is killed");
     first.child.wait().expect("it ends");
     world.platform.store_faults().set(Fault::Down, 0);
-    wait_until("the peer has kept it", || billed(&world).0 == 1);
+    wait_until("the peer has written it", || billed(&world).0 == 1);
 }
 
-// An instance is replaced in an outage: the new one takes the verified
-// configuration of a peer and says so.
+// An instance starts during a store outage. It must activate the verified
+// configuration of a peer and report the peer as the source.
 #[test]
 fn start_store_out_takes_a_peers_configuration() {
     let world = World::new();
@@ -105,8 +108,8 @@
     assert_eq!(chat(&second), "done");
 }
 
-// Without store and without peers there is no configuration to go by: the
-// instance takes no callers and says so, rather than guess.
+// An instance starts with neither store nor peers, and so has no configuration.
+// It must not become ready, and must refuse requests as not run.
 #[test]
 fn start_store_out_alone_takes_no_callers() {
     let world = World::new();
@@ -122,10 +125,10 @@
     wait_until("it becomes ready", || process.is_ready());
 }
 
-// The store answers, but late, for a long time: claims take longer and still
-// run, and chat does not notice.
+// The store answers, but slowly, for a long time. Calls with a claim must still
+// run, although later, and chat requests must be answered.
 #[test]
-fn store_slow_goes_on() {
+fn chat_and_claim_store_slow_are_answered() {
     let world = World::new();
     let process = world.start("entry-0");
     let store = world.platform.store_faults();
@@ -134,7 +137,7 @@
     let booked = crate::claims::book(&process, Some("slow"), "virtanen", 10_000);
     assert_eq!(outcome(&booked.expect("an answer")), "done");
     store.set(Fault::SlowMs, 0);
-    wait_until("the ledger is kept", || billed(&world).0 == 2);
+    wait_until("the ledger is stored", || billed(&world).0 == 2);
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(billed(&world).0, 2);
 }
--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -11,8 +11,8 @@
 
 use crate::support::{Process, World, client};
 
-/// Time within which instances must have heard each other.
-const HEARD: Duration = Duration::from_secs(20);
+/// Time-out of a wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn state(process: &Process) -> Value {
     let url = format!("{}/state", process.operators);
@@ -21,7 +21,7 @@
 }
 
 fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + HEARD;
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < deadline, "{what}");
         std::thread::sleep(Duration::from_millis(50));
@@ -38,9 +38,9 @@
     });
 }
 
-// Two instances are listed; each must hear the other. Then one is stopped: it
-// says itself that it leaves, and the other knows although the list still
-// shows it as live.
+// Two instances are listed, and each must receive messages of the other. Then
+// one is stopped. It must announce that it leaves, so that the other records it
+// although the list still shows it as live.
 #[test]
 fn instances_hear_each_other_and_the_word_of_one_that_leaves() {
     let world = World::new();
@@ -50,19 +50,20 @@
         list(&world, &process.instance, &process.peers);
     }
     for process in [&first, &second] {
-        wait_for("the other instance is heard", || {
+        wait_for("a message of the other instance has arrived", || {
             state(process)["member"]["instances"][0]["heard_ms_ago"].is_number()
         });
     }
     second.terminate();
     assert!(second.child.wait().expect("an exit").success());
-    wait_for("the word of the leaving instance is known", || {
+    wait_for("the other instance is recorded as leaving", || {
         state(&first)["member"]["instances"][0]["state"] == "leaving"
     });
 }
 
-// Somebody who can reach the peers' port but has no key sends a message that
-// says that an instance leaves. It must be refused, and nothing be believed.
+// A sender without the fleet's key connects to the peers' port and sends a
+// message, such as a false report that an instance leaves. It must be refused,
+// and its contents must not be used.
 #[test]
 fn exchange_without_the_key_is_refused() {
     let world = World::new();
--- a/crates/node/tests/all/settings.rs
+++ b/crates/node/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: file, environment, and what is said of errors.
+//! Settings from file and environment, and the reports of invalid ones.
 
 use fescuerack_node::{Settings, variables};
 use rstest::rstest;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn parse_puts_environment_over_file() {
+fn parse_environment_overrides_file() {
     let variables = [
         ("FESCUERACK_INSTANCE", "7"),
         ("FESCUERACK_LISTEN_CALLERS", "10.0.0.9:80"),
@@ -49,8 +49,8 @@
     assert!(settings.logs.json);
 }
 
-// Each error names file and line (or the variable), the setting and what is
-// accepted, so that it can be mended without reading the code.
+// Each error must name the file and line (or the variable), the setting and the
+// accepted values, so that it can be corrected without reading the code.
 #[rstest]
 #[case::unknown_setting("  concurrency: 200", "  concurency: 200", &["node.yaml:10: ", "concurency", "concurrency"])]
 #[case::wrong_type("  concurrency: 200", "  concurrency: many", &["node.yaml:10: limits.concurrency: ", "many"])]
@@ -62,12 +62,16 @@
 #[case::short_key("peer_key: a key for the tests", "peer_key: k", &["node.yaml:4: peer_key: must hold at least"])]
 #[case::drain("  concurrency: 200", "  drain_lag_ms: 500\n  drain_deadline_ms: 400", &["node.yaml:11: limits.drain_deadline_ms: is 400; accepted is more than"])]
 #[case::syntax("instance: entry-0", "instance: [", &["node.yaml:"])]
-fn parse_tells_line_and_accepted(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
+fn parse_error_names_line_and_accepted_values(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: &[&str],
+) {
     let text = GOOD.replace(from, to);
     assert_ne!(text, GOOD);
-    let told = parse(&text, &[]).expect_err("wrong settings").join("\n");
+    let report = parse(&text, &[]).expect_err("wrong settings").join("\n");
     for part in expected {
-        assert!(told.contains(part), "`{part}` is not in: {told}");
+        assert!(report.contains(part), "`{part}` is not in: {report}");
     }
 }
 
@@ -83,15 +87,18 @@
     "2",
     "accepted are FESCUERACK_LIMITS_CONCURRENCY"
 )]
-fn parse_tells_variable(#[case] variable: &str, #[case] value: &str, #[case] expected: &str) {
-    let told = parse(GOOD, &[(variable, value)]).expect_err("a wrong variable");
-    let told = told.join("\n");
-    assert!(told.contains(&format!("environment {variable}")), "{told}");
-    assert!(told.contains(expected), "{told}");
+fn parse_error_names_variable(#[case] variable: &str, #[case] value: &str, #[case] expected: &str) {
+    let problems = parse(GOOD, &[(variable, value)]).expect_err("a wrong variable");
+    let report = problems.join("\n");
+    assert!(
+        report.contains(&format!("environment {variable}")),
+        "{report}"
+    );
+    assert!(report.contains(expected), "{report}");
 }
 
-// The list of variables stands apart from the types; one that is missing there
-// could not be set from the environment.
+// The list of variables is separate from the settings' types. A setting that is
+// missing in the list could not be set from the environment.
 #[test]
 fn variables_cover_every_setting() {
     let settings = format!("{:?}", parse(GOOD, &[]).expect("good settings"));
--- a/crates/node/tests/all/shutdown.rs
+++ b/crates/node/tests/all/shutdown.rs
@@ -13,29 +13,29 @@
 
 use crate::support::{KEY, Process, World, client, wait_until};
 
-/// Instances that are restarted one after another.
+/// Number of instances, which are restarted one after another.
 const INSTANCES: usize = 3;
-/// Clients that send one request after another.
+/// Number of clients. Each sends one request after another.
 const CLIENTS: u64 = 6;
-/// Time after which the balancer of the test has noticed a change.
+/// Time after which the load balancer of the test reacts to withdrawn readiness.
 const BALANCER_LAG: Duration = Duration::from_millis(100);
 
 /// Pause of a client before it sends a refused request again.
-const BEFORE_RESEND: Duration = Duration::from_millis(5);
+const RESEND_DELAY: Duration = Duration::from_millis(5);
 
-/// What the clients saw.
+/// Results of the clients.
 #[derive(Default)]
-struct Seen {
+struct Results {
     chats: AtomicU64,
     bookings: Mutex<Vec<String>>,
     refused: AtomicU64,
 }
 
 struct Load {
-    /// Addresses that the balancer sends callers to.
+    /// Addresses to which the load balancer sends callers.
     targets: RwLock<Vec<String>>,
     stop: AtomicBool,
-    seen: Seen,
+    results: Results,
 }
 
 impl Load {
@@ -50,11 +50,11 @@
         let mut number = client_number;
         while !self.stop.load(Ordering::SeqCst) {
             let id = format!("request-{number}");
-            // A refusal that says "not run" may be sent again elsewhere; any
-            // other failure is a lost or cut request.
+            // A request that was refused as "not run" may be sent again to
+            // another instance. Any other failure is a lost or cut request.
             while !self.send(&agent, number, &id) {
-                self.seen.refused.fetch_add(1, Ordering::SeqCst);
-                std::thread::sleep(BEFORE_RESEND);
+                self.results.refused.fetch_add(1, Ordering::SeqCst);
+                std::thread::sleep(RESEND_DELAY);
             }
             number += CLIENTS;
         }
@@ -62,13 +62,13 @@
 
     fn send(&self, agent: &Agent, number: u64, id: &str) -> bool {
         let target = self.target(number);
-        let booking = number % 3 == 2;
-        let path = if booking {
+        let is_booking = number % 3 == 2;
+        let path = if is_booking {
             "/v1/services/bookings/confirm"
         } else {
             "/v1/chat/completions"
         };
-        let body = if booking {
+        let body = if is_booking {
             json!({"family": id})
         } else {
             let stream = number.is_multiple_of(3);
@@ -93,25 +93,25 @@
         let text = response.body_mut().read_to_string();
         let text = text.unwrap_or_else(|error| panic!("{id} was cut: {error}"));
         assert_eq!(status, 200, "{id}: {text}");
-        if booking {
-            self.seen
+        if is_booking {
+            self.results
                 .bookings
                 .lock()
                 .expect("no panic")
                 .push(id.to_owned());
         } else {
-            self.seen.chats.fetch_add(1, Ordering::SeqCst);
+            self.results.chats.fetch_add(1, Ordering::SeqCst);
             assert!(
                 number % 3 == 1 || text.contains(chat::DONE),
-                "{id} has no end"
+                "{id}: the stream has no end"
             );
         }
         true
     }
 }
 
-/// Returns whether no connection was made: the instance's port is closed, and
-/// nothing of the request can have arrived.
+/// Returns whether the connection failed because the instance's port is closed,
+/// so that no part of the request can have arrived.
 fn was_not_sent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed => true,
@@ -136,13 +136,11 @@
     load.targets.write().expect("no panic").push(target);
 }
 
-// A release restarts every instance, one after another, in the middle of the
-// day. Parents stream replies, coordinators wait for summaries and bookings
-// are confirmed all the while. A stop that closes its socket too early cuts
-// some of them; one that forgets the ledger's last segment leaves them
-// unbilled; one that lies about "not run" books a sitter twice. In the second
-// case the balancer lags longer than the instances wait for it, so requests
-// are refused and sent again.
+// All instances are restarted one after another under load. Guards against
+// shutdowns that close the socket too early (requests are cut), lose the last
+// ledger segment (requests are not billed) or report "not run" for a request
+// that ran (bookings run twice). In the second case the load balancer lags
+// longer than the instances wait, so requests are refused and sent again.
 #[rstest]
 #[case::balancer_in_time("drain_lag_ms: 300")]
 #[case::balancer_late("drain_lag_ms: 0")]
@@ -154,7 +152,7 @@
     let load = Load {
         targets: RwLock::new(processes.iter().map(|one| one.callers.clone()).collect()),
         stop: AtomicBool::new(false),
-        seen: Seen::default(),
+        results: Results::default(),
     };
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
@@ -177,12 +175,12 @@
         process.terminate();
         assert!(process.child.wait().expect("an exit").success());
     }
-    check_counts(&world, &load.seen);
+    check_counts(&world, &load.results);
 }
 
-fn check_counts(world: &World, seen: &Seen) {
-    let chats = seen.chats.load(Ordering::SeqCst);
-    let mut bookings = seen.bookings.lock().expect("no panic").clone();
+fn check_counts(world: &World, results: &Results) {
+    let chats = results.chats.load(Ordering::SeqCst);
+    let mut bookings = results.bookings.lock().expect("no panic").clone();
     bookings.sort();
     assert!(chats > 0 && !bookings.is_empty());
     let (mut started, mut finished, mut cancelled) = (0, 0, 0);
@@ -208,7 +206,7 @@
     billed.sort();
     let all = billed.len();
     billed.dedup();
-    assert_eq!(billed.len(), all, "an entry is doubled");
+    assert_eq!(billed.len(), all, "an entry is billed twice");
     assert_eq!(
         u64::try_from(all).expect("few"),
         chats + u64::try_from(bookings.len()).expect("few")
@@ -216,13 +214,13 @@
     println!(
         "{chats} chats, {} bookings, {} refusals sent again",
         bookings.len(),
-        seen.refused.load(Ordering::SeqCst)
+        results.refused.load(Ordering::SeqCst)
     );
 }
 
-// A balancer keeps an idle connection and writes a request just as the
-// instance gives the connection up. The request crosses the close; were the
-// connection merely closed, its caller could not tell whether it ran.
+// A load balancer keeps an idle connection and writes a request just as the
+// instance ends the connection. If the connection were simply closed, the caller
+// of the crossing request could not determine whether it ran.
 #[test]
 fn idle_connection_at_shutdown_answers_not_run() {
     let world = World::new();
@@ -234,7 +232,7 @@
     let mut answer = [0; 12];
     idle.read_exact(&mut answer)
         .expect("an answer before the end");
-    // The late request meets the open half of the connection.
+    // The late request is sent on the half of the connection that is still open.
     let request = b"GET /v1/models HTTP/1.1\r\nhost: entry\r\n\r\n";
     idle.write_all(request).expect("no reset");
     let mut rest = String::new();
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -1,4 +1,5 @@
-//! Starts stand-ins and `fescuerackd` processes on loopback.
+//! Starts stand-ins of the platform and of backend servers, and `fescuerackd`
+//! processes, on loopback.
 
 use std::io::{BufRead as _, BufReader, Write as _};
 use std::path::Path;
@@ -14,8 +15,8 @@
 
 /// Key of an organisation of the example configuration.
 pub const KEY: &str = "demo-perhepalvelut-espoo";
-/// Time within which a process must become ready.
-const READY: Duration = Duration::from_secs(20);
+/// Time within which a process must become ready, or another condition hold.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Stand-ins of the platform and of backend servers.
 pub struct World {
@@ -67,7 +68,7 @@
         world
     }
 
-    /// Replaces the engines by engines of another pace.
+    /// Replaces the engines by engines of another speed.
     pub fn replace_engines(&mut self, first_ms: u64, token_ms: u64) {
         self.engines.clear();
         self.start_engines(Pace { first_ms, token_ms });
@@ -108,14 +109,15 @@
         self.start_with(instance, "drain_lag_ms: 0")
     }
 
-    /// Starts a process under `limits`, in YAML's flow style without braces.
+    /// Starts a process with `limits`, in YAML's flow style without braces, and
+    /// waits until it is ready.
     pub fn start_with(&self, instance: &str, limits: &str) -> Process {
         let process = self.spawn(instance, limits);
         process.wait_until_ready();
         process
     }
 
-    /// Starts processes that know each other.
+    /// Starts processes and waits until each has the others in its view.
     pub fn start_fleet<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
         let fleet = instances.map(|instance| self.start(instance));
         for process in &fleet {
@@ -125,18 +127,18 @@
             wait_until("the fleet is known", || {
                 process.state()["member"]["instances"]
                     .as_array()
-                    .is_some_and(|others| others.len() + 1 >= N)
+                    .is_some_and(|peers| peers.len() + 1 >= N)
             });
         }
         fleet
     }
 
-    /// Puts a process on the platform's list.
+    /// Adds a process to the platform's list.
     pub fn list_own(&self, process: &Process) {
         self.list(&process.instance, "fescuerack", process.peers.clone());
     }
 
-    /// Starts a process under `limits` without waiting for it.
+    /// Starts a process with `limits` without waiting until it is ready.
     pub fn spawn(&self, instance: &str, limits: &str) -> Process {
         let settings = format!(
             "instance: {instance}\nzone: espoo-a\npeer_key: a key for the tests\nplatform: {}\nlisten:\n  \
@@ -166,8 +168,9 @@
     }
 }
 
-/// Reads the line with which a process tells its addresses. They are chosen by
-/// the process: a port that a test found free may be another's by then.
+/// Reads the line in which a process prints its addresses. The process binds
+/// free ports itself, because a port that a test finds free may be taken by
+/// another program before the process binds it.
 fn read_addresses(child: &mut Child) -> impl Fn(&str) -> String + use<> {
     let stdout = child.stdout.take().expect("its output is piped");
     let mut line = String::new();
@@ -181,7 +184,7 @@
         wait_until("the process is ready", || self.is_ready());
     }
 
-    /// Returns whether the balancer may send callers.
+    /// Returns whether the load balancer may send callers.
     pub fn is_ready(&self) -> bool {
         let url = format!("{}/readyz", self.operators);
         let answer = client().get(&url).call();
@@ -209,7 +212,7 @@
         words.find_map(|word| word.parse().ok()).expect("a number")
     }
 
-    /// Returns the revision of the configuration in force.
+    /// Returns the revision of the active configuration.
     pub fn revision(&self) -> u64 {
         self.state()["configuration"]["revision"]
             .as_u64()
@@ -241,16 +244,16 @@
     }
 }
 
-/// Waits until something is so.
-pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let deadline = Instant::now() + READY;
-    while !is_so() {
-        assert!(Instant::now() < deadline, "never came about: {what}");
+/// Waits until a condition holds; panics if it does not in time.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Returns a client that takes every status as a value.
+/// Returns a client that returns every HTTP status as a value, not as an error.
 pub fn client() -> Agent {
     agent(8)
 }
