--- a/crates/core/benches/versions/sessions.rs
+++ b/crates/core/benches/versions/sessions.rs
@@ -147,7 +147,7 @@
                         run.fleet.restart(now, index);
                         run.memories[index] = Memory::default();
                         let other = (index + 1) % INSTANCES;
-                        run.fleet.tell(now, other, index);
+                        run.fleet.send(now, other, index);
                     }
                     if pinning == Pinning::Peers && count % GOSSIP_INTERVAL == 0 {
                         run.gossip();
--- a/crates/core/src/routed/lease_expiry.rs
+++ b/crates/core/src/routed/lease_expiry.rs
@@ -1,52 +1,53 @@
-//! Backend servers whose entries vanish while the store is away.
+//! Backend servers whose store entries expire during an outage of the store.
 //!
-//! Entries live by leases. During an outage leases may lapse although their
-//! servers are well; the entries return within [`RETURN_MS`] of the store. A node
-//! that believed such a removal at once would lose its whole fleet the moment the
-//! store is back. So a removal that is heard of shortly after an outage is held
-//! until that time is over; one that is heard of on a calm day counts at once,
-//! as does a server's own word that it leaves.
+//! Entries are bound to leases. During an outage, leases may expire although their servers are
+//! healthy; the servers register again within [`REREGISTRATION_MS`] of the end of the outage. A
+//! node that applied such a removal immediately would lose its whole fleet as soon as the store is
+//! back. A removal that is received shortly after an outage is therefore held until that time has
+//! passed. A removal at any other time takes effect immediately, as does a server's own report that
+//! it is leaving.
 
 use crate::clock::Instant;
 
-/// Milliseconds after the return of the store in which entries come back.
-pub const RETURN_MS: u64 = 2_000;
+/// Milliseconds after the end of an outage in which servers register again.
+pub const REREGISTRATION_MS: u64 = 2_000;
 
-/// What this node knows of the store's outages.
+/// Outages of the store, as observed by the local node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outage {
-    is_away: bool,
-    returned: Option<Instant>,
+    is_ongoing: bool,
+    ended: Option<Instant>,
 }
 
 impl Outage {
-    /// Notes that a call to the store failed; returns whether that is news.
-    pub const fn fail(&mut self) -> bool {
-        let news = !self.is_away;
-        self.is_away = true;
-        news
+    /// Records that a call to the store failed and returns whether an outage begins.
+    pub const fn record_failure(&mut self) -> bool {
+        let is_change = !self.is_ongoing;
+        self.is_ongoing = true;
+        is_change
     }
 
-    /// Notes that the store answered; returns whether that is news.
-    pub const fn answer(&mut self, now: Instant) -> bool {
-        let news = self.is_away;
-        if news {
-            self.returned = Some(now);
+    /// Records that the store answered and returns whether an outage ends.
+    pub const fn record_answer(&mut self, now: Instant) -> bool {
+        let is_change = self.is_ongoing;
+        if is_change {
+            self.ended = Some(now);
         }
-        self.is_away = false;
-        news
+        self.is_ongoing = false;
+        is_change
     }
 
     /// Whether the last call failed.
     #[must_use]
-    pub const fn is_away(&self) -> bool {
-        self.is_away
+    pub const fn is_ongoing(&self) -> bool {
+        self.is_ongoing
     }
 
-    /// Until when a removal that is heard of at `now` is held.
+    /// Returns until when a removal that is received at `now` is held, or `None` if it takes effect
+    /// immediately.
     #[must_use]
-    pub fn holds_until(&self, now: Instant) -> Option<Instant> {
-        let until = self.returned?.plus_millis(RETURN_MS);
+    pub fn hold_until(&self, now: Instant) -> Option<Instant> {
+        let until = self.ended?.plus_millis(REREGISTRATION_MS);
         (now < until).then_some(until)
     }
 }
--- a/crates/core/tests/all/poison.rs
+++ b/crates/core/tests/all/poison.rs
@@ -1,11 +1,11 @@
-//! Requests that crash servers, sent again through random instances.
+//! Test of poison requests that are sent again through random instances.
 
 use std::collections::BTreeMap;
 
 use fescuerack_config::Names;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::poison::{
-    Digest, Fingerprint, LONGEST_MS, MOST_LOST, Record, Suspects, Verdict,
+    Digest, Fingerprint, MAX_CRASHED_SERVERS, MAX_RERUN_MS, Record, Suspects, Verdict,
 };
 use proptest::prelude::*;
 use proptest::test_runner::TestRunner;
@@ -17,11 +17,11 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// An instance is sent a request.
+    /// An instance receives a request.
     Send(usize, u64),
-    /// A run ends, perhaps with the crash of its server.
+    /// A run ends, possibly with the crash of its server.
     End(usize, bool),
-    /// An old message comes again.
+    /// An instance receives an old digest again.
     Old(usize, usize),
     Restart(usize),
     Store(bool),
@@ -53,8 +53,8 @@
     now: Instant,
     suspects: Vec<Suspects>,
     store: BTreeMap<Fingerprint, Record>,
-    down: bool,
-    told: Vec<Digest>,
+    store_is_down: bool,
+    sent: Vec<Digest>,
     lost: BTreeMap<Fingerprint, usize>,
     servers: u32,
     runs: Vec<Running>,
@@ -62,14 +62,14 @@
 
 impl Run {
     fn may_run(&mut self, index: usize, request: Fingerprint) -> bool {
-        match self.suspects[index].judge(self.now, request) {
+        match self.suspects[index].verdict(self.now, request) {
             Verdict::Run => true,
             Verdict::Refuse => false,
-            Verdict::Permit if self.down => true,
+            Verdict::Permit if self.store_is_down => true,
             Verdict::Permit => {
                 let record = self.store.get(&request).cloned().unwrap_or_default();
                 let lost = self.suspects[index].lost(request);
-                let taken = record.take(&format!("instance-{index}"), &lost);
+                let taken = record.take_permit(&format!("instance-{index}"), &lost);
                 let may = taken.is_some();
                 self.store.extend(taken.map(|taken| (request, taken)));
                 may
@@ -77,21 +77,21 @@
         }
     }
 
-    /// A suspicion is pushed to every peer at once.
-    fn tell(&mut self, from: usize) {
+    /// Sends the suspicions of an instance to every peer at once.
+    fn push(&mut self, from: usize) {
         let digest = self.suspects[from].digest(self.now);
         for (index, suspects) in self.suspects.iter_mut().enumerate() {
             if index != from {
                 suspects.merge(self.now, &digest);
             }
         }
-        self.told.push(digest);
+        self.sent.push(digest);
     }
 
     fn send(&mut self, index: usize, request: Fingerprint) {
-        let suspected = self.suspects[index].judge(self.now, request) != Verdict::Run;
-        // Copies that run before anybody suspects them are not bounded: a
-        // caller sends the next one after the answer, or after a crash.
+        let suspected = self.suspects[index].verdict(self.now, request) != Verdict::Run;
+        // The number of copies that run before the request is suspected is not bounded, so a caller
+        // sends the next one only after the answer, or after a crash.
         let first = |run: &Running| run.request == request && !run.suspected;
         if !suspected && self.runs.iter().any(first) {
             return;
@@ -103,7 +103,7 @@
                 index,
                 request,
                 suspected,
-                until: self.now.plus_millis(LONGEST_MS),
+                until: self.now.plus_millis(MAX_RERUN_MS),
             });
         }
     }
@@ -114,48 +114,53 @@
         }
         let Running { index, request, .. } = self.runs.remove(run);
         if !crash {
-            self.suspects[index].survived(request);
+            self.suspects[index].record_survival(request);
             return;
         }
         self.servers += 1;
         *self.lost.entry(request).or_default() += 1;
         let server = format!("server-{}", self.servers);
-        self.suspects[index].crashed(self.now, request, &server);
-        self.tell(index);
+        self.suspects[index].record_crash(self.now, request, &server);
+        self.push(index);
         let lost = self.lost[&request];
-        assert!(lost <= MOST_LOST, "{lost} servers lost to one request");
+        assert!(
+            lost <= MAX_CRASHED_SERVERS,
+            "{lost} servers lost to one request"
+        );
     }
 
     fn apply(&mut self, op: &Op) {
         self.now = self.now.plus_millis(100);
         let now = self.now;
         for run in self.runs.extract_if(.., |run| run.until <= now) {
-            self.suspects[run.index].left(run.request);
+            self.suspects[run.index].release(run.request);
         }
         match *op {
             Op::Send(index, request) => self.send(index, Fingerprint(request)),
             Op::End(run, crash) => self.end(run, crash),
             Op::Old(index, old) => {
-                if let Some(digest) = self.told.get(old) {
+                if let Some(digest) = self.sent.get(old) {
                     self.suspects[index].merge(self.now, digest);
                 }
             }
             Op::Restart(index) => {
                 self.suspects[index] = Suspects::new();
                 self.runs.retain(|run| run.index != index);
-                // It hears a peer before it takes callers.
+                // It receives the digest of a peer before it accepts requests.
                 let peer = self.suspects[(index + 1) % INSTANCES].digest(self.now);
                 self.suspects[index].merge(self.now, &peer);
             }
-            Op::Store(down) => self.down = down,
+            Op::Store(store_is_down) => self.store_is_down = store_is_down,
             Op::Wait(seconds) => self.now = self.now.plus_millis(seconds * 1000),
         }
     }
 }
 
+// A poison request is sent through several instances, with restarts, store outages and old digests
+// in random order. It must not crash more than two servers.
 #[test]
 fn suspects_random_faults_lose_at_most_two_servers() {
-    // Under a day in all, which is how long a suspicion is remembered.
+    // The steps take less than a day in total, the time for which a suspicion is kept.
     let ops = prop::collection::vec(op(), 1..150);
     let mut runner = TestRunner::new(config());
     let result = runner.run(&ops, |ops| {
@@ -163,8 +168,8 @@
             now: Instant::ORIGIN,
             suspects: vec![Suspects::new(); INSTANCES],
             store: BTreeMap::new(),
-            down: false,
-            told: Vec::new(),
+            store_is_down: false,
+            sent: Vec::new(),
             lost: BTreeMap::new(),
             servers: 0,
             runs: Vec::new(),
--- a/crates/core/tests/all/route.rs
+++ b/crates/core/tests/all/route.rs
@@ -1,12 +1,12 @@
-//! Choice of servers under the patterns that it answers.
+//! Tests of server selection under the load patterns that it handles.
 
 use std::collections::BTreeSet;
 
 use fescuerack_config::{Names, key};
 use fescuerack_core::clock::Instant;
 use fescuerack_core::route::score::Report;
-use fescuerack_core::route::subset::{Place, keep};
-use fescuerack_core::route::{Ask, Ended, Listed, State, Table};
+use fescuerack_core::route::subset::{Position, retain_subset};
+use fescuerack_core::route::{Listed, Outcome, Request, State, Table};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64Mcg;
 
@@ -35,9 +35,9 @@
         fixture
     }
 
-    fn list(&mut self, now_ms: u64, shown: &[key::Server]) {
+    fn list(&mut self, now_ms: u64, listed_keys: &[key::Server]) {
         let listed = self.keys.iter().enumerate();
-        let listed = listed.filter(|(_, key)| shown.contains(key));
+        let listed = listed.filter(|(_, key)| listed_keys.contains(key));
         let listed = listed.map(|(index, key)| {
             let server = Listed {
                 id: format!("s{index}"),
@@ -50,57 +50,60 @@
             (*key, server)
         });
         self.table
-            .list(Instant::from_millis(now_ms), listed.collect());
+            .apply_list(Instant::from_millis(now_ms), listed.collect());
     }
 
     fn choose(&mut self, now_ms: u64, prefix: Option<u64>) -> Option<usize> {
         let fleets = [self.fleet];
-        let ask = Ask {
+        let request = Request {
             fleets: &fleets,
             avoid: &self.avoid,
             work: 100,
-            prompt: 2_000,
+            prompt_tokens: 2_000,
             prefix,
             adapter: None,
         };
         let now = Instant::from_millis(now_ms);
-        let chosen = self.table.choose(now, &ask, &mut self.rng)?;
+        let chosen = self.table.choose(now, &request, &mut self.rng)?;
         self.keys.iter().position(|key| *key == chosen)
     }
 
     /// Runs one attempt to its end and returns its server.
-    fn attempt(&mut self, now_ms: u64, ended: impl Fn(usize) -> (f64, Ended)) -> usize {
+    fn attempt(&mut self, now_ms: u64, outcome: impl Fn(usize) -> (f64, Outcome)) -> usize {
         let index = self.choose(now_ms, None).expect("a server");
         let (key, now) = (self.keys[index], Instant::from_millis(now_ms));
-        let clear = self.table.start(now, key, 100);
-        let (seconds, ended) = ended(index);
-        let answered = ended == Ended::Well;
+        let has_free_slot = self.table.start_attempt(now, key, 100);
+        let (seconds, outcome) = outcome(index);
+        let answered = outcome == Outcome::Success;
         if answered {
-            self.table.first(now, key, seconds, clear);
+            self.table
+                .record_first_token(now, key, seconds, has_free_slot);
         }
-        self.table.end(now, key, 100, ended, answered);
+        self.table.end_attempt(now, key, 100, outcome, answered);
         index
     }
 }
 
-// A server is retired and says so in a refusal; the instance list shows it as
-// live for many seconds more. It gets nothing from that moment, nor from peers
-// that are told, and what runs there still ends.
+// A server reports in a refusal that it is leaving, while the instance list shows it as live for
+// many more seconds. It must get no new attempts, from this instance or from peers that received
+// the digest, and the attempts that run there must still be able to end.
 #[test]
 fn choose_never_takes_a_server_that_said_it_leaves() {
     let mut fixture = Fixture::new(3);
     let now = Instant::from_millis(10);
     let leaving = fixture.keys[1];
-    fixture.table.start(now, leaving, 100);
-    fixture.table.leave(now, leaving);
+    fixture.table.start_attempt(now, leaving, 100);
+    fixture.table.mark_leaving(now, leaving);
     let mut peer = Fixture::new(3);
     peer.table.merge(now, &fixture.table.digest(now));
     for step in 0..200 {
         assert_ne!(fixture.choose(step, None), Some(1));
         assert_ne!(peer.choose(step, None), Some(1));
     }
-    fixture.table.end(now, leaving, 100, Ended::Well, false);
-    // Two peers that tell each other do not keep the word alive for ever.
+    fixture
+        .table
+        .end_attempt(now, leaving, 100, Outcome::Success, false);
+    // Two peers that exchange digests must not keep the notice alive for ever.
     let later = Instant::from_millis(130_000);
     peer.table.merge(later, &fixture.table.digest(later));
     peer.table.tick(later);
@@ -110,14 +113,14 @@
 #[test]
 fn choose_skips_a_server_gone_from_the_list() {
     let mut fixture = Fixture::new(3);
-    let shown = [fixture.keys[0], fixture.keys[2]];
-    fixture.list(500, &shown);
+    let listed_keys = [fixture.keys[0], fixture.keys[2]];
+    fixture.list(500, &listed_keys);
     assert!((0..100).all(|_| fixture.choose(600, None) != Some(1)));
 }
 
-// One server becomes ten times slower while its peers are well. It is found by
-// comparison and ejected, comes back on probation one attempt at a time, is
-// ejected again while it is slow, and gets its share once it is well.
+// One server becomes ten times slower than the others. It must be ejected, return on probation with
+// one attempt at a time, be ejected again while it is slow, and get its share again once it has
+// recovered.
 #[test]
 fn tick_ejects_a_slow_server_and_takes_it_back() {
     let mut fixture = Fixture::new(6);
@@ -126,27 +129,30 @@
         for step in 0..2_000 {
             let now = from_ms + step * 10;
             let seconds = move |index| if index == 0 { slow } else { 0.1 };
-            let ended = move |index| (seconds(index), Ended::Well);
-            taken += usize::from(fixture.attempt(now, ended) == 0);
+            let outcome = move |index| (seconds(index), Outcome::Success);
+            taken += usize::from(fixture.attempt(now, outcome) == 0);
             if step % 50 == 0 {
                 fixture.table.tick(Instant::from_millis(now));
             }
         }
         taken
     };
-    assert!(share(&mut fixture, 0, 0.1) > 200, "it is well");
-    assert!(share(&mut fixture, 20_000, 1.0) < 100, "it is slow");
+    assert!(share(&mut fixture, 0, 0.1) > 200, "the server is healthy");
+    assert!(share(&mut fixture, 20_000, 1.0) < 100, "the server is slow");
     share(&mut fixture, 200_000, 0.1);
-    assert!(share(&mut fixture, 220_000, 0.1) > 200, "it is well again");
+    assert!(
+        share(&mut fixture, 220_000, 0.1) > 200,
+        "the server has recovered"
+    );
 }
 
-// Every server fails: the cause is common (a bad network, a bad version).
-// Ejecting them all would leave none for the first that recovers.
+// Every server fails from a common cause, such as the network or a bad version. If all were
+// ejected, the first server that recovers would get no work.
 #[test]
-fn end_keeps_the_floor_when_all_fail() {
+fn end_attempt_keeps_the_floor_when_all_fail() {
     let mut fixture = Fixture::new(6);
     for step in 0..300 {
-        fixture.attempt(step, |_| (0.0, Ended::Badly));
+        fixture.attempt(step, |_| (0.0, Outcome::Failure));
         fixture.table.tick(Instant::from_millis(step));
     }
     let ejected = fixture.table.iter();
@@ -157,15 +163,15 @@
     assert!(fixture.table.usable(fixture.fleet).len() >= 4);
 }
 
-// Nine instances read the same report, in which one server stands idle. If each
-// sends everything there until the next report, it is flooded.
+// Nine instances read the same report, in which one server is idle. If each of them sent all
+// requests there until the next report, the server would be flooded.
 #[test]
-fn choose_with_one_stale_report_makes_no_herd() {
+fn choose_with_one_stale_report_does_not_herd() {
     let mut sent = [0_u32; 6];
     for instance in 0..9 {
         let mut fixture = Fixture::new(6);
         fixture.rng = Pcg64Mcg::seed_from_u64(instance);
-        fixture.table.set_place(Place {
+        fixture.table.set_position(Position {
             index: usize::try_from(instance).unwrap_or(0),
             instances: 9,
             size: 32,
@@ -179,18 +185,20 @@
             };
             fixture
                 .table
-                .report(Instant::from_millis(1_000), key, report);
+                .apply_report(Instant::from_millis(1_000), key, report);
         }
         for _ in 0..10 {
             let index = fixture.choose(1_500, None).expect("a server");
             let key = fixture.keys[index];
-            fixture.table.start(Instant::from_millis(1_500), key, 100);
+            fixture
+                .table
+                .start_attempt(Instant::from_millis(1_500), key, 100);
             sent[index] += 1;
         }
     }
-    // Level would be 22 more on the idle one; all 90 would be the herd.
+    // An even load would be 22 more on the idle server; herding would send it all 90.
     assert!(sent[0] >= 15, "the idle server gets more: {sent:?}");
-    assert!(sent[0] <= 36, "but not all: {sent:?}");
+    assert!(sent[0] <= 36, "but not all requests: {sent:?}");
 }
 
 #[test]
@@ -205,17 +213,17 @@
         let index = fixture.choose(10_000 + step, None).expect("a server");
         fixture
             .table
-            .start(Instant::from_millis(10_000 + step), all[index], 1);
+            .start_attempt(Instant::from_millis(10_000 + step), all[index], 1);
         early[index] += 1;
     }
     assert!(
         early[3] > 0 && early[3] < 30,
-        "a fair share would be 75: {early:?}"
+        "an equal share would be 75: {early:?}"
     );
 }
 
-// One prefix has most of the load. Its home keeps it while it can; what exceeds
-// the bound goes elsewhere.
+// One prefix has most of the load. Its home server must get it up to the load bound, and other
+// servers what exceeds the bound.
 #[test]
 fn choose_keeps_a_prefix_home_within_its_bound() {
     let mut fixture = Fixture::new(6);
@@ -226,7 +234,7 @@
         let index = fixture.choose(0, Some(77)).expect("a server");
         fixture
             .table
-            .start(Instant::ORIGIN, fixture.keys[index], 100);
+            .start_attempt(Instant::ORIGIN, fixture.keys[index], 100);
         sent[index] += 1;
     }
     let most = sent.iter().max().copied().unwrap_or(0);
@@ -247,19 +255,25 @@
             match fixture.rng.random_range(0..10) {
                 0..5 => {
                     let index = fixture.choose(step * 20, Some(step % 7)).expect("a server");
-                    let clear = fixture.table.start(now, fixture.keys[index], 100);
-                    running.push((index, clear));
+                    let has_free_slot = fixture.table.start_attempt(now, fixture.keys[index], 100);
+                    running.push((index, has_free_slot));
                 }
                 5..9 if !running.is_empty() => {
                     let at = fixture.rng.random_range(0..running.len());
-                    let (index, clear) = running.swap_remove(at);
-                    let well = fixture.rng.random::<f64>() < 0.6;
+                    let (index, has_free_slot) = running.swap_remove(at);
+                    let success = fixture.rng.random::<f64>() < 0.6;
                     let key = fixture.keys[index];
-                    if well {
-                        fixture.table.first(now, key, 0.1, clear);
+                    if success {
+                        fixture
+                            .table
+                            .record_first_token(now, key, 0.1, has_free_slot);
                     }
-                    let ended = if well { Ended::Well } else { Ended::Badly };
-                    fixture.table.end(now, key, 100, ended, well);
+                    let outcome = if success {
+                        Outcome::Success
+                    } else {
+                        Outcome::Failure
+                    };
+                    fixture.table.end_attempt(now, key, 100, outcome, success);
                 }
                 _ => fixture.table.tick(now),
             }
@@ -278,19 +292,19 @@
 }
 
 #[test]
-fn keep_deals_servers_out_evenly() {
+fn retain_subset_deals_servers_out_evenly() {
     let mut names = Names::new();
     let ids: Vec<String> = (0..910).map(|index| format!("server-{index}")).collect();
     let keys: Vec<_> = ids.iter().map(|id| names.servers.intern(id)).collect();
     let mut uses = vec![0_u32; keys.len()];
     for index in 0..340 {
-        let place = Place {
+        let place = Position {
             index,
             instances: 340,
             size: 32,
         };
         let mut kept = keys.clone();
-        keep(&place, &mut kept, |key| names.servers.name(key).as_ref());
+        retain_subset(&place, &mut kept, |key| names.servers.name(key).as_ref());
         assert!((32..=33).contains(&kept.len()));
         for key in kept {
             uses[keys.iter().position(|known| *known == key).expect("known")] += 1;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one backend server, up to the head of its answer.
+//! One attempt: sends a request to one backend server and waits for the head of its response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,94 +12,95 @@
 
 use crate::catalog::Route;
 use crate::clock::{deadline, now};
-use crate::edge::{Ask, Head, Order};
 use crate::headers;
-use crate::judge;
 use crate::node::Node;
-use crate::pick::{self, Pick, Running};
+use crate::pick::{self, InFlight, Pick};
+use crate::platform::{RequestHead, ResponseHead, UpstreamHead};
 use crate::trials::{self, Watched};
 use crate::upstream::{Answered, Sent};
+use crate::verdict;
 
-/// A caller's request, read whole.
+/// A caller's request with its whole body.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Route.
     pub route: Arc<Route>,
     /// Organisation of the caller.
     pub organisation: Option<Arc<str>>,
-    /// Regions that the organisation allows, besides the route's; empty if any.
+    /// Regions that the organisation allows, in addition to the restriction by the route; empty if
+    /// it allows all.
     pub regions: Vec<Arc<str>>,
-    /// Rank of the organisation, if it has one.
+    /// Priority of the organisation, if it has one.
     pub priority: Option<u32>,
-    /// What the caller's headers say.
-    pub ask: Ask,
+    /// Headers of the caller, parsed.
+    pub head: RequestHead,
     /// Method.
     pub method: Method,
-    /// Path and query as sent.
+    /// Path and query as received.
     pub target: Uri,
-    /// Headers without those that concern the caller's connection.
+    /// Headers of the caller. Hop-by-hop headers are removed for each attempt.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// When its head had come.
+    /// When its head was received.
     pub arrived: Instant,
-    /// When an answer must have gone out.
+    /// When the answer must have been sent.
     pub deadline: Instant,
-    /// Digest by which a request that crashes servers is known.
+    /// Digest by which a request that crashes servers is recognised.
     pub digest: u64,
     /// Hash of its session.
     pub session: u64,
 }
 
-/// What became of an attempt.
-pub enum Tried {
-    /// The server did not run it, or no byte left for it.
-    NotRun(NotRun),
-    /// It may have run.
+/// The result of an attempt.
+pub enum AttemptResult {
+    /// The server did not execute the request, or no byte of it was sent.
+    NotExecuted(NotExecuted),
+    /// The server may have executed the request.
     Unknown,
-    /// No head came in the time that the attempt had.
-    Silent,
-    /// A head came.
-    Headed(Box<Headed>),
+    /// No head was received before the deadline of the attempt.
+    TimedOut,
+    /// A head was received.
+    Responded(Box<OpenResponse>),
 }
 
-/// How it is known that an attempt did not run.
+/// Why it is certain that a request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotRun {
-    /// No byte left: the server could not be reached.
-    Unreached,
-    /// The server said so.
-    Said,
+pub enum NotExecuted {
+    /// No byte was sent: the server could not be reached.
+    Unreachable,
+    /// The server reported it.
+    Reported,
 }
 
-/// An answer whose head is there.
-pub struct Headed {
+/// A response whose head was received and whose body has not been read.
+pub struct OpenResponse {
     /// Head, body and connection.
     pub answered: Answered,
-    /// What the head says.
-    pub head: Head,
-    /// Who answers.
+    /// Head, parsed.
+    pub head: ResponseHead,
+    /// Server that responded.
     pub pick: Pick,
-    /// Milliseconds until the head came.
+    /// Milliseconds until the head was received.
     pub head_ms: f64,
-    /// Milliseconds until a head that the work on the server made likely.
-    pub expected_ms: f64,
-    /// Counts the request as running there.
-    pub running: Running,
-    /// Lets a roll-out know while the answer is slow, until its end is counted.
+    /// Expected milliseconds until the head, by the work on the server.
+    pub expected_head_ms: f64,
+    /// Counts the request as running on the server.
+    pub in_flight: InFlight,
+    /// Reports a slow response to the roll-out while it lasts, until its outcome is counted.
     pub watched: Option<Watched>,
 }
 
-/// An answer whose head is not judged yet.
-struct Coming {
+/// A response whose head has not been checked yet.
+struct ReceivedResponse {
     answered: Answered,
-    running: Running,
+    in_flight: InFlight,
     watched: Option<Watched>,
     head_ms: f64,
-    expected_ms: f64,
+    expected_head_ms: f64,
 }
 
-/// Sends `job` to `pick` and waits for a head until `until`.
+/// Sends `job` to `pick` and waits for the head of the response until `until`.
 pub async fn run(
     node: &Rc<Node>,
     job: &Job,
@@ -107,123 +108,138 @@
     model: Option<(usize, &str)>,
     last_event: Option<u64>,
     until: Instant,
-) -> Tried {
+) -> AttemptResult {
     let models = job.route.models.len();
-    let work = pick::work(&job.ask, model.map(|(rank, _)| (rank, models)));
-    let mut running = Running::new(node, &pick, work);
-    let began = now();
-    let kind = judge::kind(job, model.map(|(rank, _)| rank));
-    let expected_ms = expected_ms(node, &pick, work);
-    let mut watched = trials::watch(node, &pick, &job.route.name, kind, expected_ms);
+    let work = pick::work(&job.head, model.map(|(rank, _)| (rank, models)));
+    let mut in_flight = InFlight::new(node, &pick, work);
+    let started = now();
+    let kind = verdict::latency_class(job, model.map(|(rank, _)| rank));
+    let expected_head_ms = expected_head_ms(node, &pick, work);
+    let mut watched = trials::watch(node, &pick, &job.route.name, kind, expected_head_ms);
     let request = request(node, job, &pick, model.map(|(_, name)| name), last_event);
     let sent = node
         .pool
         .send(pick.address, request, job.route.is_repeatable());
     let Ok(sent) = tokio::time::timeout_at(deadline(until), sent).await else {
-        // A busy server is silent as well; leaving it out at once would put its work
-        // on the others, which then fall silent in turn.
-        note(node, job, &pick, began, Some(Outcome::Failed), "silent", "");
-        return Tried::Silent;
+        // An overloaded server is silent too. Ejecting it at once would move its work to the other
+        // servers, which would become silent in turn.
+        record_outcome(
+            node,
+            job,
+            &pick,
+            started,
+            Some(Outcome::Failed),
+            "silent",
+            "",
+        );
+        return AttemptResult::TimedOut;
     };
     match sent {
         Sent::NotSent(reason) => {
-            note(
+            record_outcome(
                 node,
                 job,
                 &pick,
-                began,
+                started,
                 Some(Outcome::Unreached),
                 "unreached",
                 &reason,
             );
-            Tried::NotRun(NotRun::Unreached)
+            AttemptResult::NotExecuted(NotExecuted::Unreachable)
         }
         Sent::Broken(reason) => {
-            note(
+            record_outcome(
                 node,
                 job,
                 &pick,
-                began,
+                started,
                 Some(Outcome::Failed),
                 "broken",
                 &reason,
             );
-            Tried::Unknown
+            AttemptResult::Unknown
         }
         Sent::Answered(answered) => {
-            running.settle();
-            let head_ms = now().since(began).as_secs_f64() * 1_000.0;
-            learn_wait(node, &pick, work, head_ms);
+            in_flight.mark_prefill_done();
+            let head_ms = now().since(started).as_secs_f64() * 1_000.0;
+            record_wait(node, &pick, work, head_ms);
             if let Some(watched) = &mut watched {
                 watched.head();
             }
-            let coming = Coming {
+            let received = ReceivedResponse {
                 answered,
-                running,
+                in_flight,
                 watched,
                 head_ms,
-                expected_ms,
+                expected_head_ms,
             };
-            judge(node, job, pick, began, coming)
+            check_head(node, job, pick, started, received)
         }
     }
 }
 
-/// Milliseconds until a head that the work on the server and the request's own make likely.
-fn expected_ms(node: &Node, pick: &Pick, work: f64) -> f64 {
+/// Returns the expected milliseconds until the head, by the work on the server and that of the
+/// request.
+fn expected_head_ms(node: &Node, pick: &Pick, work: f64) -> f64 {
     let waits = node.waits.borrow();
     let wait = waits.get(&pick.service).copied().unwrap_or_default();
     wait.millis(pick.load + work)
 }
 
-/// Learns how long work takes. A version on trial teaches nothing, or a slow one would make its own
-/// answers expected, and neither does a cold server.
-fn learn_wait(node: &Node, pick: &Pick, work: f64, head_ms: f64) {
-    if !pick.is_on_trial && !pick.is_cold {
+/// Adds a sample to the estimate of how long work takes. Samples of a canary are excluded, since a
+/// slow canary would raise the expectation for its own responses; so are those of a cold server.
+fn record_wait(node: &Node, pick: &Pick, work: f64, head_ms: f64) {
+    if !pick.is_canary && !pick.is_cold {
         let mut waits = node.waits.borrow_mut();
         let wait = waits.entry(pick.service.clone()).or_default();
         wait.observe(pick.load + work, head_ms);
     }
 }
 
-fn judge(node: &Rc<Node>, job: &Job, pick: Pick, began: Instant, coming: Coming) -> Tried {
-    let answered = &coming.answered;
+fn check_head(
+    node: &Rc<Node>,
+    job: &Job,
+    pick: Pick,
+    started: Instant,
+    received: ReceivedResponse,
+) -> AttemptResult {
+    let answered = &received.answered;
     let status = answered.response.status();
     let head = node
         .platform
-        .head(status, answered.response.headers(), &job.ask.id);
-    if head.is_not_run {
+        .parse_response_head(status, answered.response.headers(), &job.head.id);
+    if head.is_not_executed {
         if status == StatusCode::MISDIRECTED_REQUEST {
-            // Another server has this address now; the entry is of the one before.
-            pick::replace(&node.view, &pick);
+            // Another server has this address now; the entry is that of its predecessor.
+            pick::mark_replaced(&node.view, &pick);
         }
-        note(node, job, &pick, began, None, "not-run", status.as_str());
-        node.pool.discard(coming.answered);
-        return Tried::NotRun(NotRun::Said);
+        record_outcome(node, job, &pick, started, None, "not-run", status.as_str());
+        node.pool.discard(received.answered);
+        return AttemptResult::NotExecuted(NotExecuted::Reported);
     }
-    if !head.is_own {
-        note(
+    if !head.is_for_request {
+        record_outcome(
             node,
             job,
             &pick,
-            began,
+            started,
             Some(Outcome::Failed),
             "other-answer",
             status.as_str(),
         );
-        return Tried::Unknown;
+        return AttemptResult::Unknown;
     }
     let is_failure = status.is_server_error();
     let outcome = if is_failure {
         Outcome::Failed
     } else {
-        Outcome::Good
+        Outcome::Succeeded
     };
-    note(
+    record_outcome(
         node,
         job,
         &pick,
-        began,
+        started,
         Some(outcome),
         "head",
         status.as_str(),
@@ -231,19 +247,19 @@
     if let Some(confidence) = head.confidence {
         tracing::info!(
             event = "confidence",
-            id = job.ask.id,
+            id = job.head.id,
             server = &*pick.id,
             confidence
         );
     }
-    Tried::Headed(Box::new(Headed {
-        answered: coming.answered,
+    AttemptResult::Responded(Box::new(OpenResponse {
+        answered: received.answered,
         head,
         pick,
-        head_ms: coming.head_ms,
-        expected_ms: coming.expected_ms,
-        running: coming.running,
-        watched: coming.watched,
+        head_ms: received.head_ms,
+        expected_head_ms: received.expected_head_ms,
+        in_flight: received.in_flight,
+        watched: received.watched,
     }))
 }
 
@@ -255,9 +271,9 @@
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let left = job.deadline.since(now()).as_millis();
-    let order = Order {
+    let order = UpstreamHead {
         server: &pick.id,
-        left_ms: Some(u64::try_from(left).unwrap_or(u64::MAX)),
+        remaining_ms: Some(u64::try_from(left).unwrap_or(u64::MAX)),
         organisation: job.organisation.as_deref(),
         priority: Some(job.priority.unwrap_or(job.route.priority)),
         model,
@@ -267,39 +283,40 @@
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.target.clone();
     *request.headers_mut() = job.headers.clone();
-    headers::strip(request.headers_mut());
-    node.platform.order(request.headers_mut(), &order);
+    headers::strip_hop_by_hop(request.headers_mut());
+    node.platform
+        .write_upstream_head(request.headers_mut(), &order);
     request
 }
 
-/// Takes an outcome into the server's health and writes the line about it.
-fn note(
+/// Records an outcome in the health of the server and logs the attempt.
+fn record_outcome(
     node: &Node,
     job: &Job,
     pick: &Pick,
-    began: Instant,
+    started: Instant,
     outcome: Option<Outcome>,
-    word: &str,
+    label: &str,
     detail: &str,
 ) {
     let ended = now();
     node.metrics
         .attempts
-        .with_label_values(&[&*pick.service, word])
+        .with_label_values(&[&*pick.service, label])
         .inc();
     let mut view = node.view.borrow_mut();
     let revision = view.revision;
     let mut running = 0;
     let server = view.servers.get_mut(&pick.id);
-    // How a request ended in an earlier life says nothing of the new one.
+    // The outcome of a request before a restart does not count for the restarted server.
     if let Some(server) = server.filter(|server| server.identity == pick.identity) {
         running = server.running;
-        // Silence may be a busy server's.
+        // A server may be silent because it is overloaded.
         if let Some(outcome) = outcome
-            && word != "silent"
+            && label != "silent"
         {
-            let short = load::short(server.identity);
-            let is_failure = outcome != Outcome::Good;
+            let short = load::short_id(server.identity);
+            let is_failure = outcome != Outcome::Succeeded;
             node.ends.borrow_mut().observe(ended, short, is_failure);
         }
         if let Some(outcome) = outcome
@@ -315,17 +332,17 @@
     }
     tracing::info!(
         event = "attempt",
-        id = job.ask.id,
+        id = job.head.id,
         session = format!("{:016x}", job.session),
         route = &*job.route.name,
         server = &*pick.id,
         version = &*pick.version,
-        near = pick.is_near,
+        near = pick.is_same_zone,
         cold = pick.is_cold,
         running,
         revision,
-        ms = ended.since(began).as_secs_f64() * 1_000.0,
-        outcome = word,
+        ms = ended.since(started).as_secs_f64() * 1_000.0,
+        outcome = label,
         detail
     );
 }
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -1,8 +1,8 @@
-//! Which backend servers a request may be sent to at all.
+//! The backend servers that a request may be sent to.
 //!
-//! Ready servers of the service that hold the model, in a zone that is not evacuated and in a region
-//! that route and organisation allow, of the version that the session belongs to. Which of them runs
-//! the request is for [`pick`](crate::pick) to say.
+//! These are the ready servers of the service that have loaded the model, in a zone that is not
+//! evacuated and in a region that both route and organisation allow, of the version that the session
+//! is assigned to. [`pick`](crate::pick) selects one of them.
 
 use std::sync::Arc;
 
@@ -13,25 +13,25 @@
 
 use crate::attempt::Job;
 use crate::clock::now;
-use crate::edge::Progress;
 use crate::node::Node;
+use crate::platform::Progress;
 use crate::server::Server;
 use crate::trials;
 use crate::view::{Order, View};
 use crate::warming;
 
-/// Why servers of the service that are ready may not be used; for the log.
+/// Numbers of ready servers of a service that may not be used, by reason; for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Barred {
+pub struct Excluded {
     /// In a zone that is evacuated.
     pub evacuated: usize,
-    /// Outside of the allowed regions.
-    pub elsewhere: usize,
-    /// Cold, and not for this node now.
+    /// Outside the allowed regions.
+    pub outside_regions: usize,
+    /// Cold, and the warm-up limit does not allow this node a request now.
     pub cold: usize,
 }
 
-/// Servers that may run the request now, without those in `tried`.
+/// Returns the servers that may run the request now, except those in `tried`.
 #[must_use]
 pub fn servers<'a>(
     node: &Node,
@@ -43,98 +43,98 @@
 ) -> Vec<&'a Server> {
     let now = now();
     let usable = |server: &&Server| {
-        server.listed.service == *service
+        server.entry.service == *service
             && server.is_ready()
-            && !tried.contains(&server.listed.id)
-            && model.is_none_or(|model| server.holds(model))
+            && !tried.contains(&server.entry.id)
+            && model.is_none_or(|model| server.has_model(model))
             && !is_evacuated(view, server)
             && is_allowed(node, job, server)
-            && warming::is_open(node, view, server, now)
+            && warming::admits(node, view, server, now)
     };
     let all: Vec<&Server> = view.servers.values().filter(usable).collect();
     let Some(order) = view.orders.get(service) else {
         return all;
     };
-    of_version(node, order, job.session, all)
+    for_version(node, order, job.session, all)
 }
 
 /// Counts the ready servers of `service` that may not be used, by reason.
 #[must_use]
-pub fn barred(node: &Node, job: &Job, service: &Arc<str>, now: Instant) -> Barred {
+pub fn count_excluded(node: &Node, job: &Job, service: &Arc<str>, now: Instant) -> Excluded {
     let view = node.view.borrow();
-    let mut barred = Barred::default();
+    let mut excluded = Excluded::default();
     let ready = view.servers.values().filter(|server| server.is_ready());
-    for server in ready.filter(|server| server.listed.service == *service) {
+    for server in ready.filter(|server| server.entry.service == *service) {
         if is_evacuated(&view, server) {
-            barred.evacuated += 1;
+            excluded.evacuated += 1;
         } else if !is_allowed(node, job, server) {
-            barred.elsewhere += 1;
-        } else if !warming::is_open(node, &view, server, now) {
-            barred.cold += 1;
+            excluded.outside_regions += 1;
+        } else if !warming::admits(node, &view, server, now) {
+            excluded.cold += 1;
         }
     }
-    barred
+    excluded
 }
 
 fn is_evacuated(view: &View, server: &Server) -> bool {
-    view.evacuated.contains_key(&server.listed.zone)
+    view.evacuated.contains_key(&server.entry.zone)
 }
 
-/// Whether route and organisation both allow the server's region.
+/// Returns whether route and organisation both allow the server's region.
 fn is_allowed(node: &Node, job: &Job, server: &Server) -> bool {
-    let both = [&job.route.regions, &job.regions];
-    if both.iter().all(|regions| regions.is_empty()) {
+    let restrictions = [&job.route.regions, &job.regions];
+    if restrictions.iter().all(|regions| regions.is_empty()) {
         return true;
     }
     let settings = node.settings.borrow();
-    // A zone that is in no known region may be anywhere.
-    let Some(region) = settings.regions.get(&*server.listed.zone) else {
+    // A zone of no known region may be outside the allowed ones.
+    let Some(region) = settings.regions.get(&*server.entry.zone) else {
         return false;
     };
     let allows = |regions: &[Arc<str>]| {
         regions.is_empty() || regions.iter().any(|allowed| **allowed == **region)
     };
-    both.iter().all(|regions| allows(regions))
+    restrictions.iter().all(|regions| allows(regions))
 }
 
-/// The servers among `all` of the version that the session goes to.
-fn of_version<'a>(
+/// Returns the servers among `all` of the version that the session is assigned to.
+fn for_version<'a>(
     node: &Node,
     order: &Order,
     session: u64,
     all: Vec<&'a Server>,
 ) -> Vec<&'a Server> {
-    let is_new = |server: &&Server| server.listed.version == order.rollout.version;
+    let is_new = |server: &&Server| server.entry.version == order.rollout.version;
     let (new, old): (Vec<&Server>, Vec<&Server>) = all.into_iter().partition(is_new);
-    if !prefers_new(node, order, session) || new.is_empty() {
+    if !uses_new_version(node, order, session) || new.is_empty() {
         return old;
     }
     if order.progress == Some(Progress::Completed) {
         return new;
     }
-    on_trial(node, order, new)
+    canary_servers(node, order, new)
 }
 
-/// The servers of a version on trial that get its share of the traffic, healthy ones
-/// first; all nodes agree on them.
-fn on_trial<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
+/// Returns the servers of a canary version that get its share of the traffic, healthy ones first.
+/// All nodes choose the same ones.
+fn canary_servers<'a>(node: &Node, order: &Order, mut new: Vec<&'a Server>) -> Vec<&'a Server> {
     let now = now();
     let trial = trials::trial(node, order);
-    let busy = trial.servers(trial.stage(now), new.len());
+    let count = trial.server_count(trial.stage(now), new.len());
     new.sort_by_key(|server| (!is_healthy(node, server), affinity::mix(server.identity)));
-    new.truncate(busy);
+    new.truncate(count);
     new
 }
 
-/// Whether neither this node nor all of them leave the server out.
+/// Returns whether the server is ejected neither by this node nor by outlier detection across nodes.
 #[must_use]
 pub fn is_healthy(node: &Node, server: &Server) -> bool {
     let now = now();
     let grey = node.grey.borrow();
-    server.health.is_in(now) && !grey.is_out(now, load::short(server.identity))
+    server.health.is_available(now) && !grey.is_ejected(now, load::short_id(server.identity))
 }
 
-fn prefers_new(node: &Node, order: &Order, session: u64) -> bool {
+fn uses_new_version(node: &Node, order: &Order, session: u64) -> bool {
     match order.progress {
         Some(Progress::Completed) => true,
         Some(Progress::RolledBack) => false,
@@ -143,8 +143,8 @@
             let trial = trials::trial(node, order);
             let stage = trial.stage(now);
             let is_moved = trial.includes(stage, session);
-            let goes_on = node.recent.borrow().goes_on(now, session)
-                || node.recent_elsewhere.borrow().goes_on(now, session);
+            let goes_on = node.recent.borrow().is_ongoing(now, session)
+                || node.recent_elsewhere.borrow().is_ongoing(now, session);
             let must_stay = goes_on && stage < Stage::Loaded;
             !order.is_halted && is_moved && !must_stay
         }
--- a/crates/gateway/src/fetch.rs
+++ b/crates/gateway/src/fetch.rs
@@ -14,11 +14,11 @@
 
 use crate::apply;
 use crate::clock::now;
-use crate::edge::{Answer as Stored, Call, Item};
 use crate::large::{Awaited, Notice};
 use crate::message;
 use crate::node::Node;
 use crate::piece::Piece;
+use crate::platform::{Item, StoreRequest, StoreResponse as Stored};
 use crate::publisher::{Answer, PATH, Question};
 use crate::source::{self, Source};
 
@@ -88,7 +88,7 @@
             }
         }
     }
-    let is_away = node.view.borrow().outage.is_away();
+    let is_away = node.view.borrow().outage.is_ongoing();
     if is_away || now() < awaited.since.plus_millis(PEERS_MS) {
         return false;
     }
@@ -177,7 +177,7 @@
 /// Reads the item from the store.
 async fn read(node: &Node, awaited: &Awaited) -> bool {
     let key = &awaited.notice.key;
-    let call = Call::Range {
+    let call = StoreRequest::Range {
         prefix: key,
         after: None,
     };
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,4 +1,4 @@
-//! Taking in a caller's request: its route, its key, and its body within limits.
+//! Reading a caller's request: finds its route, checks its key and reads its body within limits.
 
 use std::sync::Arc;
 
@@ -13,12 +13,12 @@
 use crate::attempt::Job;
 use crate::catalog::{Catalog, Limits, Organisation, Route};
 use crate::clock::deadline;
-use crate::edge::Ask;
 use crate::node::Node;
 use crate::pick;
+use crate::platform::RequestHead;
 use crate::refusal::Refusal;
 
-/// A request whose head may be served.
+/// A request whose head was accepted.
 pub struct Admitted {
     /// Route.
     pub route: Arc<Route>,
@@ -30,8 +30,12 @@
 ///
 /// # Errors
 ///
-/// When no configuration is known yet, no route matches or the key is not known.
-pub fn admit(node: &Node, request: &Request<Incoming>, ask: &Ask) -> Result<Admitted, Refusal> {
+/// When the configuration has not been loaded yet, no route matches or the key is unknown.
+pub fn admit(
+    node: &Node,
+    request: &Request<Incoming>,
+    head: &RequestHead,
+) -> Result<Admitted, Refusal> {
     let catalog = node
         .view
         .borrow()
@@ -48,7 +52,7 @@
         .route(host, request.uri().path())
         .ok_or(Refusal::NoRoute)?
         .clone();
-    let organisation = authorise(&catalog, &route, ask)?;
+    let organisation = authorise(&catalog, &route, head)?;
     Ok(Admitted {
         route,
         organisation,
@@ -59,15 +63,15 @@
 fn authorise(
     catalog: &Catalog,
     route: &Route,
-    ask: &Ask,
+    head: &RequestHead,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
-    let organisation = ask
+    let organisation = head
         .key
         .as_deref()
         .and_then(|key| catalog.organisation(key))
         .cloned();
     if organisation.is_none() && !route.public && !catalog.organisations.is_empty() {
-        return Err(Refusal::NoKey);
+        return Err(Refusal::UnknownKey);
     }
     Ok(organisation)
 }
@@ -76,46 +80,50 @@
 ///
 /// # Errors
 ///
-/// When the body is too large, breaks off or does not come in time.
-pub async fn read(
+/// When the body is too large, truncated or incomplete at `until`.
+pub async fn read_body(
     request: Request<Incoming>,
     admitted: Admitted,
-    ask: Ask,
+    head: RequestHead,
     arrived: Instant,
     until: Instant,
 ) -> Result<Job, Refusal> {
-    let (head, body) = request.into_parts();
+    let (parts, body) = request.into_parts();
     let body = Limited::new(body, admitted.limits.body_bytes).collect();
     let body = match tokio::time::timeout_at(deadline(until), body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             return Err(Refusal::TooLarge);
         }
-        Ok(Err(_)) => return Err(Refusal::NoBody),
-        // Nothing was sent to any server.
-        Err(_) => return Err(Refusal::NotRun),
+        Ok(Err(_)) => return Err(Refusal::IncompleteBody),
+        // The request was not sent to any server.
+        Err(_) => return Err(Refusal::NotExecuted),
     };
-    let target = head
+    let target = parts
         .uri
         .path_and_query()
         .map_or("/", |target| target.as_str())
         .parse()
-        .map_err(|_| Refusal::NoBody)?;
+        .map_err(|_| Refusal::IncompleteBody)?;
     let (organisation, priority, regions) = match admitted.organisation {
-        Some(one) => (Some(one.name.clone()), one.priority, one.regions.clone()),
+        Some(organisation) => (
+            Some(organisation.name.clone()),
+            organisation.priority,
+            organisation.regions.clone(),
+        ),
         None => (None, None, Vec::new()),
     };
     Ok(Job {
-        session: pick::session(&ask, organisation.as_deref()),
-        digest: digest(organisation.as_deref(), head.uri.path(), &body),
+        session: pick::session(&head, organisation.as_deref()),
+        digest: digest(organisation.as_deref(), parts.uri.path(), &body),
         route: admitted.route,
         organisation,
         regions,
         priority,
-        ask,
-        method: head.method,
+        head,
+        method: parts.method,
         target,
-        headers: head.headers,
+        headers: parts.headers,
         body,
         arrived,
         deadline: until,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners: callers, readiness, peers, metrics; and the graceful shutdown.
+//! The listeners for callers, readiness probes, peers and metrics, and the graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,45 +23,45 @@
 use crate::node::Node;
 use crate::{peer, request};
 
-/// Milliseconds that a path for metrics or readiness has for its head.
-const HEAD: Duration = Duration::from_secs(20);
-/// Milliseconds after the signal for which new connections are taken: the platform
-/// needs two refused questions, a second apart, to send none any more.
-const ACCEPT_MS: u64 = 2_600;
-/// Milliseconds before the end of the grace at which the process ends whatever still
-/// runs: its last bytes must leave before it is killed.
-const LAST_MS: u64 = 400;
-/// Milliseconds between looks at whether everything has ended.
-const LOOK: Duration = Duration::from_millis(50);
-/// Pause after a failed accept, which mostly means that descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Time-out for the head of a request for metrics or readiness, or by a peer.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Milliseconds after the signal during which new connections are accepted. The platform sends
+/// no more requests after two failed readiness probes, one second apart.
+const ACCEPT_AFTER_SIGNAL_MS: u64 = 2_600;
+/// Milliseconds before the end of the grace period at which the process ends all requests that are
+/// still in progress, so that their last bytes are sent before it is killed.
+const EXIT_MARGIN_MS: u64 = 400;
+/// Interval at which a shutdown checks whether all connections have ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which mostly means that the process has no file descriptors left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a graceful shutdown is.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not asked for.
+    /// No shutdown was requested.
     Serving,
-    /// Not ready any more; idle connections stay open.
-    Leaving,
-    /// Connections close as they become idle.
+    /// The node reports that it is not ready; idle connections stay open.
+    Draining,
+    /// Connections are closed as they become idle.
     Closing,
 }
 
 /// The listeners of a node.
-pub struct Front {
+pub struct Listeners {
     callers: TcpListener,
     readiness: TcpListener,
     peers: TcpListener,
     metrics: Option<TcpListener>,
 }
 
-impl Front {
+impl Listeners {
     /// Binds all addresses.
     ///
     /// # Errors
     ///
-    /// When an address cannot be bound.
-    pub async fn new(node: &Node) -> anyhow::Result<Self> {
+    /// When an address cannot be bound to.
+    pub async fn bind(node: &Node) -> anyhow::Result<Self> {
         let (callers, readiness, peers, metrics) = {
             let settings = node.settings.borrow();
             (
@@ -72,7 +72,7 @@
             )
         };
         let peers = bind("peers", peers).await?;
-        // A port of zero is chosen by the system, and peers must hear which.
+        // The system chooses a port in place of zero, and peers need the actual one.
         node.settings.borrow_mut().peers = peers.local_addr()?;
         Ok(Self {
             callers: bind("callers", callers).await?,
@@ -85,16 +85,16 @@
         })
     }
 
-    /// Addresses for callers and for readiness, with the ports in use.
+    /// Returns the addresses for callers and for readiness, with the ports in use.
     ///
     /// # Errors
     ///
-    /// When the system does not tell.
+    /// When the system does not report an address.
     pub fn addresses(&self) -> std::io::Result<(SocketAddr, SocketAddr)> {
         Ok((self.callers.local_addr()?, self.readiness.local_addr()?))
     }
 
-    /// Serves until a stop is asked for on `stop` and everything has ended.
+    /// Serves until a shutdown is requested on `stop` and has completed.
     pub async fn run(self, node: Rc<Node>, mut stop: watch::Receiver<Option<Instant>>) {
         let (phase, phases) = watch::channel(Phase::Serving);
         tokio::task::spawn_local(serve_readiness(self.readiness, node.clone()));
@@ -108,13 +108,13 @@
                 return;
             }
         }
-        let asked = stop.borrow().unwrap_or_else(now);
-        leave(&node, &phase, asked).await;
+        let requested_at = stop.borrow().unwrap_or_else(now);
+        shut_down(&node, &phase, requested_at).await;
         callers.abort();
     }
 }
 
-async fn leave(node: &Node, phase: &watch::Sender<Phase>, asked: Instant) {
+async fn shut_down(node: &Node, phase: &watch::Sender<Phase>, requested_at: Instant) {
     node.is_stopping.set(true);
     let grace_ms = node.settings.borrow().grace_ms;
     tracing::info!(
@@ -122,13 +122,13 @@
         in_progress = node.metrics.in_progress.get(),
         grace_ms
     );
-    phase.send_replace(Phase::Leaving);
-    tokio::time::sleep_until(deadline(asked.plus_millis(ACCEPT_MS))).await;
+    phase.send_replace(Phase::Draining);
+    tokio::time::sleep_until(deadline(requested_at.plus_millis(ACCEPT_AFTER_SIGNAL_MS))).await;
     phase.send_replace(Phase::Closing);
-    let end = asked.plus_millis(grace_ms.saturating_sub(LAST_MS));
-    // Each open connection holds a receiver; the listener has dropped its own.
+    let end = requested_at.plus_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
+    // Each open connection holds a receiver; the listener has dropped the ones it held.
     while phase.receiver_count() > 0 && now() < end {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
     tracing::info!(event = "stopped", connections = phase.receiver_count());
 }
@@ -142,14 +142,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                if let Err(error) = net::watch(&stream) {
+                if let Err(error) = net::detect_dead_peer(&stream) {
                     tracing::debug!(event = "socket-option-refused", %error);
                 }
                 return stream;
             }
             Err(error) => {
                 tracing::warn!(event = "accept-failed", %error);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -160,11 +160,11 @@
     let accepting = async {
         loop {
             let stream = accept(&listener).await;
-            tokio::task::spawn_local(caller(stream, node.clone(), phases.clone()));
+            tokio::task::spawn_local(serve_caller(stream, node.clone(), phases.clone()));
         }
     };
     let closed = async {
-        // The sender lives as long as the node.
+        // An error would mean that the sender was dropped; it lives as long as the node.
         let _ = closing.wait_for(|phase| *phase == Phase::Closing).await;
     };
     tokio::select! {
@@ -176,16 +176,16 @@
     drop(closing);
 }
 
-async fn caller(stream: TcpStream, node: Rc<Node>, mut phases: watch::Receiver<Phase>) {
+async fn serve_caller(stream: TcpStream, node: Rc<Node>, mut phases: watch::Receiver<Phase>) {
     let limits = node
         .view
         .borrow()
         .catalog
         .as_ref()
         .map_or_else(Limits::default, |catalog| catalog.limits);
-    // One timer covers the idle time and the time for a head, since the library
-    // starts it when the last answer has ended.
-    let head = Duration::from_millis(limits.idle_ms + limits.header_ms);
+    // One time-out covers the idle time and the time for a head, since hyper starts it when the
+    // previous response has ended.
+    let head_timeout = Duration::from_millis(limits.idle_ms + limits.header_ms);
     let service = service_fn({
         let node = node.clone();
         move |request: Request<Incoming>| {
@@ -196,21 +196,21 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(head)
+        .header_read_timeout(head_timeout)
         .max_buf_size(limits.header_bytes.max(8_192) * 4);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => Some(ended),
+    let result = tokio::select! {
+        result = connection.as_mut() => Some(result),
         _ = async { phases.wait_for(|phase| *phase == Phase::Closing).await.is_ok() } => None,
     };
-    let ended = if let Some(ended) = ended {
-        ended
+    let result = if let Some(result) = result {
+        result
     } else {
         connection.as_mut().graceful_shutdown();
         connection.await
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         tracing::debug!(event = "caller-connection-ended", %error);
     }
 }
@@ -221,7 +221,7 @@
         let stream = accept(&listener).await;
         let node = node.clone();
         let path = path.clone();
-        tokio::task::spawn_local(plain(stream, move |request| {
+        tokio::task::spawn_local(serve_plain(stream, move |request| {
             let is_ready = node.view.borrow().is_ready() && !node.is_stopping.get();
             let status = match (request.uri().path() == path, is_ready) {
                 (false, _) => StatusCode::NOT_FOUND,
@@ -239,7 +239,7 @@
     loop {
         let stream = accept(&listener).await;
         let node = node.clone();
-        tokio::task::spawn_local(plain(stream, move |_| match node.metrics.text() {
+        tokio::task::spawn_local(serve_plain(stream, move |_| match node.metrics.text() {
             Ok(text) => Response::new(Full::new(Bytes::from(text))),
             Err(error) => {
                 tracing::error!(event = "metrics-failed", %error);
@@ -251,23 +251,26 @@
     }
 }
 
-async fn plain(stream: TcpStream, answer: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>) {
+async fn serve_plain(
+    stream: TcpStream,
+    respond: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>,
+) {
     let service = service_fn(|request| {
-        let response = answer(&request);
+        let response = respond(&request);
         async move { Ok::<_, Infallible>(response) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
         tracing::debug!(event = "plain-connection-ended", %error);
     }
 }
 
-/// Bytes of answers to peers that a connection takes ahead of its link, 26 ms of one of 10 Mbit/s. With
-/// more, an answer would count as given while most of it is still to be sent.
-const PEER_BUFFER: usize = 32_768;
+/// Size of the write buffer of a connection to a peer: 26 ms on a link of 10 Mbit/s. With a larger
+/// buffer, a response would count as sent while most of it is still waiting for the link.
+const PEER_BUFFER_BYTES: usize = 32_768;
 
 async fn serve_peers(listener: TcpListener, node: Rc<Node>) {
     loop {
@@ -277,8 +280,8 @@
             let service = service_fn(|request| peer::serve(node.clone(), request));
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD)
-                .max_buf_size(PEER_BUFFER)
+                .header_read_timeout(HEADER_TIMEOUT)
+                .max_buf_size(PEER_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
                 tracing::debug!(event = "peer-connection-ended", %error);
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -1,4 +1,5 @@
-//! Which backend server runs an attempt: the node's view, put to the decisions.
+//! Selection of the backend server for an attempt: passes the node's view to the load-balancing
+//! decisions in `fescuerack_core::routed`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,32 +11,31 @@
 use crate::attempt::Job;
 use crate::catalog::{Kind, Route};
 use crate::clock::now;
-use crate::edge::{Ask, Progress};
 use crate::eligible;
 use crate::node::Node;
+use crate::platform::{Progress, RequestHead};
 use crate::server::Server;
 use crate::view::View;
 use crate::warming;
 
-/// Prompt tokens that weigh as much as a request without any: a chunk that an
-/// engine reads between two steps.
-const TOKENS: f64 = 4_096.0;
-/// How much heavier a request to the largest model weighs than one to the smallest.
-const LARGEST: f64 = 10.0;
+/// Prompt tokens that add as much work as a request without a prompt: the chunk that an engine
+/// prefills between two decoding steps.
+const PROMPT_WEIGHT_TOKENS: f64 = 4_096.0;
+/// Work of a request to the largest model, relative to one to the smallest.
+const LARGEST_MODEL_WEIGHT: f64 = 10.0;
 
-/// Part of a request's work that is left once its prompt has been read: producing
-/// tokens shares each step with all other requests on the engine.
-const ANSWERING: f64 = 0.1;
-/// Prompts whose reading weighs less than this many tokens of the smallest model are
-/// light.
-const LIGHT: f64 = 15_000.0;
+/// Share of a request's work that remains after prefill. Decoding is cheaper, since each step is
+/// shared with all other requests on the engine.
+const DECODE_WORK_SHARE: f64 = 0.1;
+/// Prompts whose prefill takes less work than this many tokens on the smallest model are light.
+const LIGHT_PREFILL_TOKENS: f64 = 15_000.0;
 
-/// The server that was picked.
+/// The server that was selected.
 #[derive(Clone, Debug)]
 pub struct Pick {
     /// Its identifier.
     pub id: Arc<str>,
-    /// Hash of its identifier and start.
+    /// Hash of its identifier and start time.
     pub identity: u64,
     /// Its address.
     pub address: SocketAddr,
@@ -44,24 +44,24 @@
     /// Its service.
     pub service: Arc<str>,
     /// Whether it is in this node's availability zone.
-    pub is_near: bool,
-    /// Whether its version is one that a roll-out brings in.
-    pub is_on_trial: bool,
+    pub is_same_zone: bool,
+    /// Whether its version is a canary.
+    pub is_canary: bool,
     /// Whether it is warming up.
     pub is_cold: bool,
-    /// Work on it, as far as this node knows.
+    /// Work on it: that of the requests of this node and that reported by peers.
     pub load: f64,
 }
 
-/// Counts a request as running on a server until dropped.
-pub struct Running {
+/// A guard that counts a request as running on a server until it is dropped.
+pub struct InFlight {
     node: Rc<Node>,
     id: Arc<str>,
     identity: u64,
     work: f64,
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let work = self.work;
         self.change(|server| {
@@ -71,16 +71,16 @@
     }
 }
 
-impl Running {
-    /// Notes that the first of the answer is there: the prompt has been read.
-    pub fn settle(&mut self) {
-        let (before, rest) = (self.work, self.work * ANSWERING);
+impl InFlight {
+    /// Records that the answer has begun, so the prefill is done.
+    pub fn mark_prefill_done(&mut self) {
+        let (before, rest) = (self.work, self.work * DECODE_WORK_SHARE);
         self.change(|server| server.work = (server.work - before + rest).max(0.0));
         self.work = rest;
     }
 
-    /// Changes what is counted on the server, unless it has started again since: a request that
-    /// ran in its earlier life would be taken off the work of the new one.
+    /// Changes the counts of the server, unless it has restarted since: a request to the earlier
+    /// start would be subtracted from the work of the new one.
     fn change(&self, change: impl FnOnce(&mut Server)) {
         let mut view = self.node.view.borrow_mut();
         let server = view.servers.get_mut(&self.id);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts a request on `pick`.
+    /// Counts a request as running on `pick`.
     #[must_use]
     pub fn new(node: &Rc<Node>, pick: &Pick, work: f64) -> Self {
         if let Some(server) = node.view.borrow_mut().servers.get_mut(&pick.id) {
@@ -105,78 +105,85 @@
     }
 }
 
-/// Work that a request brings, in requests of usual size.
+/// Returns the work of a request, in requests of usual size. `model` is the index of the model and
+/// the number of models.
 #[must_use]
-pub fn work(ask: &Ask, model: Option<(usize, usize)>) -> f64 {
-    (1.0 + f64::from(ask.tokens.0) / TOKENS) * heaviness(model)
+pub fn work(head: &RequestHead, model: Option<(usize, usize)>) -> f64 {
+    (1.0 + f64::from(head.tokens.0) / PROMPT_WEIGHT_TOKENS) * model_weight(model)
 }
 
-/// Prompt tokens, weighed by how long the model takes to read one.
-fn reading(ask: &Ask, model: Option<(usize, usize)>) -> f64 {
-    f64::from(ask.tokens.0) * heaviness(model)
+/// Returns the number of prompt tokens, weighted by the prefill time of the model for a token.
+fn prefill_tokens(head: &RequestHead, model: Option<(usize, usize)>) -> f64 {
+    f64::from(head.tokens.0) * model_weight(model)
 }
 
-fn heaviness(model: Option<(usize, usize)>) -> f64 {
+fn model_weight(model: Option<(usize, usize)>) -> f64 {
     match model {
         Some((rank, models)) if models > 1 => {
             let rank = f64::from(u32::try_from(rank).unwrap_or(u32::MAX));
             let last = f64::from(u32::try_from(models - 1).unwrap_or(u32::MAX));
-            1.0 + (LARGEST - 1.0) * rank / last
+            1.0 + (LARGEST_MODEL_WEIGHT - 1.0) * rank / last
         }
         _ => 1.0,
     }
 }
 
-/// Hash of the session that a request belongs to, alike on all nodes.
+/// Returns the hash of the session that a request belongs to. It is the same on all nodes.
 #[must_use]
-pub fn session(ask: &Ask, organisation: Option<&str>) -> u64 {
+pub fn session(head: &RequestHead, organisation: Option<&str>) -> u64 {
     let base = affinity::hash(organisation.unwrap_or_default().as_bytes());
-    if let Some(session) = &ask.session {
+    if let Some(session) = &head.session {
         return affinity::mix(base ^ affinity::hash(session.as_bytes()));
     }
-    match shared_part(ask) {
+    match shared_prefix(head) {
         Some(part) => affinity::mix(affinity::mix(part)),
-        None => affinity::mix(base ^ affinity::hash(ask.id.as_bytes())),
+        None => affinity::mix(base ^ affinity::hash(head.id.as_bytes())),
     }
 }
 
-/// The longest part of the prompt that other requests share: the last belongs to
-/// the request itself.
-fn shared_part(ask: &Ask) -> Option<u64> {
-    let parts = &ask.parts;
-    let shared = parts.len().checked_sub(2).or(parts.len().checked_sub(1))?;
-    Some(parts[shared].id)
+/// Returns the identity of the longest prefix that other requests may share. The last block is
+/// specific to the request.
+fn shared_prefix(head: &RequestHead) -> Option<u64> {
+    let blocks = &head.blocks;
+    let shared = blocks
+        .len()
+        .checked_sub(2)
+        .or(blocks.len().checked_sub(1))?;
+    Some(blocks[shared].id)
 }
 
-/// Tokens of the parts that other requests share.
-fn shared_tokens(ask: &Ask) -> u32 {
-    let own = ask.parts.len().saturating_sub(1);
-    let shared = ask.parts[..own].iter().map(|part| part.tokens);
+/// Returns the number of tokens in the blocks that other requests may share.
+fn shared_tokens(head: &RequestHead) -> u32 {
+    let shared_count = head.blocks.len().saturating_sub(1);
+    let shared = head.blocks[..shared_count].iter().map(|block| block.tokens);
     shared.fold(0, u32::saturating_add)
 }
 
-/// Service of a route for a request, by the route's weights.
+/// Chooses the service for a request by the weights of its route.
 #[must_use]
-pub fn service(route: &Route, id: &str) -> Option<Arc<str>> {
+pub fn choose_service(route: &Route, id: &str) -> Option<Arc<str>> {
     let total: u64 = route
         .destinations
         .iter()
-        .map(|one| u64::from(one.weight))
+        .map(|destination| u64::from(destination.weight))
         .sum();
     if total == 0 {
-        return route.destinations.first().map(|one| one.service.clone());
+        return route
+            .destinations
+            .first()
+            .map(|destination| destination.service.clone());
     }
     let mut draw = affinity::hash(id.as_bytes()) % total;
-    for one in &route.destinations {
-        if draw < u64::from(one.weight) {
-            return Some(one.service.clone());
+    for destination in &route.destinations {
+        if draw < u64::from(destination.weight) {
+            return Some(destination.service.clone());
         }
-        draw -= u64::from(one.weight);
+        draw -= u64::from(destination.weight);
     }
     None
 }
 
-/// Picks a server of `service` that holds `model` for `job`, leaving out those in `tried`.
+/// Selects a server of `service` that has loaded `model` for `job`, except those in `tried`.
 #[must_use]
 pub fn pick(
     node: &Node,
@@ -185,89 +192,88 @@
     model: Option<&str>,
     tried: &[Arc<str>],
 ) -> Option<Pick> {
-    let (route, ask) = (&job.route, &job.ask);
+    let (route, head) = (&job.route, &job.head);
     let now = now();
     let view = node.view.borrow();
     let settings = node.settings.borrow();
     let others = node.others.borrow();
-    let mut listed = eligible::servers(node, &view, job, service, model, tried);
-    listed.sort_by_key(|server| affinity::mix(server.identity));
-    let rank = route.models.iter().position(|one| Some(&**one) == model);
-    let sized = rank.map(|rank| (rank, route.models.len()));
-    let is_small = reading(ask, sized) < LIGHT;
-    let count = listed.len();
-    let candidates: Vec<Candidate> = listed
+    let mut servers = eligible::servers(node, &view, job, service, model, tried);
+    servers.sort_by_key(|server| affinity::mix(server.identity));
+    let rank = route.models.iter().position(|name| Some(&**name) == model);
+    let model_rank = rank.map(|rank| (rank, route.models.len()));
+    let is_light = prefill_tokens(head, model_rank) < LIGHT_PREFILL_TOKENS;
+    let count = servers.len();
+    let candidates: Vec<Candidate> = servers
         .iter()
         .enumerate()
         .map(|(rank, server)| Candidate {
             identity: server.identity,
             load: server.work + others.work(now, server.identity),
-            places: server.listed.places,
-            is_near: *server.listed.zone == *settings.zone,
+            slots: server.entry.concurrency,
+            is_same_zone: *server.entry.zone == *settings.zone,
             is_healthy: eligible::is_healthy(node, server),
-            is_suited: route.models.len() < 2 || affinity::suits(rank, count, is_small),
+            is_in_pool: route.models.len() < 2 || affinity::matches_pool(rank, count, is_light),
         })
         .collect();
-    let part = match route.kind {
-        Kind::Streaming => shared_part(ask)
-            .map(|part| affinity::mix(part ^ affinity::hash(model.unwrap_or_default().as_bytes()))),
+    let prefix = match route.kind {
+        Kind::Streaming => shared_prefix(head).map(|prefix| {
+            affinity::mix(prefix ^ affinity::hash(model.unwrap_or_default().as_bytes()))
+        }),
         Kind::Idempotent | Kind::NonIdempotent => None,
     };
-    let draw = affinity::hash(ask.id.as_bytes());
-    let index = match part {
-        Some(part) if affinity::stays_near(shared_tokens(ask)) => {
-            affinity::choose_near(&candidates, part, draw)
+    let draw = affinity::hash(head.id.as_bytes());
+    let index = match prefix {
+        Some(prefix) if affinity::prefers_local_zone(shared_tokens(head)) => {
+            affinity::choose_in_zone(&candidates, prefix, draw)
         }
-        part => affinity::choose(&candidates, part, draw),
+        prefix => affinity::choose(&candidates, prefix, draw),
     }?;
-    let server = listed[index];
+    let server = servers[index];
     let order = view.orders.get(service);
-    let order = order.filter(|order| order.rollout.version == server.listed.version);
-    let is_on_trial = order.is_some_and(|order| order.progress != Some(Progress::Completed));
+    let order = order.filter(|order| order.rollout.version == server.entry.version);
+    let is_canary = order.is_some_and(|order| order.progress != Some(Progress::Completed));
     if order.is_none() && route.kind == Kind::Streaming {
         let mut recent = node.recent.borrow_mut();
-        recent.note(now, job.session, settings.session_ms);
+        recent.record(now, job.session, settings.session_ms);
     }
-    warming::take(node, &view, server, now);
+    warming::record_request(node, &view, server, now);
     Some(Pick {
-        id: server.listed.id.clone(),
+        id: server.entry.id.clone(),
         identity: server.identity,
-        address: server.listed.address,
-        version: server.listed.version.clone(),
+        address: server.entry.address,
+        version: server.entry.version.clone(),
         service: service.clone(),
-        is_near: candidates[index].is_near,
-        is_on_trial,
+        is_same_zone: candidates[index].is_same_zone,
+        is_canary,
         is_cold: server.is_cold(now),
         load: candidates[index].load,
     })
 }
 
-/// Mean work, in requests of usual size, of the servers that would run a request on the
-/// model at `rank`; `None` if there is none.
+/// Returns the mean work, in requests of usual size, of the servers that would run a request to the
+/// model at `rank`; `None` if there are none.
 #[must_use]
 pub fn pressure(node: &Node, job: &Job, service: &Arc<str>, rank: usize) -> Option<f64> {
     let now = now();
     let view = node.view.borrow();
     let others = node.others.borrow();
     let models = &job.route.models;
-    let mut listed = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
-    listed.sort_by_key(|server| affinity::mix(server.identity));
-    let is_light = reading(&job.ask, Some((rank, models.len()))) < LIGHT;
-    let count = listed.len();
-    let loads: Vec<f64> = listed
+    let mut servers = eligible::servers(node, &view, job, service, Some(&models[rank]), &[]);
+    servers.sort_by_key(|server| affinity::mix(server.identity));
+    let is_light = prefill_tokens(&job.head, Some((rank, models.len()))) < LIGHT_PREFILL_TOKENS;
+    let count = servers.len();
+    let loads: Vec<f64> = servers
         .iter()
         .enumerate()
-        .filter(|(place, _)| affinity::suits(*place, count, is_light))
+        .filter(|(rank, _)| affinity::matches_pool(*rank, count, is_light))
         .map(|(_, server)| server.work + others.work(now, server.identity))
         .collect();
-    let servers = u32::try_from(loads.len())
-        .ok()
-        .filter(|servers| *servers > 0)?;
-    Some(loads.iter().sum::<f64>() / f64::from(servers))
+    let server_count = u32::try_from(loads.len()).ok().filter(|count| *count > 0)?;
+    Some(loads.iter().sum::<f64>() / f64::from(server_count))
 }
 
-/// Marks a server as one that another has taken the place of.
-pub fn replace(view: &RefCell<View>, pick: &Pick) {
+/// Marks a server as replaced by another one at its address.
+pub fn mark_replaced(view: &RefCell<View>, pick: &Pick) {
     if let Some(server) = view.borrow_mut().servers.get_mut(&pick.id)
         && server.identity == pick.identity
     {
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,86 +1,87 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway itself generates.
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use crate::body::Answer;
+use crate::body::ResponseBody;
 
-/// Part of the time that is left which a caller may be asked to wait.
-const PART: u64 = 4;
-/// Milliseconds that a caller is asked to wait at least: a queue of plain calls has
-/// moved on by then.
-const LEAST_MS: u64 = 60;
-/// Milliseconds that a caller is asked to wait at most.
-const MOST_MS: u64 = 1_500;
+/// A caller is asked to wait at most the time until its deadline, divided by this.
+const RETRY_AFTER_DIVISOR: u64 = 4;
+/// Minimum `Retry-After` in milliseconds. A queue of plain requests has advanced by then.
+const RETRY_AFTER_MIN_MS: u64 = 60;
+/// Maximum `Retry-After` in milliseconds.
+const RETRY_AFTER_MAX_MS: u64 = 1_500;
 
-/// Why the gateway answers by itself.
+/// Why the gateway answers a request with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration is known yet.
+    /// The configuration has not been loaded yet.
     NotReady,
     /// No route matches.
     NoRoute,
-    /// The key is missing or unknown.
-    NoKey,
-    /// The body is larger than allowed.
+    /// The API key is missing or unknown.
+    UnknownKey,
+    /// The body exceeds the limit.
     TooLarge,
-    /// The body did not come, or not whole.
-    NoBody,
-    /// Nothing has run and nothing will: no server can take it now.
-    NotRun,
-    /// It may have run; no answer came.
-    Unknown,
-    /// It may have run; its time is over.
-    Late,
+    /// The body was truncated, or the request was malformed.
+    IncompleteBody,
+    /// The request was not executed and will not be; no server can take it now.
+    NotExecuted,
+    /// The request may have been executed; no answer was received.
+    OutcomeUnknown,
+    /// The request may have been executed; its deadline has passed.
+    DeadlineExceeded,
 }
 
 impl Refusal {
-    /// Status of the answer.
+    /// Returns the status of the response.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
-            Self::NotReady | Self::NotRun => StatusCode::SERVICE_UNAVAILABLE,
+            Self::NotReady | Self::NotExecuted => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::NoKey => StatusCode::UNAUTHORIZED,
+            Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::NoBody => StatusCode::BAD_REQUEST,
-            Self::Unknown => StatusCode::BAD_GATEWAY,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
+            Self::IncompleteBody => StatusCode::BAD_REQUEST,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
+            Self::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Word for logs and metrics.
+    /// Returns the code for the response body, logs and metrics.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn code(self) -> &'static str {
         match self {
             Self::NotReady => "not-ready",
             Self::NoRoute => "no-route",
-            Self::NoKey => "no-key",
+            Self::UnknownKey => "no-key",
             Self::TooLarge => "too-large",
-            Self::NoBody => "no-body",
-            Self::NotRun => "not-run",
-            Self::Unknown => "unknown",
-            Self::Late => "late",
+            Self::IncompleteBody => "no-body",
+            Self::NotExecuted => "not-run",
+            Self::OutcomeUnknown => "unknown",
+            Self::DeadlineExceeded => "late",
         }
     }
 
-    /// Answer to the caller; `spread`, from 0 to 1, keeps those who are refused
-    /// together from coming back together.
+    /// Returns the response to the caller. A random `spread` from 0 to 1 sets `Retry-After`
+    /// within its range, so that callers refused at the same time do not retry at the same time.
     #[must_use]
-    pub fn answer(self, now: Instant, deadline: Instant, spread: f64) -> Response<Answer> {
-        let text = format!("{}\n", self.word());
-        let mut response = Response::new(Answer::whole(Bytes::from(text)));
+    pub fn response(self, now: Instant, deadline: Instant, spread: f64) -> Response<ResponseBody> {
+        let text = format!("{}\n", self.code());
+        let mut response = Response::new(ResponseBody::buffered(Bytes::from(text)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         if self.status() == StatusCode::SERVICE_UNAVAILABLE {
-            let left_ms = u64::try_from(deadline.since(now).as_millis()).unwrap_or(MOST_MS);
-            let most_ms = (left_ms / PART).clamp(LEAST_MS, MOST_MS);
-            let range = f64::from(u32::try_from(most_ms - LEAST_MS).unwrap_or(u32::MAX));
-            let least = f64::from(u32::try_from(LEAST_MS).unwrap_or(u32::MAX));
-            let seconds = (least + range * spread) / 1_000.0;
+            let left_ms =
+                u64::try_from(deadline.since(now).as_millis()).unwrap_or(RETRY_AFTER_MAX_MS);
+            let max_ms =
+                (left_ms / RETRY_AFTER_DIVISOR).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
+            let range = f64::from(u32::try_from(max_ms - RETRY_AFTER_MIN_MS).unwrap_or(u32::MAX));
+            let min_ms = f64::from(u32::try_from(RETRY_AFTER_MIN_MS).unwrap_or(u32::MAX));
+            let seconds = (min_ms + range * spread) / 1_000.0;
             if let Ok(value) = HeaderValue::from_str(&format!("{seconds:.3}")) {
                 headers.insert(RETRY_AFTER, value);
             }
