--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, services, organisations and limits that are in force together.
+//! The catalog: the routes, services, organisations and limits of one version of the configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,24 +7,24 @@
 
 use crate::routes::Routes;
 
-/// What a route's requests may be exposed to.
+/// How often a route's requests may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// May run any number of times.
+    /// Any number of times.
     Idempotent,
-    /// Runs once at most.
+    /// At most once.
     NonIdempotent,
-    /// Answers with a series of events; runs once at most unless resumable.
+    /// At most once unless the stream is resumable. The answer is a stream of events.
     Streaming,
 }
 
-/// A service that a route sends to, and its weight among the route's services.
+/// A service to which a route sends requests, and its weight among the route's services.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Destination {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Weight; a destination of weight zero gets nothing.
+    /// Weight; a destination of weight zero gets no requests.
     pub weight: u32,
 }
 
@@ -33,39 +33,40 @@
 pub struct Route {
     /// Name, unique in the catalog.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host name in the callers' requests.
     pub host: String,
     /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
-    /// What its requests may be exposed to.
+    /// How often its requests may be executed.
     pub kind: Kind,
-    /// Where its requests go.
+    /// Services to which its requests are sent.
     pub destinations: Vec<Destination>,
-    /// Longest time in milliseconds that a caller is kept waiting.
+    /// Timeout of a request in milliseconds.
     #[serde(default)]
     pub timeout_ms: Option<u64>,
-    /// Time in milliseconds within which an answer has its full use.
+    /// Target latency in milliseconds, within which an answer has its full use.
     #[serde(default)]
     pub target_ms: Option<u64>,
-    /// Longest pause in milliseconds between events that is still on time.
+    /// Target inter-token latency: the longest time in milliseconds between two events of a stream
+    /// that is still on time.
     #[serde(default)]
     pub pause_ms: Option<u64>,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers to which one request may be sent.
     #[serde(default = "one")]
     pub attempts: u32,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     #[serde(default)]
     pub priority: u32,
     /// Whether callers need no key.
     #[serde(default)]
     pub public: bool,
-    /// Whether a broken stream may be resumed elsewhere.
+    /// Whether a broken stream may be resumed at another backend server.
     #[serde(default)]
     pub resumable: bool,
-    /// Models to choose from, the smallest first; empty if callers name one.
+    /// Models among which the gateway chooses, the smallest first; empty if callers name the model.
     #[serde(default)]
     pub models: Vec<Arc<str>>,
-    /// Regions in which its requests may run; empty if any.
+    /// Regions in which its requests may be executed; empty if all are allowed.
     #[serde(default)]
     pub regions: Vec<Arc<str>>,
 }
@@ -75,7 +76,7 @@
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     #[must_use]
     pub const fn is_repeatable(&self) -> bool {
         match self.kind {
@@ -89,49 +90,50 @@
 /// One service.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Service {
-    /// Connections that one of its servers takes from all nodes together.
+    /// Maximum number of connections from all nodes together to one of its servers.
     #[serde(default)]
     pub connections: Option<u32>,
-    /// Requests that one of its servers runs at once, if it is a model engine.
+    /// Number of requests that one of its servers runs concurrently, if it is a model engine.
     #[serde(default)]
     pub batch: Option<u32>,
-    /// What its servers bear after a start; `None` if as much as always.
+    /// Limit for its servers after a start; `None` if they need no warm-up.
     #[serde(default)]
     pub warmup: Option<Warmup>,
 }
 
-/// What a server bears while it is cold.
+/// Limit for a cold server.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Warmup {
     /// Milliseconds for which a server is cold after its start.
     pub lasts_ms: u64,
-    /// Requests a second from all nodes together.
+    /// Maximum number of requests a second from all nodes together.
     pub per_second: f64,
 }
 
 /// An organisation and the keys of its callers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Organisation {
-    /// Name, told to backend servers.
+    /// Name, which is sent to backend servers.
     pub name: Arc<str>,
-    /// Keys.
+    /// API keys.
     pub keys: Vec<String>,
-    /// Rank that goes before a route's.
+    /// Priority, which takes precedence over that of the route.
     #[serde(default)]
     pub priority: Option<u32>,
-    /// Regions in which its requests may run, besides those of the route; empty if any.
+    /// Regions in which its requests may be executed, in addition to the restriction of the route;
+    /// empty if all are allowed.
     #[serde(default)]
     pub regions: Vec<Arc<str>>,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Milliseconds until a request's head must be there.
+    /// Milliseconds within which a request's head must be received.
     pub header_ms: u64,
     /// Milliseconds for which a connection may stay idle.
     pub idle_ms: u64,
@@ -148,7 +150,7 @@
     }
 }
 
-/// Everything that one version of the configuration says.
+/// One version of the configuration, decoded.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Catalog {
     /// Version of the configuration.
@@ -158,16 +160,16 @@
     /// Services by name.
     #[serde(default)]
     pub services: HashMap<Arc<str>, Service>,
-    /// Organisations; with none, no request needs a key.
+    /// Organisations; if there are none, no request needs a key.
     #[serde(default)]
     pub organisations: Vec<Arc<Organisation>>,
-    /// Limits of callers.
+    /// Limits on requests of callers.
     #[serde(default)]
     pub limits: Limits,
 }
 
 impl Catalog {
-    /// Finds the route with the longest prefix of `path` on `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, port)| {
@@ -177,7 +179,8 @@
         self.routes.find(host, path)
     }
 
-    /// Milliseconds for which servers of `service` are cold after a start; zero if they are not.
+    /// Returns the milliseconds for which servers of `service` are cold after a start; zero if they
+    /// are not.
     #[must_use]
     pub fn warmup_ms(&self, service: &str) -> u64 {
         let service = self.services.get(service);
@@ -185,7 +188,7 @@
         warmup.map_or(0, |warmup| warmup.lasts_ms)
     }
 
-    /// Finds the organisation that holds `key`.
+    /// Returns the organisation with the API key `key`.
     #[must_use]
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.organisations
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,15 +4,17 @@
 //! an adapter supplies. [`process`] starts the tasks of a [`node`]:
 //!
 //! - [`listeners`] accepts connections of callers and peers.
-//! - [`follow`] receives changes of the store from a [`source`] and applies them by [`apply`] to the
-//!   [`view`], which contains every backend [`server`].
-//! - [`member`] registers the node, and [`peer`] exchanges state with its peers: [`share`] sends
-//!   what runs where, and [`news`] what has changed.
-//! - [`fetch`] transfers items that are too [`large`] for updates, as a [`piece`] that the
-//!   [`publisher`] of a peer writes; they are processed on another thread by [`offload`].
-//! - [`trials`] evaluates roll-outs.
+//! - [`follow`] receives changes of the store from a [`source`], the store itself or a peer that is
+//!   polled for [`updates`]. [`apply`] applies them to the [`view`], which contains every backend
+//!   [`server`].
+//! - [`registration`] enters the node in the store, [`peer`] exchanges state with other nodes, and
+//!   [`load_report`] publishes the load and the failures of backend servers.
+//! - [`fetch`] requests items that are too [`large`] for updates from other nodes, whose
+//!   [`publisher`] sends each as a [`delta`] against a former value. They are processed on another
+//!   thread ([`offload`]).
+//! - [`rollout`] evaluates roll-outs.
 //!
-//! Messages between nodes are sent by [`message`].
+//! Nodes send each other messages by [`message`].
 //!
 //! [`intake`] reads a request. [`request`] then makes one [`attempt`] after another, at servers that
 //! [`pick`] selects from the [`eligible`] ones; servers that are [`warming`] up get few requests.
--- a/crates/gateway/tests/all/difference.rs
+++ b/crates/gateway/tests/all/difference.rs
@@ -1,10 +1,10 @@
-//! Texts as differences from earlier ones.
+//! Tests of delta compression.
 
 use fescuerack_gateway::difference::{decode, digest, encode};
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// A configuration of `count` routes; the names of `other` of them differ.
+/// Returns a configuration of `count` routes, of which the first `other` have other names.
 fn configuration(count: usize, other: usize) -> String {
     let routes = (0..count).map(|number| {
         let salt = u64::from(number < other);
@@ -17,9 +17,9 @@
     format!("[{}]", routes.collect::<Vec<_>>().join(","))
 }
 
-/// Bytes of a difference that twenty nodes of a zone may be told over one link of 10 Mbit/s within
-/// 1.5 s, half of what a change may take, in base64.
-const ONE_OF_TWENTY: usize = 70_000;
+/// Maximum size of a frame that can be sent, in base64, to twenty nodes of a zone over one link of
+/// 10 Mbit/s within 1.5 s, half of the time in which a change must become active.
+const MAX_FRAME_BYTES: usize = 70_000;
 
 #[rstest]
 #[case::no_base(0, 2_000, 0)]
@@ -30,10 +30,10 @@
     #[case] after: usize,
     #[case] other: usize,
 ) {
-    assert!(frame(before, after, other).0 < ONE_OF_TWENTY);
+    assert!(frame(before, after, other).0 < MAX_FRAME_BYTES);
 }
 
-/// The aim for a change of one route is a twentieth of the whole.
+/// A change of one route must take less than a twentieth of the full text.
 #[rstest]
 #[case::changed(2_000, 2_000, 1)]
 #[case::added(2_000, 2_001, 0)]
@@ -47,7 +47,7 @@
     assert!(frame * 20 < whole, "{frame} of {whole} bytes");
 }
 
-/// Bytes of the difference between two configurations, and of the second one.
+/// Encodes and decodes a change; returns the sizes of the frame and of the new text in bytes.
 fn frame(before: usize, after: usize, other: usize) -> (usize, usize) {
     let base = configuration(before, 0);
     let text = configuration(after, other);
@@ -57,7 +57,8 @@
     (frame.len(), text.len())
 }
 
-/// A node has another base than the frame refers to. What would come out is not the text.
+/// A node has another base than the one against which the frame was encoded, so the decoded text
+/// would be wrong.
 #[test]
 fn decode_other_base_is_refused() {
     let text = configuration(2_000, 1);
@@ -67,7 +68,7 @@
     assert!(decode("", &frame, text.len(), digest(&text)).is_err());
 }
 
-/// A frame of little bytes that becomes a text of any length must not fill the memory.
+/// A small frame that decodes to a text of any length must not exhaust the memory.
 #[test]
 fn decode_longer_text_is_refused() {
     let text = "a".repeat(8 << 20);
@@ -82,7 +83,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Frames that were cut, or have a byte changed, give the text or nothing.
+    /// A truncated frame or one with a changed byte decodes to the original text or fails.
     #[test]
     fn decode_damaged_frame_gives_nothing_else(at in 0..4_000_usize, byte: u8, cut: bool) {
         let base = configuration(60, 0);
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Any two texts.
+    /// Any text encoded against any other decodes to itself.
     #[test]
     fn encode_any_texts_come_back(base in ".{0,400}", text in ".{0,400}") {
         let frame = encode(&base, &text).expect("a frame");
--- a/crates/gateway/tests/all/large.rs
+++ b/crates/gateway/tests/all/large.rs
@@ -1,4 +1,4 @@
-//! Which large items a node holds, has held and awaits.
+//! Tests of the large items that a node has, had and awaits.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 const KEY: &str = "configuration";
 
-fn teller() -> SocketAddr {
+fn peer() -> SocketAddr {
     "127.0.0.1:1".parse().expect("an address")
 }
 
@@ -28,46 +28,46 @@
     notices.iter().map(|notice| notice.revision).collect()
 }
 
-/// News comes twice, out of order, and after the item itself.
+/// Notices arrive twice, out of order, and after the item itself.
 #[test]
 fn record_notice_only_newer() {
     let mut large = LargeItems::default();
     let now = Instant::ORIGIN;
-    assert!(large.record_notice(now, &notice(5), 4, teller()));
-    assert!(!large.record_notice(now, &notice(5), 4, teller()));
-    assert!(!large.record_notice(now, &notice(3), 4, teller()));
-    assert!(large.record_notice(now, &notice(9), 4, teller()));
+    assert!(large.record_notice(now, &notice(5), 4, peer()));
+    assert!(!large.record_notice(now, &notice(5), 4, peer()));
+    assert!(!large.record_notice(now, &notice(3), 4, peer()));
+    assert!(large.record_notice(now, &notice(9), 4, peer()));
     large.record_item(None, &item(9, MIN_LARGE_BYTES));
     assert_eq!(large.next_awaited(), None);
-    assert!(!large.record_notice(now, &notice(9), 9, teller()));
+    assert!(!large.record_notice(now, &notice(9), 9, peer()));
 }
 
-/// An older value arrives while a newer one is awaited: the newer one is still to come.
+/// An older value arrives while a newer one is awaited: the newer one must remain awaited.
 #[test]
 fn record_item_older_leaves_the_newer_awaited() {
     let mut large = LargeItems::default();
     let later = Instant::ORIGIN.plus_millis(100);
-    assert!(large.record_notice(Instant::ORIGIN, &notice(5), 0, teller()));
-    assert!(large.record_notice(later, &notice(9), 0, teller()));
+    assert!(large.record_notice(Instant::ORIGIN, &notice(5), 0, peer()));
+    assert!(large.record_notice(later, &notice(9), 0, peer()));
     large.record_item(None, &item(5, MIN_LARGE_BYTES));
     let awaited = large.next_awaited().expect("the newer one");
     assert_eq!(awaited.notice.revision, 9);
     assert_eq!(
         awaited.since,
         Instant::ORIGIN,
-        "the value has been old since"
+        "outdated since the first notice"
     );
 }
 
-/// A node that follows this one must hear of what this one has only heard of, or it would go on
-/// without it.
+/// A node that follows this one must also receive notices of the items that this one still awaits:
+/// otherwise it would advance its revision without them.
 #[test]
 fn notices_since_includes_awaited() {
     let mut large = LargeItems::default();
     large.record_item(None, &item(3, MIN_LARGE_BYTES));
     assert_eq!(revisions(&large.notices_since(0)), [3]);
     assert_eq!(revisions(&large.notices_since(3)), [0; 0]);
-    assert!(large.record_notice(Instant::ORIGIN, &notice(5), 3, teller()));
+    assert!(large.record_notice(Instant::ORIGIN, &notice(5), 3, peer()));
     assert_eq!(revisions(&large.notices_since(0)), [5]);
     assert_eq!(revisions(&large.notices_since(4)), [5]);
 }
--- a/crates/gateway/tests/all/logs.rs
+++ b/crates/gateway/tests/all/logs.rs
@@ -1,4 +1,4 @@
-//! The budget of log lines.
+//! Tests of the rate limit on log lines.
 
 use fescuerack_gateway::logs::{Budget, MAX_LINES_PER_SECOND};
 use tracing::Callsite;
@@ -16,17 +16,17 @@
     }
 }
 
-static STORM: Site = Site(1);
+static BURST: Site = Site(1);
 static OTHER: Site = Site(2);
 
-/// A service fails and each request writes the same line. The storm must cost a bounded
-/// number of lines and none of another kind.
+/// A service fails and every request writes the same line. The burst must be limited and must not
+/// suppress lines of other call sites.
 #[test]
 fn try_acquire_burst_of_one_site_leaves_the_others() {
     let budget = Budget::new();
-    let storm = Identifier(&STORM);
+    let burst = Identifier(&BURST);
     let passed = (0..10 * MAX_LINES_PER_SECOND)
-        .filter(|_| budget.try_acquire(storm.clone()))
+        .filter(|_| budget.try_acquire(burst.clone()))
         .count();
     let most = usize::try_from(2 * MAX_LINES_PER_SECOND).expect("few");
     assert!((1..=most).contains(&passed), "{passed}");
--- a/crates/gateway/tests/all/metrics.rs
+++ b/crates/gateway/tests/all/metrics.rs
@@ -1,9 +1,9 @@
-//! The list of metrics in the docs.
+//! Tests of the served metrics against their list in the docs.
 
 use fescuerack_gateway::metrics::Metrics;
 
-/// Whoever is on call looks a name up in the docs; one that is served and not listed,
-/// or listed and not served, is of no use.
+/// Operators look metrics up in the docs: every served metric must be listed there, and every listed
+/// one served.
 #[test]
 fn text_lists_what_the_docs_list() {
     let metrics = Metrics::new().expect("metrics");
