--- a/crates/node/src/callers/collect.rs
+++ b/crates/node/src/callers/collect.rs
@@ -1,4 +1,4 @@
-//! Collecting an answer that is handed on whole.
+//! Collects a streamed answer that is sent to the caller in one piece.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
 use fescuerack_wire::chat::{Choice, Completion, Message, Usage};
 use serde_json::{Map, Value};
 
-use super::attempts::{Begun, end_of};
-use super::shape::{Shape, Tally};
+use super::attempts::{StartedAnswer, outcome_of};
+use super::format::{Endpoint, UsageCounter};
 use crate::shared::Shared;
 
-/// Fields of a part that stand for themselves in every part; texts of all
-/// other fields are pieces, to be joined.
-const WHOLE_FIELDS: [&str; 4] = ["id", "index", "role", "type"];
+/// Fields that have their full value in every part; the texts of all other
+/// fields are pieces to be joined.
+const REPEATED_FIELDS: [&str; 4] = ["id", "index", "role", "type"];
 
-/// An answer that has been collected whole.
+/// A complete answer.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// Its text; of the first choice, when there are several.
+    /// Text of the answer; that of the first choice if there are several.
     pub text: String,
-    /// Tokens used.
+    /// Tokens that the answer used.
     pub usage: Usage,
     choices: BTreeMap<u32, Choice>,
 }
@@ -30,25 +30,29 @@
     ///
     /// # Errors
     ///
-    /// How the attempt ended when the answer is not whole.
-    pub async fn read(shared: &Shared, body: &[u8], begun: Begun) -> Result<Self, AttemptOutcome> {
+    /// The outcome of the attempt when the answer is incomplete.
+    pub async fn read(
+        shared: &Shared,
+        body: &[u8],
+        started: StartedAnswer,
+    ) -> Result<Self, AttemptOutcome> {
         let mut answer = Self::default();
-        let mut tally = Tally::new();
-        let mut events = begun.events;
-        let mut next = Some(Ok(Event::Part(begun.first)));
+        let mut counter = UsageCounter::new();
+        let mut events = started.events;
+        let mut next = Some(Ok(Event::Part(started.first)));
         loop {
             match next {
                 Some(Ok(Event::Part(part))) => {
-                    tally.read(&part);
+                    counter.read(&part);
                     answer.add(part);
                 }
                 Some(Ok(Event::End)) => break,
-                Some(Err(fault)) => return Err(end_of(&fault)),
+                Some(Err(fault)) => return Err(outcome_of(&fault)),
                 None => return Err(AttemptOutcome::Unknown),
             }
             next = events.recv().await;
         }
-        answer.usage = tally.usage(shared, body);
+        answer.usage = counter.usage(shared, body);
         answer.text = answer.first_text();
         Ok(answer)
     }
@@ -81,31 +85,32 @@
         text.unwrap_or_default()
     }
 
-    /// Returns the parts of the answer as a stream that holds it in one piece.
-    pub fn parts(&self, shape: Shape) -> Vec<Completion> {
-        let mut whole = self.completion(shape, "", "");
-        shape.part_object().clone_into(&mut whole.object);
-        for choice in &mut whole.choices {
+    /// Returns the answer as the parts of a stream: one with the text, one with
+    /// the usage.
+    pub fn parts(&self, endpoint: Endpoint) -> Vec<Completion> {
+        let mut complete = self.completion(endpoint, "", "");
+        endpoint.part_object().clone_into(&mut complete.object);
+        for choice in &mut complete.choices {
             choice.delta = choice.message.take();
         }
         let last = Completion {
             choices: Vec::new(),
-            ..whole.clone()
+            ..complete.clone()
         };
-        whole.usage = None;
-        vec![whole, last]
+        complete.usage = None;
+        vec![complete, last]
     }
 
-    /// Returns the answer in the shape that callers expect.
-    pub fn completion(&self, shape: Shape, request: &str, version: &str) -> Completion {
+    /// Returns the answer as a completion object of `endpoint`.
+    pub fn completion(&self, endpoint: Endpoint, request: &str, version: &str) -> Completion {
         Completion {
             id: request.to_owned(),
-            object: shape.object().to_owned(),
+            object: endpoint.object().to_owned(),
             model: version.to_owned(),
             choices: self
                 .choices
                 .values()
-                .map(|choice| finished(shape, choice))
+                .map(|choice| finished(endpoint, choice))
                 .collect(),
             usage: Some(self.usage),
             ..Completion::default()
@@ -113,23 +118,23 @@
     }
 }
 
-fn finished(shape: Shape, choice: &Choice) -> Choice {
+fn finished(endpoint: Endpoint, choice: &Choice) -> Choice {
     let mut choice = choice.clone();
-    if shape == Shape::Chat {
+    if endpoint == Endpoint::Chat {
         let message: &mut Message = choice.message.get_or_insert_default();
         message.role.get_or_insert_with(|| "assistant".to_owned());
     }
     choice
 }
 
-/// Joins the fields of a part onto those of the parts before it: texts are
-/// appended, lists joined by the `index` of their items, as in `tool_calls`.
-fn join(whole: &mut Map<String, Value>, part: Map<String, Value>) {
+/// Merges the fields of a part into those of the parts before it: texts are
+/// appended, lists are joined by the `index` of their items, as in `tool_calls`.
+fn join(joined: &mut Map<String, Value>, part: Map<String, Value>) {
     for (name, value) in part {
-        match whole.get_mut(&name) {
-            Some(before) if !WHOLE_FIELDS.contains(&name.as_str()) => join_value(before, value),
+        match joined.get_mut(&name) {
+            Some(before) if !REPEATED_FIELDS.contains(&name.as_str()) => join_value(before, value),
             _ => {
-                whole.insert(name, value);
+                joined.insert(name, value);
             }
         }
     }
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -1,30 +1,30 @@
-//! The callers' port.
+//! The callers' port: the HTTP server for completions and plain services.
 //!
-//! It stands on hyper: rouille holds a streamed body back until its end
-//! (measured; see `docs/design/callers-port.md`), so tokens would not reach
-//! the caller as they come.
+//! It is built on hyper. The operators' port uses rouille, which holds a
+//! streamed body back until its end (see `docs/design/callers-port.md`), so
+//! tokens would not reach the caller as they are generated.
 
+mod admit;
 mod attempts;
-mod bill;
-mod chat;
+mod billing;
 mod choice;
 mod collect;
+mod completion;
 mod connection;
-mod entry;
-mod flow;
-mod intake;
+mod format;
 mod models;
 mod observer;
+mod plan_runner;
 mod port;
 mod prompt;
 mod reply;
+mod request;
 mod route;
 mod service;
-mod shape;
-mod stall;
-mod steps;
 mod stream;
+mod stream_body;
 mod upstream;
+mod write_timeout;
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -35,19 +35,19 @@
 use hyper::body::Incoming;
 
 use crate::shared::Shared;
-use intake::Call;
 pub use port::Port;
-use reply::{Refusal, Refused, Reply, whole, with_header};
+use reply::{ErrorSummary, Refusal, Reply, buffered_reply, with_header};
+use request::Call;
 use route::Route;
 
-/// Answers a request and counts the answer if it is a typed error.
+/// Answers a request and counts the reply if it is a typed error.
 async fn serve(shared: Arc<Shared>, request: hyper::Request<Incoming>) -> Reply {
     shared.metrics.count("callers.requests");
     let reply = answer(&shared, request).await;
     let reply = reply.unwrap_or_else(Reply::from);
-    if let Some(refused) = reply.extensions().get::<Refused>() {
-        shared.metrics.count(refused.counter());
-        if refused.outcome == Outcome::NotRun {
+    if let Some(summary) = reply.extensions().get::<ErrorSummary>() {
+        shared.metrics.count(summary.counter());
+        if summary.outcome == Outcome::NotRun {
             shared.metrics.count("callers.refused");
         }
     }
@@ -59,7 +59,7 @@
         let message = "this instance is shutting down; not run";
         return Err(Refusal::new(Kind::Unavailable, message));
     }
-    if !shared.is_able() {
+    if !shared.is_initialized() {
         let message = "this instance is starting; not run";
         return Err(Refusal::new(Kind::Unavailable, message));
     }
@@ -68,35 +68,35 @@
     if parts.method == Method::OPTIONS && route != Some(Route::Service) {
         return Ok(options(route));
     }
-    let head = intake::head(shared, &parts)?;
+    let head = request::head(shared, &parts)?;
     let Some(route) = route else {
         return Err(Refusal::new(Kind::NotFound, "no such path"));
     };
-    if !route.takes(&parts.method) {
+    if !route.accepts(&parts.method) {
         let message = format!("this path takes {}", route.methods());
         let reply = Reply::from(Refusal::new(Kind::MethodNotAllowed, message));
         return Ok(with_header(reply, "allow", route.methods()));
     }
-    let body = intake::body(shared, body).await?;
+    let body = request::body(shared, body).await?;
     let call = Call::new(head, &parts, body);
     let shared = Arc::clone(shared);
     Ok(match route {
-        Route::Completion => chat::answer(shared, call).await,
+        Route::Completion => completion::answer(shared, call).await,
         Route::Models => models::answer(&shared, &call),
         Route::Service => {
             let path = call.path.clone();
-            let rest = path.trim_start_matches(route::SERVICES);
+            let rest = path.trim_start_matches(route::SERVICES_PREFIX);
             service::answer(shared, call, rest).await
         }
     })
 }
 
-/// Answers which methods a path takes; it needs no key, for the paths are no
-/// secret.
+/// Answers `OPTIONS` with the methods of a path. It needs no key, because the
+/// paths are no secret.
 fn options(route: Option<Route>) -> Reply {
     let Some(route) = route else {
         return Refusal::new(Kind::NotFound, "no such path").into();
     };
-    let reply = whole(204, "text/plain", "");
+    let reply = buffered_reply(204, "text/plain", "");
     with_header(reply, "allow", route.methods())
 }
--- a/crates/node/src/callers/reply.rs
+++ b/crates/node/src/callers/reply.rs
@@ -1,4 +1,4 @@
-//! Building answers.
+//! Replies to callers and their typed errors.
 
 use std::convert::Infallible;
 
@@ -10,13 +10,13 @@
 use hyper::Response;
 use hyper::header::{HeaderName, HeaderValue};
 
-/// Body of an answer; an error cuts the connection.
+/// Body of a reply; an error from it cuts the connection.
 pub type Body = BoxBody<Bytes, std::io::Error>;
-/// An answer.
+/// A reply to a caller.
 pub type Reply = Response<Body>;
 
 /// Returns a body that is sent at once.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed()
@@ -31,9 +31,9 @@
     }
 }
 
-/// Returns an answer with a body that is sent at once.
-pub fn whole(status: u16, content_type: &'static str, bytes: impl Into<Bytes>) -> Reply {
-    let mut reply = Response::new(full(bytes));
+/// Returns a reply with a body that is sent at once.
+pub fn buffered_reply(status: u16, content_type: &'static str, bytes: impl Into<Bytes>) -> Reply {
+    let mut reply = Response::new(full_body(bytes));
     if let Ok(status) = hyper::StatusCode::from_u16(status) {
         *reply.status_mut() = status;
     }
@@ -44,13 +44,13 @@
     reply
 }
 
-/// Returns an answer that is JSON.
-pub fn json<T: serde::Serialize>(value: &T) -> Reply {
+/// Returns a JSON reply with status 200.
+pub fn json_reply<T: serde::Serialize>(value: &T) -> Reply {
     let bytes = serde_json::to_vec(value).expect("wire messages have only plain fields");
-    whole(200, "application/json", bytes)
+    buffered_reply(200, "application/json", bytes)
 }
 
-/// Adds a header; a value that no header can hold is left out.
+/// Adds a header; skips it if the value is not a valid header value.
 pub fn with_header(mut reply: Reply, name: &'static str, value: &str) -> Reply {
     if let Ok(value) = HeaderValue::from_str(value) {
         reply
@@ -63,11 +63,11 @@
 /// A request that is refused before anything was run.
 #[derive(Clone, Debug)]
 pub struct Refusal {
-    /// What went wrong.
+    /// Kind of the error.
     pub kind: Kind,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
-    /// Seconds after which the caller may come back, when they are known.
+    /// Seconds after which the caller may retry, if known.
     pub retry_s: Option<u64>,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Names the seconds after which the caller may come back.
+    /// Sets the seconds after which the caller may retry.
     pub fn with_retry(mut self, seconds: u64) -> Self {
         self.retry_s = Some(seconds);
         self
@@ -90,7 +90,7 @@
 
 impl From<Refusal> for Reply {
     fn from(refusal: Refusal) -> Self {
-        let reply = failure(refusal.kind, &refusal.message);
+        let reply = not_run_error(refusal.kind, &refusal.message);
         match refusal.retry_s {
             Some(seconds) => with_header(reply, "retry-after", &seconds.to_string()),
             None => reply,
@@ -98,18 +98,18 @@
     }
 }
 
-/// What a typed error tells; kept beside the answer so that it is counted in
-/// one place.
+/// Kind and outcome of a typed error; attached to the reply as an extension so
+/// that all errors are counted in one place.
 #[derive(Clone, Copy, Debug)]
-pub struct Refused {
-    /// What went wrong.
+pub struct ErrorSummary {
+    /// Kind of the error.
     pub kind: Kind,
-    /// What is known of the request.
+    /// Whether the request ran.
     pub outcome: Outcome,
 }
 
-impl Refused {
-    /// Returns the counter of its kind.
+impl ErrorSummary {
+    /// Returns the name of the counter for the kind.
     pub const fn counter(self) -> &'static str {
         match self.kind {
             Kind::InvalidRequest => "errors.invalid_request",
@@ -130,15 +130,17 @@
 }
 
 /// Returns a typed error for a request of which nothing was run.
-pub fn failure(kind: Kind, message: &str) -> Reply {
-    failure_with(kind, message, Outcome::NotRun)
+pub fn not_run_error(kind: Kind, message: &str) -> Reply {
+    typed_error(kind, message, Outcome::NotRun)
 }
 
 /// Returns a typed error.
-pub fn failure_with(kind: Kind, message: &str, outcome: Outcome) -> Reply {
+pub fn typed_error(kind: Kind, message: &str, outcome: Outcome) -> Reply {
     let body = error_body(kind, message, outcome);
-    let mut reply = whole(kind.status(), "application/json", body);
-    reply.extensions_mut().insert(Refused { kind, outcome });
+    let mut reply = buffered_reply(kind.status(), "application/json", body);
+    reply
+        .extensions_mut()
+        .insert(ErrorSummary { kind, outcome });
     let reply = with_header(reply, header::OUTCOME, outcome_name(outcome));
     if matches!(kind, Kind::Overloaded | Kind::Unavailable) {
         return with_header(reply, "retry-after", "1");
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -1,4 +1,4 @@
-//! Handing on a streamed answer, part by part.
+//! Relays a streamed answer to the caller, part by part.
 
 use std::sync::Arc;
 
@@ -10,48 +10,48 @@
 use fescuerack_wire::error::Kind;
 use http_body_util::BodyExt as _;
 
-use super::attempts::Begun;
-use super::bill::{self, Spent};
+use super::attempts::StartedAnswer;
+use super::billing::{self, Spent};
 use super::collect::Answer;
-use super::flow::{Flow, Sender};
-use super::intake::Call;
+use super::format::{ResponseFormat, UsageCounter};
 use super::observer::Observer;
-use super::reply::{Reply, error_body, whole};
-use super::shape::{Form, Tally};
+use super::reply::{Reply, buffered_reply, error_body};
+use super::request::Call;
+use super::stream_body::{Sender, StreamBody};
 use super::upstream::Events;
-use crate::admission::Place;
-use crate::shared::{Force, Shared};
+use crate::admission::Permit;
+use crate::shared::{ActiveConfiguration, Shared};
 
-/// A stream on its way to the caller.
+/// An answer that is streamed to the caller.
 pub struct Stream {
     /// State of the process.
     pub shared: Arc<Shared>,
     /// Configuration under which the request runs.
-    pub force: Arc<Force>,
+    pub active: Arc<ActiveConfiguration>,
     /// The request.
     pub call: Call,
     /// Version that answers.
     pub version: key::Version,
-    /// Form in which the caller wants it.
-    pub form: Form,
-    /// What earlier steps used.
+    /// Format that the caller asked for.
+    pub format: ResponseFormat,
+    /// Usage of earlier steps of the plan.
     pub spent: Spent,
 }
 
 impl Stream {
-    /// Starts handing on and returns the answer's head; `place` is held until
+    /// Starts to relay the answer and returns the reply; `permit` is held until
     /// the stream ends.
-    pub fn start(self, begun: Begun, mut observer: Observer, place: Place) -> Reply {
-        let mut tally = Tally::new();
+    pub fn start(self, started: StartedAnswer, mut observer: Observer, permit: Permit) -> Reply {
+        let mut counter = UsageCounter::new();
         let mut first = BytesMut::new();
-        self.add(begun.first, &mut tally, &mut observer, &mut first);
-        let (sender, body) = Flow::new((!first.is_empty()).then(|| first.freeze()));
-        let mut reply = whole(200, "text/event-stream", Bytes::new());
+        self.add(started.first, &mut counter, &mut observer, &mut first);
+        let (sender, body) = StreamBody::new((!first.is_empty()).then(|| first.freeze()));
+        let mut reply = buffered_reply(200, "text/event-stream", Bytes::new());
         *reply.body_mut() = body.boxed();
-        let events = begun.events;
+        let events = started.events;
         tokio::spawn(async move {
-            self.pump(events, tally, observer, sender).await;
-            drop(place);
+            self.pump(events, counter, observer, sender).await;
+            drop(permit);
         });
         reply
     }
@@ -59,52 +59,52 @@
     async fn pump(
         &self,
         mut events: Events,
-        mut tally: Tally,
+        mut counter: UsageCounter,
         mut observer: Observer,
         sender: Sender,
     ) {
         loop {
-            // Dropping the events cancels the attempt at the engine, also
-            // while no token comes for long.
+            // Dropping the events cancels the attempt at the engine, even while
+            // it generates no token for a long time.
             let next = tokio::select! {
                 next = events.recv() => next,
-                () = sender.gone() => {
+                () = sender.disconnected() => {
                     drop(events);
-                    return self.gone(&tally).await;
+                    return self.bill_abandoned(&counter).await;
                 }
             };
             let part = match next {
                 Some(Ok(Event::Part(part))) => part,
-                Some(Ok(Event::End)) => return self.finish(&tally, observer, sender).await,
-                Some(Err(_)) | None => return self.cut(&sender).await,
+                Some(Ok(Event::End)) => return self.finish(&counter, observer, sender).await,
+                Some(Err(_)) | None => return self.send_error(&sender).await,
             };
             let mut lines = BytesMut::new();
-            self.add(part, &mut tally, &mut observer, &mut lines);
-            // Parts that came together leave together, in one write.
-            while let Some(part) = events.ready() {
-                self.add(part, &mut tally, &mut observer, &mut lines);
+            self.add(part, &mut counter, &mut observer, &mut lines);
+            // Parts that arrived together are sent in one write.
+            while let Some(part) = events.try_next() {
+                self.add(part, &mut counter, &mut observer, &mut lines);
             }
             if !lines.is_empty() && sender.send(lines.freeze()).await.is_err() {
                 drop(events);
-                return self.gone(&tally).await;
+                return self.bill_abandoned(&counter).await;
             }
         }
     }
 
-    /// Adds the line of a part, if the caller gets one. The usage is asked of
-    /// every engine, and told only to those who want it.
+    /// Appends the event line of a part if the caller gets one. Every engine is
+    /// asked for the usage, but only callers that asked for it receive it.
     fn add(
         &self,
         mut part: Completion,
-        tally: &mut Tally,
+        counter: &mut UsageCounter,
         observer: &mut Observer,
         lines: &mut BytesMut,
     ) {
-        tally.read(&part);
+        counter.read(&part);
         observer.read(&part);
-        if let Some(usage) = part.usage.filter(|_| self.form.with_usage) {
+        if let Some(usage) = part.usage.filter(|_| self.format.has_usage) {
             let mut spent = self.spent;
-            spent.add(&self.force, self.version, usage);
+            spent.add(&self.active, self.version, usage);
             part.cost_micro_euro = Some(spent.cost());
         } else if part.choices.is_empty() {
             return;
@@ -112,24 +112,25 @@
             part.usage = None;
         }
         part.id.clone_from(&self.call.request);
-        part.model = self.force.names.versions.name(self.version).to_string();
+        part.model = self.active.names.versions.name(self.version).to_string();
         lines.extend_from_slice(&event(&part));
     }
 
-    async fn finish(&self, tally: &Tally, observer: Observer, sender: Sender) {
-        let usage = tally.usage(&self.shared, &self.call.body);
+    async fn finish(&self, counter: &UsageCounter, observer: Observer, sender: Sender) {
+        let usage = counter.usage(&self.shared, &self.call.body);
         self.bill(usage).await;
-        observer.ended(usage);
+        observer.record_completed(usage);
         if sender.finish(line(chat::DONE)).await.is_err() {
             self.shared.metrics.count("callers.gone");
         }
     }
 
-    /// Ends a stream that no one reads: what came of it is billed, or else
-    /// closing the connection before the end would be a way not to pay.
-    async fn gone(&self, tally: &Tally) {
+    /// Ends a stream whose caller has disconnected. The parts received so far are
+    /// billed; otherwise callers could avoid payment by disconnecting before the
+    /// end.
+    async fn bill_abandoned(&self, counter: &UsageCounter) {
         self.shared.metrics.count("callers.gone");
-        if let Some(usage) = tally.some(&self.shared, &self.call.body) {
+        if let Some(usage) = counter.usage_if_any(&self.shared, &self.call.body) {
             self.bill(usage).await;
         }
     }
@@ -137,16 +138,17 @@
     async fn bill(&self, usage: Usage) {
         let Self {
             shared,
-            force,
+            active,
             call,
             ..
         } = self;
-        bill::completion(shared, force, call, self.version, usage, self.spent).await;
+        billing::completion(shared, active, call, self.version, usage, self.spent).await;
     }
 
-    /// Ends a stream whose answer is not whole: with a typed error, then by
-    /// cutting the connection, so that it cannot be taken for a whole one.
-    async fn cut(&self, sender: &Sender) {
+    /// Ends a stream whose answer is incomplete: sends a typed error, after which
+    /// the dropped sender cuts the connection, so that the answer cannot be taken
+    /// for a complete one.
+    async fn send_error(&self, sender: &Sender) {
         self.shared.metrics.count("callers.cut");
         let (kind, message) = if self.shared.now() >= self.call.deadline {
             (Kind::DeadlineExceeded, "the deadline passed")
@@ -158,11 +160,18 @@
     }
 }
 
-/// Returns an answer that was held back until it was whole, as a stream.
-pub fn held(answer: &Answer, form: Form, request: &str, version: &str, cost: u64) -> Bytes {
+/// Returns the body of a stream for an answer that was held back until it was
+/// complete.
+pub fn buffered_events(
+    answer: &Answer,
+    format: ResponseFormat,
+    request: &str,
+    version: &str,
+    cost: u64,
+) -> Bytes {
     let mut body = Vec::new();
-    for mut part in answer.parts(form.shape) {
-        if part.choices.is_empty() && !form.with_usage {
+    for mut part in answer.parts(format.endpoint) {
+        if part.choices.is_empty() && !format.has_usage {
             continue;
         }
         request.clone_into(&mut part.id);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -55,18 +55,18 @@
         let operators = operators::Port::new(&shared, runtime.handle())?;
         let (peers, peers_handle) = runtime.block_on(peers::serve(Arc::clone(&shared)))?;
         runtime.spawn(peers_handle.stopped());
-        runtime.spawn(peers::follow(Arc::clone(&shared)));
-        runtime.spawn(ledger::copy(Arc::clone(&shared)));
+        runtime.spawn(peers::run(Arc::clone(&shared)));
+        runtime.spawn(ledger::run_copies(Arc::clone(&shared)));
         let stop = Stop::new();
-        spawn("config", &shared, &stop, activation::follow)?;
+        spawn("config", &shared, &stop, activation::run)?;
         spawn("watch", &shared, &stop, activation::watch)?;
-        spawn("servers", &shared, &stop, servers::follow)?;
-        spawn("orders", &shared, &stop, orders::follow)?;
-        spawn("loads", &shared, &stop, loads::follow)?;
-        spawn("claims", &shared, &stop, claims::follow)?;
-        spawn("rollouts", &shared, &stop, versions::rollouts::follow)?;
-        spawn("ratings", &shared, &stop, versions::ratings::follow)?;
-        let ledger = spawn("ledger", &shared, &stop, ledger::follow)?;
+        spawn("servers", &shared, &stop, servers::run)?;
+        spawn("orders", &shared, &stop, orders::run)?;
+        spawn("loads", &shared, &stop, loads::run)?;
+        spawn("claims", &shared, &stop, claims::run)?;
+        spawn("rollouts", &shared, &stop, versions::rollouts::run)?;
+        spawn("ratings", &shared, &stop, versions::ratings::run)?;
+        let ledger = spawn("ledger", &shared, &stop, ledger::run)?;
         log::info!(instance = shared.settings.instance; "started");
         Ok(Self {
             shared,
@@ -135,7 +135,7 @@
         }
         self.stop.set();
         let _ = self.ledger.join();
-        while self.shared.now() < deadline && !claims::work(&self.shared, Duration::ZERO) {}
+        while self.shared.now() < deadline && !claims::record_next(&self.shared, Duration::ZERO) {}
         ledger::finish(&self.shared, deadline);
         self.operators.stop();
         self.runtime.shutdown_background();
