--- a/crates/node/tests/soak/caller.rs
+++ b/crates/node/tests/soak/caller.rs
@@ -173,7 +173,7 @@
         scene.book.break_promise(line);
     }
     let is_calm = scene.touch.is_calm(node, at);
-    let is_good = status == 200 && !answer.is_cut;
+    let is_good = status == 200 && !answer.is_truncated;
     scene.book.count(|tally| {
         tally.good += usize::from(is_good);
         tally.unknown += usize::from(!is_good && !matches!(status, 429 | 503 | 408 | 421));
@@ -183,7 +183,7 @@
         let line = format!("{id} ({kind:?}) at n{node}: {status} though nothing is wrong");
         scene.book.break_promise(line);
     }
-    !answer.is_cut && answer.header("connection") != "close"
+    !answer.is_truncated && answer.header("connection") != "close"
 }
 
 fn wrong_success(
@@ -206,9 +206,9 @@
     if !whole.starts_with(&text) {
         return Some(format!("the events '{text}'"));
     }
-    if text != whole && !answer.is_cut {
+    if text != whole && !answer.is_truncated {
         return Some(format!("a stream that ends whole after '{text}'"));
     }
-    let is_cut_by_stop = answer.is_cut && scene.touch.is_sound(node, at);
+    let is_cut_by_stop = answer.is_truncated && scene.touch.is_sound(node, at);
     is_cut_by_stop.then(|| "a stream that is cut".to_owned())
 }
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -22,10 +22,10 @@
 mod unread;
 mod world;
 
-#[path = "../../../../platform/tests/all/standin/http.rs"]
+#[path = "../../../../platform/tests/all/support/http.rs"]
 mod http;
 #[expect(dead_code, reason = "shared with the platform's tests, which use more")]
-#[path = "../../../../platform/tests/all/standin/store.rs"]
+#[path = "../../../../platform/tests/all/support/store.rs"]
 mod store;
 
 use rstest::rstest;
