--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// When it is turned away; nothing was run.
+/// When it is refused; nothing was run.
 pub async fn admit(
     shared: &Shared,
     call: &Call,
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -60,9 +60,9 @@
     shared: &Shared,
     active: &ActiveConfiguration,
     call: &Call,
-    asked: &chat::Request,
+    chat_request: &chat::Request,
 ) -> Result<Choice, Refusal> {
-    let model = asked.model.as_str();
+    let model = chat_request.model.as_str();
     let selector = selector(active, model).ok_or_else(forbidden)?;
     let now = shared.now();
     shared.versions.configure(now, active);
@@ -76,7 +76,7 @@
         selector,
         session: call.session.as_deref().unwrap_or(&call.request).as_bytes(),
         pinned,
-        stream: asked.stream,
+        stream: chat_request.stream,
         remaining_ms: u32::try_from(remaining).unwrap_or(u32::MAX),
         input_tokens: u64::try_from(call.body.len() / 4).unwrap_or(u64::MAX),
         // A version that is tried at random must not become the version of a
--- a/crates/node/src/callers/collect.rs
+++ b/crates/node/src/callers/collect.rs
@@ -155,9 +155,9 @@
         let index = item.get("index");
         let same = before
             .iter_mut()
-            .find(|known| index.is_some() && known.get("index") == index);
+            .find(|existing| index.is_some() && existing.get("index") == index);
         match same {
-            Some(known) => join_value(known, item),
+            Some(existing) => join_value(existing, item),
             None => before.push(item),
         }
     }
--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -35,17 +35,17 @@
 
 /// Answers a completion request.
 pub async fn answer(shared: Arc<Shared>, call: Call) -> Reply {
-    let asked: chat::Request = match serde_json::from_slice(&call.body) {
-        Ok(asked) => asked,
+    let chat_request: chat::Request = match serde_json::from_slice(&call.body) {
+        Ok(chat_request) => chat_request,
         Err(error) => return not_run_error(Kind::InvalidRequest, &format!("body: {error}")),
     };
-    let format = ResponseFormat::new(&call.path, &asked);
-    if let Err(refusal) = format.endpoint.check(&asked) {
+    let format = ResponseFormat::new(&call.path, &chat_request);
+    if let Err(refusal) = format.endpoint.check(&chat_request) {
         return refusal.into();
     }
     let start = shared.now();
     let active = shared.active_configuration();
-    let choice = match choice::choose(&shared, &active, &call, &asked) {
+    let choice = match choice::choose(&shared, &active, &call, &chat_request) {
         Ok(choice) => choice,
         Err(refusal) => return refusal.into(),
     };
@@ -62,17 +62,17 @@
         format,
         permit,
     };
-    job.run(asked).await
+    job.run(chat_request).await
 }
 
 impl Job {
-    async fn run(mut self, asked: chat::Request) -> Reply {
+    async fn run(mut self, chat_request: chat::Request) -> Reply {
         let runner = PlanRunner {
             shared: &self.shared,
             active: &self.active,
             call: &self.call,
             choice: &self.choice,
-            asked: &asked,
+            chat_request: &chat_request,
             meter: self.permit.meter(),
         };
         let ready = match runner.run().await {
--- a/crates/node/src/callers/format.rs
+++ b/crates/node/src/callers/format.rs
@@ -55,25 +55,25 @@
     /// # Errors
     ///
     /// Which field is invalid.
-    pub fn check(self, asked: &Request) -> Result<(), Refusal> {
+    pub fn check(self, request: &Request) -> Result<(), Refusal> {
         let invalid = |message: &str| Refusal::new(Kind::InvalidRequest, message);
         match self {
-            Self::Chat if !asked.rest.get("messages").is_some_and(Value::is_array) => {
+            Self::Chat if !request.rest.get("messages").is_some_and(Value::is_array) => {
                 return Err(invalid("messages: must be an array"));
             }
-            Self::Text if !asked.rest.contains_key("prompt") => {
+            Self::Text if !request.rest.contains_key("prompt") => {
                 return Err(invalid("prompt: is missing"));
             }
             Self::Chat | Self::Text => {}
         }
-        let limit = asked
+        let limit = request
             .rest
             .get("max_tokens")
             .filter(|value| !value.is_null());
         if limit.is_some_and(|value| value.as_u64().is_none_or(|tokens| tokens == 0)) {
             return Err(invalid("max_tokens: must be a whole number above 0"));
         }
-        let options = asked.rest.get("stream_options");
+        let options = request.rest.get("stream_options");
         let options = options.filter(|value| !value.is_null());
         if options.is_some_and(|value| !value.is_object()) {
             return Err(invalid("stream_options: must be an object"));
@@ -111,12 +111,12 @@
 
 impl ResponseFormat {
     /// Returns the format that a request at `path` asks for.
-    pub fn new(path: &str, asked: &Request) -> Self {
-        let options = asked.rest.get("stream_options");
+    pub fn new(path: &str, request: &Request) -> Self {
+        let options = request.rest.get("stream_options");
         let include_usage = options.and_then(|options| options.get("include_usage"));
         Self {
             endpoint: Endpoint::new(path),
-            is_streamed: asked.stream,
+            is_streamed: request.stream,
             has_usage: include_usage.and_then(Value::as_bool).unwrap_or(false),
         }
     }
--- a/crates/node/src/callers/plan_runner.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -48,7 +48,7 @@
     /// Version, class and plans that were chosen for it.
     pub choice: &'a Choice,
     /// Body of the request.
-    pub asked: &'a chat::Request,
+    pub chat_request: &'a chat::Request,
     /// Reports the attempts' progress to admission.
     pub meter: Meter,
 }
@@ -110,7 +110,7 @@
 
     async fn direct(&self, version: key::Version, spent: Spent) -> Result<Ready, Failure> {
         let observer = self.observer(version, false);
-        let answer = if self.asked.stream {
+        let answer = if self.chat_request.stream {
             let started = self.attempts(version).start().await?;
             observer.record_first_token();
             AvailableAnswer::Started(Box::new(started), observer)
@@ -207,7 +207,7 @@
             path: Endpoint::new(&self.call.path).path(),
             priority: self.choice.priority,
             fingerprint: fingerprint(self.active, self.call),
-            body: engine_body(self.active, version, self.asked),
+            body: engine_body(self.active, version, self.chat_request),
             deadline: self.call.deadline,
         };
         AttemptRunner::new(Arc::clone(self.shared), Arc::clone(self.active), spec)
@@ -229,9 +229,9 @@
 fn engine_body(
     active: &ActiveConfiguration,
     version: key::Version,
-    asked: &chat::Request,
+    chat_request: &chat::Request,
 ) -> Bytes {
-    let mut rest = asked.rest.clone();
+    let mut rest = chat_request.rest.clone();
     request_usage(&mut rest);
     let request = chat::Request {
         model: active.names.versions.name(version).to_string(),
--- a/crates/node/src/versions/suspects.rs
+++ b/crates/node/src/versions/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers: telling a crash from a broken connection,
+//! Requests that crash servers: distinguishing a crash from a broken connection,
 //! permits from the store, and immediate updates to all peers.
 
 use std::collections::BTreeSet;
