--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -1,14 +1,14 @@
-//! Slopes for `docs/CAPACITY.md`, and the table of that page at the planned
-//! size.
+//! Measures the slopes in `docs/CAPACITY.md`, and prints that page's table for
+//! the planned size.
 //!
 //! ```text
 //! cargo bench -p fescuerack-node --bench capacity
 //! ```
 //!
 //! Each slope is measured at two sizes and printed with its spread over several
-//! rounds. Processor time of decisions is measured around many calls in this
-//! process; memory is the growth of the resident set; the cost of a process at
-//! rest is read off real `fescuerackd` processes whose list names many servers.
+//! rounds. The processor time of decisions is measured over many calls in this
+//! process. Memory is the growth of the resident set. The cost of an idle process
+//! is measured on real `fescuerackd` processes with long server lists.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -28,55 +28,52 @@
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 
-/// Rounds of each measurement.
+/// Number of rounds of each measurement.
 const ROUNDS: u64 = 5;
-/// Instances of the planned size.
+/// Number of instances at the planned size.
 const NODES: f64 = 340.0;
-/// Backend servers of the planned size.
+/// Number of backend servers at the planned size.
 const SERVERS: usize = 910;
-/// Requests a second of the planned size, on one instance.
-const REQUESTS: f64 = 5_000.0 / NODES;
-/// Changes of the configuration a second of the planned size.
-const CHANGES: f64 = 3_000.0 / 86_400.0;
-/// Changes of the platform's list a second: 270 instances a day fail, restart or
-/// are replaced, and each leaves the list and comes back.
-const LIST_CHANGES: f64 = 2.0 * 270.0 / 86_400.0;
-/// Bytes of a reading that finds the list unchanged, with both heads: assumed.
-const UNCHANGED: f64 = 300.0;
-/// Organisations that are assumed; the plan names no number.
+/// Requests per second at the planned size, on one instance.
+const REQUESTS_PER_SECOND: f64 = 5_000.0 / NODES;
+/// Changes of the configuration per second at the planned size.
+const CHANGES_PER_SECOND: f64 = 3_000.0 / 86_400.0;
+/// Changes of the platform's list per second: 270 instances a day fail, restart
+/// or are replaced, and each leaves the list and returns.
+const LIST_CHANGES_PER_SECOND: f64 = 2.0 * 270.0 / 86_400.0;
+/// Assumed size of a read that finds the list unchanged, with the heads of
+/// request and response.
+const UNCHANGED_BYTES: f64 = 300.0;
+/// Assumed number of organisations. The plan gives no number.
 const ORGANISATIONS: usize = 1_000;
-/// Versions of the planned size.
+/// Number of versions at the planned size.
 const VERSIONS: usize = 10;
-/// Bytes of the answer of a claimed request.
-const BODY: usize = 500;
-/// Seconds for which a process at rest is watched.
-const REST: Duration = Duration::from_secs(8);
+/// Size of the answer to a request with a claim.
+const BODY_BYTES: usize = 500;
+/// Time for which an idle process is measured.
+const IDLE_WINDOW: Duration = Duration::from_secs(8);
 
-/// Median with the least and the greatest value.
+/// Median, minimum and maximum of a series of values.
 #[derive(Clone, Copy)]
 struct Spread {
-    least: f64,
+    min: f64,
     median: f64,
-    greatest: f64,
+    max: f64,
 }
 
 impl Spread {
     fn new(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         Self {
-            least: values[0],
+            min: values[0],
             median: values[values.len() / 2],
-            greatest: values[values.len() - 1],
+            max: values[values.len() - 1],
         }
     }
 
     fn show(self, unit: &str) -> String {
-        let Self {
-            least,
-            median,
-            greatest,
-        } = self;
-        format!("{median:.2} {unit} ({least:.2} to {greatest:.2})")
+        let Self { min, median, max } = self;
+        format!("{median:.2} {unit} ({min:.2} to {max:.2})")
     }
 }
 
@@ -84,7 +81,8 @@
     f64::from(u32::try_from(value).unwrap_or(u32::MAX))
 }
 
-/// Microseconds of one call, over `ROUNDS` rounds of `calls` calls.
+/// Measures the time of one call in microseconds, over `ROUNDS` rounds of `calls`
+/// calls.
 fn micros(calls: u32, mut call: impl FnMut(u32)) -> Spread {
     let round = |call: &mut dyn FnMut(u32)| {
         let started = Instant::now();
@@ -96,7 +94,7 @@
     Spread::new((0..ROUNDS).map(|_| round(&mut call)).collect())
 }
 
-/// Resident memory of a process, in bytes.
+/// Returns the resident memory of a process, in bytes.
 fn resident(process: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/statm")).unwrap_or_default();
     let pages = text
@@ -106,13 +104,14 @@
     pages.unwrap_or(0.0) * 4096.0
 }
 
-/// Variable that tells a copy of this program what to hold: `servers=910`.
+/// Environment variable that makes a child process of this program measure the
+/// memory of a structure, for example `servers=910`.
 const HOLD: &str = "FESCUERACK_CAPACITY_HOLD";
-/// Copies that are held at once to measure their memory.
+/// Number of copies that are held at a time to measure their memory.
 const COPIES: usize = 8;
 
-/// Bytes of one copy of `what`, measured in a fresh process, where no memory
-/// that earlier work has left over hides the growth.
+/// Returns the size in bytes of one copy of `what`. It is measured in a new
+/// process, where no free memory of earlier work hides the growth.
 fn held_bytes(what: &str, size: usize) -> f64 {
     let program = std::env::current_exe().expect("this program has a path");
     let output = Command::new(program)
@@ -123,11 +122,12 @@
     text.trim().parse().expect("a number of bytes")
 }
 
-/// Holds copies of what the variable names and prints the bytes of each.
-fn hold(asked: &str) {
-    let (what, size) = asked.split_once('=').expect("what and size");
+/// Holds copies of the structure that the variable names, and prints the size of
+/// one in bytes.
+fn print_held_bytes(structure: &str) {
+    let (what, size) = structure.split_once('=').expect("what and size");
     let size = size.parse().expect("a size");
-    let grown = if what == "servers" {
+    let bytes = if what == "servers" {
         growth(|| {
             let mut names = Names::new();
             (table(&mut names, size), names)
@@ -136,9 +136,10 @@
         let folder = configuration(size, VERSIONS);
         growth(|| build(&folder))
     };
-    println!("{grown}");
+    println!("{bytes}");
 }
 
+/// Returns the memory of one copy of what `make` returns, in bytes.
 fn growth<T>(make: impl Fn() -> T) -> f64 {
     let first = make();
     let before = resident("self");
@@ -155,7 +156,8 @@
     (catalog, names)
 }
 
-/// A configuration with that many organisations and versions of five models.
+/// Returns a configuration with the given numbers of organisations and of
+/// versions, which belong to five models.
 fn configuration(organisations: usize, versions: usize) -> Folder {
     let mut models = String::from("models:\n");
     let mut text = String::from("versions:\n");
@@ -176,7 +178,7 @@
     let mut folder = Folder::new()
         .with_file("10-models.yaml", models + &text)
         .with_file("30-targets.yaml", targets.to_owned());
-    // Several files, as several teams write them.
+    // Uses several files, because several teams write the configuration.
     for (file, names) in (0..organisations)
         .collect::<Vec<_>>()
         .chunks(50)
@@ -212,9 +214,9 @@
     let scale = |micros: f64| micros / 1000.0;
     Compiled {
         millis: Spread {
-            least: scale(micros.least),
+            min: scale(micros.min),
             median: scale(micros.median),
-            greatest: scale(micros.greatest),
+            max: scale(micros.max),
         },
         text_bytes,
         memory: held_bytes("organisations", organisations),
@@ -251,7 +253,7 @@
 
 struct Routing {
     choose: Spread,
-    take_over: Spread,
+    apply_list: Spread,
     tick: Spread,
     memory: f64,
     list_bytes: usize,
@@ -264,7 +266,7 @@
     let fleet = names.fleets.intern("fleet");
     let avoid = BTreeSet::new();
     let fleets = [fleet];
-    let ask = Request {
+    let request = Request {
         fleets: &fleets,
         avoid: &avoid,
         work: 200,
@@ -275,23 +277,23 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let now = clock::Instant::from_millis(1_000);
     let choose = micros(20_000, |_| {
-        black_box(table.choose(now, &ask, &mut rng));
+        black_box(table.choose(now, &request, &mut rng));
     });
-    let take_over = micros(20, |_| {
+    let apply_list = micros(20, |_| {
         let listed = listed(&mut names, fleet, servers);
         table.apply_list(now, listed);
     });
     let tick = micros(200, |_| table.tick(now));
     Routing {
         choose,
-        take_over,
+        apply_list,
         tick,
         memory,
         list_bytes: list(servers, 340).1,
     }
 }
 
-/// The platform's list, and its size in JSON.
+/// Returns a list of the platform, and its size as JSON text.
 fn list(servers: usize, nodes: usize) -> (Instances, usize) {
     let server = |index: usize, fleet: &str| Instance {
         id: format!("{fleet}-{index:05}"),
@@ -309,8 +311,8 @@
     (list, bytes)
 }
 
-/// Microseconds of letting one request in and out, with that many
-/// organisations waiting.
+/// Measures the time to admit and finish one request in microseconds, with the
+/// given number of organisations.
 fn admission_of(organisations: usize) -> Spread {
     let mut names = Names::new();
     let names: Vec<_> = (0..organisations)
@@ -320,7 +322,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let now = clock::Instant::from_millis(1_000);
     micros(20_000, |index| {
-        let ask = admission::Request {
+        let request = admission::Request {
             organisation: names[usize::try_from(index).unwrap_or(0) % names.len()],
             weight: 1,
             caller: u64::from(index),
@@ -329,16 +331,16 @@
             long: false,
             deadline: now.plus_millis(30_000),
         };
-        if let Verdict::Run(grant) = control.offer(now, &ask, &mut rng) {
+        if let Verdict::Run(grant) = control.offer(now, &request, &mut rng) {
             control.finish(now, grant, admission::Completion::Ignored);
         }
         black_box(control.poll(now, &mut rng));
     })
 }
 
-/// Bytes of a claim's record with an answer of 500 bytes, and of an entry of
-/// the ledger in a segment.
-fn kept_bytes() -> (usize, usize) {
+/// Returns the stored sizes of a claim's record with an answer of 500 bytes, and
+/// of a ledger entry in a segment.
+fn stored_bytes() -> (usize, usize) {
     let record = claim::Record {
         digest: folder::digest(b"request"),
         nonce: u64::MAX,
@@ -346,11 +348,11 @@
         state: claim::State::Done(claim::Answer {
             status: 200,
             content_type: Some("application/json".to_owned()),
-            body: bytes::Bytes::from(vec![b'x'; BODY]),
+            body: bytes::Bytes::from(vec![b'x'; BODY_BYTES]),
         }),
     };
-    // The body stands behind the record.
-    let claim = serde_json::to_vec(&record).expect("plain fields").len() + BODY;
+    // The body is stored after the record.
+    let claim = serde_json::to_vec(&record).expect("plain fields").len() + BODY_BYTES;
     let entry = ledger::Entry {
         request: "0123456789abcdef-000000".to_owned(),
         organisation: "perhepalvelut-helsinki".to_owned(),
@@ -366,7 +368,7 @@
     (claim, entry)
 }
 
-/// Real processes before a platform whose list names `servers` servers.
+/// Real processes and a platform with a long server list.
 struct World {
     _runtime: tokio::runtime::Runtime,
     platform: Platform,
@@ -450,8 +452,9 @@
         }
     }
 
-    /// Share of a core and resident bytes of each process at rest.
-    fn rest(&self) -> (Spread, Spread) {
+    /// Measures the share of a core in percent and the resident memory in MB of
+    /// each idle process.
+    fn measure_idle(&self) -> (Spread, Spread) {
         let ids: Vec<_> = self
             .processes
             .iter()
@@ -460,7 +463,7 @@
         std::thread::sleep(Duration::from_secs(2));
         let before: Vec<_> = ids.iter().map(|id| ticks(id)).collect();
         let started = Instant::now();
-        std::thread::sleep(REST);
+        std::thread::sleep(IDLE_WINDOW);
         let seconds = started.elapsed().as_secs_f64();
         let cpu = ids.iter().zip(before);
         let cpu = cpu.map(|(id, before)| (ticks(id) - before) / 100.0 / seconds * 100.0);
@@ -478,7 +481,7 @@
     }
 }
 
-/// Processor time of a process, in hundredths of a second.
+/// Returns the processor time of a process, in hundredths of a second.
 fn ticks(process: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or("").split(' ').collect();
@@ -487,8 +490,8 @@
 }
 
 fn main() {
-    if let Ok(asked) = std::env::var(HOLD) {
-        return hold(&asked);
+    if let Ok(structure) = std::env::var(HOLD) {
+        return print_held_bytes(&structure);
     }
     println!("## Configuration");
     println!("| organisations | versions | text | parse, merge and compile | memory |");
@@ -517,7 +520,7 @@
         println!(
             "| {servers} | {} | {} | {} | {:.0} B | {:.0} KB |",
             found.choose.show("µs"),
-            found.take_over.show("µs"),
+            found.apply_list.show("µs"),
             found.tick.show("µs"),
             found.memory,
             float(found.list_bytes) / 1e3
@@ -539,7 +542,7 @@
         black_box(session::position("kaisla-mini", &index.to_be_bytes()));
     });
     println!("| position of a session | {} |", position.show("µs"));
-    let (claim, entry) = kept_bytes();
+    let (claim, entry) = stored_bytes();
     println!("| record of a claim with an answer of 500 bytes | {claim} B |");
     println!("| entry of the ledger | {entry} B |");
 
@@ -548,7 +551,7 @@
     println!("| --- | --- | --- | --- |");
     for (nodes, servers) in [(3, 12), (9, 12), (3, SERVERS), (3, 9_100)] {
         let world = World::new(nodes, servers);
-        let (cpu, memory) = world.rest();
+        let (cpu, memory) = world.measure_idle();
         println!(
             "| {nodes} | {servers} | {} | {} |",
             cpu.show("%"),
@@ -561,26 +564,26 @@
     println!("| --- | --- | --- | --- |");
     let share = |micros: f64, times: f64| format!("{:.4}%", micros * times / 1e4);
     println!(
-        "| configuration | {CHANGES:.3} changes | {} | {:.0} |",
-        share(planned.millis.median * 1e3, CHANGES),
-        float(planned.text_bytes) / (float(ORGANISATIONS) / 50.0) * CHANGES
+        "| configuration | {CHANGES_PER_SECOND:.3} changes | {} | {:.0} |",
+        share(planned.millis.median * 1e3, CHANGES_PER_SECOND),
+        float(planned.text_bytes) / (float(ORGANISATIONS) / 50.0) * CHANGES_PER_SECOND
     );
     println!(
         "| list of instances, whole | 2 readings | {} | {:.0} |",
-        share(route.take_over.median + route.tick.median, 2.0),
+        share(route.apply_list.median + route.tick.median, 2.0),
         float(route.list_bytes) * 2.0
     );
     println!(
-        "| list of instances, by tag | 2 readings, {LIST_CHANGES:.4} changes | {} | {:.0} |",
-        share(route.take_over.median + route.tick.median, 2.0),
-        float(route.list_bytes) * LIST_CHANGES + UNCHANGED * 2.0
+        "| list of instances, by tag | 2 readings, {LIST_CHANGES_PER_SECOND:.4} changes | {} | {:.0} |",
+        share(route.apply_list.median + route.tick.median, 2.0),
+        float(route.list_bytes) * LIST_CHANGES_PER_SECOND + UNCHANGED_BYTES * 2.0
     );
     println!(
-        "| choice of servers | {REQUESTS:.1} | {} | 0 |",
-        share(route.choose.median, REQUESTS)
+        "| choice of servers | {REQUESTS_PER_SECOND:.1} | {} | 0 |",
+        share(route.choose.median, REQUESTS_PER_SECOND)
     );
     println!(
-        "| ledger | {REQUESTS:.1} entries | | {:.0} |",
-        float(entry) * REQUESTS
+        "| ledger | {REQUESTS_PER_SECOND:.1} entries | | {:.0} |",
+        float(entry) * REQUESTS_PER_SECOND
     );
 }
--- a/crates/node/benches/path/client.rs
+++ b/crates/node/benches/path/client.rs
@@ -1,4 +1,4 @@
-//! Callers that keep a number of streams open.
+//! Callers that keep a fixed number of streams open.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -18,17 +18,18 @@
 
 /// Key of an organisation of the example configuration.
 const KEY: &str = "demo-perhepalvelut-espoo";
-/// Version that is asked for by name, so that all sides do the same work.
+/// Version that requests name explicitly, so that all sides do the same work.
 const MODEL: &str = "kaisla-mini@1";
-/// Time over which callers begin, so that they do not march in step.
+/// Time over which the starts of the callers are spread, so that they do not
+/// run in lockstep.
 const RAMP: Duration = Duration::from_millis(500);
 
-/// Longest time that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
-/// What a whole answer ends with.
+/// Longest time that the histograms resolve.
+const MAX_MICROS: u64 = 60_000_000;
+/// End of a complete answer.
 const END: &[u8] = b"data: [DONE]\n\n";
 
-/// What callers do.
+/// Load of the callers.
 #[derive(Clone)]
 pub struct Load {
     address: String,
@@ -36,20 +37,21 @@
     body: Bytes,
 }
 
-/// What callers saw.
+/// Measurements of the callers.
 pub struct Measured {
     first: Histogram<u64>,
     total: Histogram<u64>,
-    /// Whole answers.
+    /// Number of complete answers.
     pub answers: u64,
-    /// Answers that ended without their end.
+    /// Number of truncated answers.
     pub cut: u64,
-    /// Time over which they came.
+    /// Time over which answers were counted.
     pub took: Duration,
 }
 
 impl Load {
-    /// Keeps `streams` open at `address`, each answer of so many tokens.
+    /// Creates a load of `streams` concurrent streams to `address`, whose answers
+    /// have `tokens` tokens.
     pub fn new(address: &str, streams: usize, tokens: u64) -> Self {
         let body = json!({
             "model": MODEL,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Runs for a time after the callers have begun.
+    /// Runs the load for `window` after all callers have started.
     pub fn run(&self, runtime: &Runtime, window: Duration) -> Result<Measured> {
         runtime.block_on(self.run_all(window))
     }
@@ -94,7 +96,12 @@
         Ok(measured)
     }
 
-    async fn caller(&self, from: Instant, until: Instant, seen: &Mutex<Measured>) -> Result<()> {
+    async fn caller(
+        &self,
+        from: Instant,
+        until: Instant,
+        measured: &Mutex<Measured>,
+    ) -> Result<()> {
         let mut sender = self.connect().await?;
         while Instant::now() < until {
             let start = Instant::now();
@@ -107,13 +114,13 @@
                 tail.drain(..tail.len().saturating_sub(END.len()));
             }
             if tail != END {
-                seen.lock().unwrap_or_else(PoisonError::into_inner).cut += 1;
+                measured.lock().unwrap_or_else(PoisonError::into_inner).cut += 1;
                 continue;
             }
             let end = Instant::now();
             if start >= from && end <= until {
-                let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-                seen.record(first.context("a first token")?, end - start);
+                let mut measured = measured.lock().unwrap_or_else(PoisonError::into_inner);
+                measured.record(first.context("a first token")?, end - start);
             }
         }
         Ok(())
@@ -161,8 +168,8 @@
 impl Measured {
     fn new() -> Result<Self> {
         Ok(Self {
-            first: Histogram::new_with_max(LONGEST, 3)?,
-            total: Histogram::new_with_max(LONGEST, 3)?,
+            first: Histogram::new_with_max(MAX_MICROS, 3)?,
+            total: Histogram::new_with_max(MAX_MICROS, 3)?,
             answers: 0,
             cut: 0,
             took: Duration::ZERO,
@@ -190,10 +197,10 @@
         ]
     }
 
-    /// Returns by how much each quantile is above that of the direct way.
+    /// Returns the difference of each quantile to that of direct requests.
     pub fn added_to(&self, direct: &Self) -> [f64; 4] {
-        let (through, direct) = (self.quantiles(), direct.quantiles());
-        [0, 1, 2, 3].map(|column| through[column] - direct[column])
+        let (proxied, direct) = (self.quantiles(), direct.quantiles());
+        [0, 1, 2, 3].map(|column| proxied[column] - direct[column])
     }
 
     /// Returns the number of answers.
--- a/crates/node/benches/path/main.rs
+++ b/crates/node/benches/path/main.rs
@@ -1,18 +1,18 @@
-//! What the router costs on the path of a request.
+//! Cost of the router on the path of a request.
 //!
 //! `cargo bench -p fescuerack-node --bench path [-- latency|throughput|memory|port]`
 //!
-//! Three sides are measured in turn, in the same run: the stand-in engine
-//! *direct*; through a real `fescuerackd` (*node*); and through a *bare*
-//! pass-through on the same two libraries, hyper and ureq, that decides
-//! nothing. Each round goes over all sides, so that what else the machine does
-//! falls on all of them; figures are medians over the rounds with the least and
-//! the greatest.
+//! Three sides are measured in turn, in the same run: *direct* requests to the
+//! stand-in engine; requests through a real `fescuerackd` (*node*); and requests
+//! through a *bare* pass-through proxy on the same two libraries, hyper and
+//! ureq, without any decisions. Each round measures all sides, so that other
+//! load on the machine affects all of them. Figures are medians over the rounds,
+//! with the minimum and the maximum.
 
 mod bare;
 mod client;
-mod held;
 mod process;
+mod rouille_port;
 mod world;
 
 use std::time::Duration;
@@ -23,40 +23,42 @@
 use process::Process;
 use world::World;
 
-/// Rounds over all sides.
+/// Number of rounds over all sides.
 const ROUNDS: usize = 3;
-/// Open streams at which latency is measured.
+/// Numbers of open streams at which latency is measured.
 const STREAMS: [usize; 3] = [1, 50, 400];
 /// Time for which each side is measured in a round.
 const WINDOW: Duration = Duration::from_secs(3);
-/// Pace of the engine for latency: a first token and a rate as in production.
-const PACED: Pace = Pace {
+/// Speed of the engine for latency: a time to first token and a token rate as in
+/// production.
+const LATENCY_PACE: Pace = Pace {
     first_ms: 100,
     token_ms: 20,
 };
 /// Tokens of an answer for latency.
 const TOKENS: u64 = 20;
-/// Pace of the engine for throughput: nothing but the path takes time.
-const AT_ONCE: Pace = Pace {
+/// Speed of the engine for throughput: it answers without delay, so that only
+/// the path takes time.
+const THROUGHPUT_PACE: Pace = Pace {
     first_ms: 0,
     token_ms: 0,
 };
-/// Requests at a time for throughput.
+/// Concurrent requests for throughput, in a closed loop.
 const CLOSED_LOOP: usize = 64;
 /// Tokens of an answer for throughput.
-const FEW: u64 = 8;
-/// Pace of the engine for memory: streams stay open.
-const STILL: Pace = Pace {
+const THROUGHPUT_TOKENS: u64 = 8;
+/// Speed of the engine for memory: streams stay open.
+const MEMORY_PACE: Pace = Pace {
     first_ms: 1,
     token_ms: 600_000,
 };
-/// Pace of the engine for the choice of the port.
-const STEPS: Pace = Pace {
+/// Speed of the engine for the comparison of ports.
+const PORT_PACE: Pace = Pace {
     first_ms: 50,
     token_ms: 50,
 };
 /// Open streams for memory.
-const OPEN: usize = 400;
+const OPEN_STREAMS: usize = 400;
 
 fn main() -> Result<()> {
     let mut arguments = std::env::args()
@@ -78,11 +80,11 @@
     }
 }
 
-/// (a) First token and total time, added to the engine's own.
+/// (a) Time to first token and total time, in addition to those of the engine.
 fn latency() -> Result<()> {
     println!("## added to the direct way, in ms: median [least, greatest] of {ROUNDS} rounds");
     println!("streams | side | first p50 | first p99 | total p50 | total p99 | answers");
-    let world = World::new(PACED)?;
+    let world = World::new(LATENCY_PACE)?;
     let node = Process::node(&world.platform.address())?;
     let bare = Process::bare(&world.engines[0].address())?;
     for streams in STREAMS {
@@ -95,9 +97,9 @@
             };
             let direct = run(&world.engines[0].address())?;
             for (side, process) in [&node, &bare].into_iter().enumerate() {
-                let through = run(&process.address)?;
-                rounds[side].push(through.added_to(&direct));
-                answers[side] += through.answers;
+                let proxied = run(&process.address)?;
+                rounds[side].push(proxied.added_to(&direct));
+                answers[side] += proxied.answers;
             }
         }
         for (side, name) in ["node", "bare"].into_iter().enumerate() {
@@ -112,12 +114,14 @@
     Ok(())
 }
 
-/// (b) Requests a second and processor time of a request, against the bare
-/// pass-through.
+/// (b) Requests per second and processor time per request, compared with the
+/// bare pass-through proxy.
 fn throughput() -> Result<()> {
-    println!("## {CLOSED_LOOP} requests at a time, {FEW} tokens each, {ROUNDS} rounds");
+    println!(
+        "## {CLOSED_LOOP} requests at a time, {THROUGHPUT_TOKENS} tokens each, {ROUNDS} rounds"
+    );
     println!("side | requests/s | CPU us/request | first p99 ms | without end");
-    let world = World::new(AT_ONCE)?;
+    let world = World::new(THROUGHPUT_PACE)?;
     let node = Process::node(&world.platform.address())?;
     let bare = Process::bare(&world.engines[0].address())?;
     let mut rounds = [Vec::new(), Vec::new()];
@@ -125,7 +129,7 @@
     for _ in 0..ROUNDS {
         for (side, process) in [&node, &bare].into_iter().enumerate() {
             let before = process.cpu();
-            let load = Load::new(&process.address, CLOSED_LOOP, FEW);
+            let load = Load::new(&process.address, CLOSED_LOOP, THROUGHPUT_TOKENS);
             let measured = load.run(&world.runtime, WINDOW)?;
             cut[side] += measured.cut;
             rounds[side].push(cost(&measured, process.cpu().saturating_sub(before)));
@@ -147,31 +151,32 @@
     [per_second, micros, measured.quantiles()[1], 0.0]
 }
 
-/// (c) Memory of an open stream.
+/// (c) Memory per open stream.
 fn memory() -> Result<()> {
-    println!("## resident memory of {OPEN} open streams");
+    println!("## resident memory of {OPEN_STREAMS} open streams");
     println!("side | KB before | KB with streams | KB a stream");
-    let world = World::new(STILL)?;
+    let world = World::new(MEMORY_PACE)?;
     let node = Process::node(&world.platform.address())?;
     let bare = Process::bare(&world.engines[0].address())?;
     for (name, process) in [("node", &node), ("bare", &bare)] {
         let before = process.resident_kb();
-        let load = Load::new(&process.address, OPEN, TOKENS);
+        let load = Load::new(&process.address, OPEN_STREAMS, TOKENS);
         let open = load.open(&world.runtime)?;
         let with = process.resident_kb();
-        let each = with.saturating_sub(before) / u64::try_from(OPEN)?;
+        let each = with.saturating_sub(before) / u64::try_from(OPEN_STREAMS)?;
         println!("{name} | {before} | {with} | {each}");
         drop(open);
     }
     Ok(())
 }
 
-/// Why the callers' port is no rouille: the first token of 20, one each 50 ms.
+/// Shows why the callers' port does not use rouille: the time to the first of 20
+/// tokens, which the engine sends every 50 ms.
 fn port() -> Result<()> {
     println!("## 20 tokens, one each 50 ms: milliseconds to the first and to the end");
-    let (first, whole) = held::measure()?;
+    let (first, whole) = rouille_port::measure()?;
     println!("rouille | {} | {}", first.as_millis(), whole.as_millis());
-    let world = World::new(STEPS)?;
+    let world = World::new(PORT_PACE)?;
     let node = Process::node(&world.platform.address())?;
     let load = Load::new(&node.address, 1, TOKENS);
     let measured = load.run(&world.runtime, WINDOW)?.quantiles();
@@ -192,6 +197,6 @@
 
 fn spread(rounds: &[[f64; 4]], column: usize) -> String {
     let values = sorted(rounds, column);
-    let (least, most) = (values[0], values[values.len() - 1]);
-    format!("{:.2} [{least:.2}, {most:.2}]", median(rounds, column))
+    let (min, max) = (values[0], values[values.len() - 1]);
+    format!("{:.2} [{min:.2}, {max:.2}]", median(rounds, column))
 }
--- a/crates/node/benches/path/process.rs
+++ b/crates/node/benches/path/process.rs
@@ -10,11 +10,11 @@
 use crate::bare;
 
 /// Time within which a process must be ready.
-const READY: Duration = Duration::from_secs(20);
-/// Ticks of a second in `/proc`.
-const TICKS: u64 = 100;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Clock ticks per second in `/proc`.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// A process; it is killed when dropped.
+/// A process, which is killed when dropped.
 pub struct Process {
     child: Child,
     /// Address for callers, as `host:port`.
@@ -23,7 +23,7 @@
 }
 
 impl Process {
-    /// Starts a node and waits until it takes callers.
+    /// Starts a node and waits until it is ready.
     pub fn node(platform: &str) -> Result<Self> {
         let mut settings = tempfile::NamedTempFile::new()?;
         write!(
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Starts the bare pass-through before an engine.
+    /// Starts the bare pass-through proxy in front of an engine.
     pub fn bare(engine: &str) -> Result<Self> {
         let mut command = Command::new(std::env::current_exe()?);
         command.args([bare::ARGUMENT, engine]);
@@ -58,17 +58,17 @@
         })
     }
 
-    /// Returns the processor time that was used.
+    /// Returns the processor time that the process has used.
     pub fn cpu(&self) -> Duration {
         let stat = self.read("stat");
-        // The name, in brackets, may hold spaces.
+        // The name of the program, in brackets, may contain spaces.
         let rest = stat.rsplit(')').next().unwrap_or_default();
         let ticks = rest.split_whitespace().skip(11).take(2);
         let ticks: u64 = ticks.filter_map(|ticks| ticks.parse::<u64>().ok()).sum();
-        Duration::from_millis(ticks * 1000 / TICKS)
+        Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
     }
 
-    /// Returns the resident memory.
+    /// Returns the resident memory of the process, in KB.
     pub fn resident_kb(&self) -> u64 {
         let status = self.read("status");
         let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -89,7 +89,7 @@
     }
 }
 
-/// Starts a process; returns the line with which it tells its addresses.
+/// Starts a process; returns it with the line in which it prints its addresses.
 fn start(mut command: Command) -> Result<(Child, String)> {
     command.stdout(Stdio::piped()).stderr(Stdio::null());
     let mut child = command.spawn().context("start a process")?;
@@ -101,7 +101,7 @@
 
 fn wait_until_ready(url: &str) -> Result<()> {
     let agent = fescuerack_client::agent(1);
-    let deadline = Instant::now() + READY;
+    let deadline = Instant::now() + READY_TIMEOUT;
     while !agent
         .get(url)
         .call()
--- a/crates/node/benches/path/held.rs
+++ b/crates/node/benches/path/rouille_port.rs
@@ -1,5 +1,5 @@
-//! The first token through rouille, which the house style names first, beside
-//! the node's callers' port on hyper.
+//! The time to first token through rouille, the HTTP library that the house
+//! style prefers, for comparison with the node's callers' port on hyper.
 
 use std::io::{self, Read};
 use std::time::{Duration, Instant};
@@ -7,37 +7,39 @@
 use anyhow::{Result, anyhow};
 use rouille::{Response, ResponseBody, Server};
 
-/// Events of the answer.
-const EVENTS: u32 = 20;
+/// Number of events in the answer.
+const EVENT_COUNT: u32 = 20;
 /// Time before each event.
-const STEP: Duration = Duration::from_millis(50);
+const EVENT_INTERVAL: Duration = Duration::from_millis(50);
 /// One event.
 const EVENT: &[u8] = b"data: {}\n\n";
 
-/// An answer whose events come one by one.
+/// An answer whose events arrive one by one.
 struct Paced {
-    left: u32,
+    remaining: u32,
 }
 
 impl Read for Paced {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             return Ok(0);
         }
-        self.left -= 1;
-        std::thread::sleep(STEP);
+        self.remaining -= 1;
+        std::thread::sleep(EVENT_INTERVAL);
         let length = EVENT.len().min(buffer.len());
         buffer[..length].copy_from_slice(&EVENT[..length]);
         Ok(length)
     }
 }
 
-/// Returns the time to the first byte of a streamed body and to its end.
+/// Measures the time to the first byte of a streamed body and to its end.
 pub fn measure() -> Result<(Duration, Duration)> {
     let answer = |_: &rouille::Request| Response {
         status_code: 200,
         headers: vec![("content-type".into(), "text/event-stream".into())],
-        data: ResponseBody::from_reader(Paced { left: EVENTS }),
+        data: ResponseBody::from_reader(Paced {
+            remaining: EVENT_COUNT,
+        }),
         upgrade: None,
     };
     let server = Server::new("127.0.0.1:0", answer).map_err(|error| anyhow!("{error}"))?;
--- a/crates/node/benches/path/world.rs
+++ b/crates/node/benches/path/world.rs
@@ -1,4 +1,4 @@
-//! Stand-ins in the bench's own process.
+//! Stand-ins in the process of the bench.
 
 use std::path::Path;
 
@@ -10,8 +10,8 @@
 use fescuerack_wire::list::Instance;
 use tokio::runtime::Runtime;
 
-/// The platform and one engine, which serves the configuration's fleet alone,
-/// so that all sides use the same one.
+/// The platform and a single engine for the fleet of the configuration, so that
+/// all sides use the same engine.
 pub struct World {
     pub runtime: Runtime,
     pub platform: Platform,
--- a/crates/node/benches/store.rs
+++ b/crates/node/benches/store.rs
@@ -1,9 +1,10 @@
-//! What the store costs a request and a change, through real processes' code
-//! and real sockets on loopback, against stand-ins.
+//! Cost of the store for a request and for a change, measured with the code of
+//! the real process over loopback sockets, with stand-ins.
 //!
-//! Prints: time from accepted to in force on nine instances; calls of the store
-//! at rest, per change and at the return from an outage; what the ledger adds
-//! to an answer's end; what a claim adds to a call.
+//! Prints the time from the acceptance of a change until it is active on nine
+//! instances; the store calls when idle, per change and after an outage; the
+//! time that the ledger adds to the end of an answer; and the time of calls with
+//! a claim.
 
 use std::io::{BufRead as _, BufReader};
 use std::path::Path;
@@ -145,7 +146,8 @@
     world.platform.store_calls()
 }
 
-fn spent(world: &World, before: [u64; 3]) -> String {
+/// Returns the store calls since `before`, as text.
+fn calls_since(world: &World, before: [u64; 3]) -> String {
     let now = calls(world);
     format!(
         "{} reads, {} writes, {} watches",
@@ -160,19 +162,19 @@
     let store = HttpStore::new(&world.platform.address());
     let before = calls(world);
     std::thread::sleep(Duration::from_secs(6));
-    println!("at rest, 9 instances, 6 s: {}", spent(world, before));
+    println!("at rest, 9 instances, 6 s: {}", calls_since(world, before));
     let mut took = Vec::new();
     let before = calls(world);
-    let begun = Instant::now();
+    let start = Instant::now();
     for change in 0..CHANGES {
         let folder =
             Folder::new().with_file("90-bench.yaml", format!("models:\n  b{change}: {{}}\n"));
-        let (_, seen) = manifest::read(&store).expect("an answer").expect("one");
-        let plan = manifest::Plan::new(&seen, &folder, false);
+        let (_, current) = manifest::read(&store).expect("an answer").expect("one");
+        let plan = manifest::Plan::new(&current, &folder, false);
         let change_request = manifest::ChangeRequest {
             author: "bench".to_owned(),
             request: format!("bench-{change}"),
-            ..plan.change_request(seen, &folder)
+            ..plan.change_request(current, &folder)
         };
         let manifest::Applied::Accepted { revision } = manifest::apply(&store, change_request)
         else {
@@ -190,8 +192,8 @@
     println!("accepted to in force on all 9: {}", quantiles(took));
     println!(
         "{CHANGES} changes in {:.1} s, apply included: {}",
-        begun.elapsed().as_secs_f64(),
-        spent(world, before)
+        start.elapsed().as_secs_f64(),
+        calls_since(world, before)
     );
 }
 
@@ -203,12 +205,13 @@
     std::thread::sleep(Duration::from_secs(1));
     println!(
         "first second after an outage of 5 s: {}",
-        spent(world, before)
+        calls_since(world, before)
     );
 }
 
-/// Streams an answer; returns the time from the usage, which the engine sends
-/// together with the end, to the end.
+/// Streams an answer. Returns the time to first token, and the time from the
+/// usage to the end of the answer, in milliseconds. The engine sends usage and
+/// end together, so the latter shows what the ledger adds.
 fn chat(client: &Agent, address: &str) -> (f64, f64) {
     let body = json!({
         "model": "auto:chat-reply",
@@ -242,10 +245,12 @@
     panic!("the stream has no end; its last line was {last}");
 }
 
-/// Callers send to every instance for some seconds.
+/// Sends requests to all instances for 4 s. Returns the times to first token,
+/// the times from the usage to the end of the answers, and the answers per
+/// second.
 fn load(world: &World, callers: usize) -> (Vec<f64>, Vec<f64>, f64) {
     let until = Instant::now() + Duration::from_secs(4);
-    let begun = Instant::now();
+    let start = Instant::now();
     let client = Arc::new(world.client.clone());
     let threads: Vec<_> = (0..callers)
         .map(|caller| {
@@ -267,7 +272,7 @@
         .flat_map(|thread| thread.join().expect("a caller"))
         .collect();
     let rate =
-        f64::from(u32::try_from(times.len()).unwrap_or(u32::MAX)) / begun.elapsed().as_secs_f64();
+        f64::from(u32::try_from(times.len()).unwrap_or(u32::MAX)) / start.elapsed().as_secs_f64();
     let (first, end) = times.into_iter().unzip();
     (first, end, rate)
 }
@@ -286,12 +291,12 @@
             let before = calls(world);
             let (first, end, rate) = load(world, callers);
             let done = world.counter("callers.done") - done_before;
-            let alone = world.counter("ledger.unsafe") - unsafe_before;
+            let not_durable = world.counter("ledger.unsafe") - unsafe_before;
             println!(
-                "{what}, store {name}, {rate:5.0} answers/s: end {}; first token {}; not safe {alone} of {done}; {}",
+                "{what}, store {name}, {rate:5.0} answers/s: end {}; first token {}; not safe {not_durable} of {done}; {}",
                 quantiles(end),
                 quantiles(first),
-                spent(world, before),
+                calls_since(world, before),
             );
             faults.set(Fault::SlowMs, 0);
             faults.set(Fault::Down, 0);
