--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -86,16 +86,16 @@
 /// During an outage of the store, watchers may not answer either. If they and the store were called
 /// one after the other, a node would detect the end of the outage up to 2.8 s late.
 async fn follow_any(node: &Rc<Node>, source: &Source, watchers: &[(String, SocketAddr)]) -> Step {
-    let mut asked = JoinSet::new();
+    let mut polls = JoinSet::new();
     for (name, address) in watchers.iter().cloned() {
         let node = node.clone();
-        asked.spawn_local(async move {
+        polls.spawn_local(async move {
             let updates = fresh_updates(&node, &name, address).await?;
             Some((updates, address))
         });
     }
     let first_fresh = async {
-        while let Some(answer) = asked.join_next().await {
+        while let Some(answer) = polls.join_next().await {
             if let Ok(Some(updates)) = answer {
                 return Some(updates);
             }
@@ -242,16 +242,16 @@
     if !is_outage {
         return node.store.call(call).await;
     }
-    let (called, asked) = (node.store.call(call), peer::catch_up(node));
-    tokio::pin!(called, asked);
+    let (call_to_store, call_to_peer) = (node.store.call(call), peer::catch_up(node));
+    tokio::pin!(call_to_store, call_to_peer);
     tokio::select! {
-        answer = &mut called => {
+        answer = &mut call_to_store => {
             if answer.is_err() {
-                asked.await;
+                call_to_peer.await;
             }
             answer
         }
-        () = &mut asked => called.await,
+        () = &mut call_to_peer => call_to_store.await,
     }
 }
 
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -148,8 +148,8 @@
 
 /// Returns the counts of this node for a roll-out, including slow answers that have not ended.
 #[must_use]
-pub fn local_counts(node: &Node, service: &str, known: &Evidence) -> canary::Counts {
-    let mut counts = known.local.clone();
+pub fn local_counts(node: &Node, service: &str, evidence: &Evidence) -> canary::Counts {
+    let mut counts = evidence.local.clone();
     let pending = node.pending_attempts.borrow();
     let of_service = pending
         .iter()
@@ -191,13 +191,13 @@
     if !is_new && !pick.is_cold {
         observe_baseline(node, latency_class, outcome);
     }
-    let mut evidence = node.evidence.borrow_mut();
-    let Some(known) = evidence.get_mut(&pick.service) else {
+    let mut by_service = node.evidence.borrow_mut();
+    let Some(evidence) = by_service.get_mut(&pick.service) else {
         return;
     };
     if outcome == AnswerOutcome::Broken {
         if is_new {
-            known.crashed.insert(load::short_id(pick.identity));
+            evidence.crashed.insert(load::short_id(pick.identity));
         }
         return;
     }
@@ -205,7 +205,7 @@
     // that they do not answer within twice the target.
     let is_loaded = canary(node, &order).stage(now()) == Stage::Loaded;
     let counts_slow = outcome == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
-    let pair = known.local.entry(route.to_owned()).or_default();
+    let pair = evidence.local.entry(route.to_owned()).or_default();
     let side = if is_new { &mut pair.new } else { &mut pair.old };
     side.all += 1;
     side.bad += u32::from(outcome == AnswerOutcome::Failed);
@@ -270,41 +270,41 @@
 /// received, or the sum that a peer has reported if that covers more answers. Evidence on another
 /// version is discarded.
 fn sum_evidence(node: &Node, order: &Order) -> canary::Evidence {
-    let mut evidence = node.evidence.borrow_mut();
-    let known = evidence.entry(order.rollout.service.clone()).or_default();
-    if *known.version != *order.rollout.version {
-        *known = Evidence {
+    let mut by_service = node.evidence.borrow_mut();
+    let evidence = by_service.entry(order.rollout.service.clone()).or_default();
+    if *evidence.version != *order.rollout.version {
+        *evidence = Evidence {
             version: order.rollout.version.to_string(),
             ..Evidence::default()
         };
     }
-    let local = local_counts(node, &order.rollout.service, known);
-    let received = peer::sum_counts(&local, &known.peers);
+    let local = local_counts(node, &order.rollout.service, evidence);
+    let received = peer::sum_counts(&local, &evidence.peers);
     let answers = |counts: &canary::Counts| -> u32 {
         counts
             .values()
             .map(|pair| pair.old.all + pair.new.all)
             .sum()
     };
-    let counts = if answers(&known.reported_sum) > answers(&received) {
-        known.reported_sum.clone()
+    let counts = if answers(&evidence.reported_sum) > answers(&received) {
+        evidence.reported_sum.clone()
     } else {
         received
     };
     canary::Evidence {
         counts,
-        crashed: u32::try_from(known.crashed.len()).unwrap_or(u32::MAX),
+        crashed: u32::try_from(evidence.crashed.len()).unwrap_or(u32::MAX),
     }
 }
 
 /// Stops sending requests to the new version from this node, even if the record cannot be written.
 fn halt(node: &Node, order: &Order, evidence: &canary::Evidence) {
     let mut view = node.view.borrow_mut();
-    if let Some(known) = view.orders.get_mut(&order.rollout.service)
-        && known.rollout == order.rollout
-        && !known.is_halted
+    if let Some(order_in_view) = view.orders.get_mut(&order.rollout.service)
+        && order_in_view.rollout == order.rollout
+        && !order_in_view.is_halted
     {
-        known.is_halted = true;
+        order_in_view.is_halted = true;
         tracing::warn!(
             event = "rollout-halted",
             service = &*order.rollout.service,
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -303,7 +303,7 @@
     }
 
     fn apply_catalog(&mut self, catalog: Arc<Catalog>) {
-        let before = self.catalog.as_ref().map_or(0, |known| known.version);
+        let before = self.catalog.as_ref().map_or(0, |previous| previous.version);
         tracing::info!(
             event = "configuration",
             version = catalog.version,
@@ -322,19 +322,19 @@
             version = &*entry.version,
             state = ?entry.state
         );
-        if let Some(known) = self.servers.get_mut(&entry.id) {
-            if known.entry.started_ms == entry.started_ms {
-                known.update(now, entry, revision);
+        if let Some(server) = self.servers.get_mut(&entry.id) {
+            if server.entry.started_ms == entry.started_ms {
+                server.update(now, entry, revision);
                 return;
             }
             tracing::info!(
                 event = "server-restarted",
                 server = &*entry.id,
-                before_ms = known.entry.started_ms,
+                before_ms = server.entry.started_ms,
                 started_ms = entry.started_ms,
-                running = known.running
+                running = server.running
             );
-            self.restarted.push(known.entry.address);
+            self.restarted.push(server.entry.address);
         }
         let warmup_ms = self
             .catalog
@@ -395,7 +395,7 @@
         let record_revision = self
             .orders
             .get(&rollout.service)
-            .map_or(0, |known| known.record_revision);
+            .map_or(0, |previous| previous.record_revision);
         let order = Order {
             order_revision,
             ordered_at: now,
