--- a/crates/node/src/callers/plan_runner.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -31,7 +31,7 @@
 use crate::versions::ratings;
 
 /// Milliseconds for which a request waits when no plan's pool has a server.
-/// Longer outages rarely end within the duration of a request; the caller
+/// Longer outages do not end within the duration of a request; the caller
 /// gets a `Retry-After` instead.
 const SERVER_WAIT_MS: u64 = 2_000;
 /// Interval at which a waiting request tries its plans again.
--- a/crates/node/src/callers/prompt.rs
+++ b/crates/node/src/callers/prompt.rs
@@ -22,7 +22,7 @@
     pub tokens: u32,
     /// Work of the request, in answer tokens.
     pub work: u32,
-    /// Hash of the prefix; `None` if the prompt is shorter.
+    /// Hash of the prefix; `None` if the prompt is shorter or has no `messages`.
     pub prefix: Option<u64>,
 }
 
