--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -1,4 +1,5 @@
-//! Completions: from a request that has been read to its last token.
+//! Completions, from a request that has been read to the last token of its
+//! answer.
 
 use std::sync::Arc;
 
@@ -19,12 +20,12 @@
 use super::stream::{self, Stream};
 use super::{admit, billing};
 use crate::admission::Permit;
-use crate::shared::{Force, Shared};
+use crate::shared::{ActiveConfiguration, Shared};
 
-/// A request that may run.
+/// A request that has been admitted.
 struct Job {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     start: Instant,
     call: Call,
     choice: Choice,
@@ -34,17 +35,17 @@
 
 /// Answers a completion request.
 pub async fn answer(shared: Arc<Shared>, call: Call) -> Reply {
-    let asked: chat::Request = match serde_json::from_slice(&call.body) {
-        Ok(asked) => asked,
+    let chat_request: chat::Request = match serde_json::from_slice(&call.body) {
+        Ok(chat_request) => chat_request,
         Err(error) => return not_run_error(Kind::InvalidRequest, &format!("body: {error}")),
     };
-    let format = ResponseFormat::new(&call.path, &asked);
-    if let Err(refusal) = format.endpoint.check(&asked) {
+    let format = ResponseFormat::new(&call.path, &chat_request);
+    if let Err(refusal) = format.endpoint.check(&chat_request) {
         return refusal.into();
     }
     let start = shared.now();
-    let force = shared.force();
-    let choice = match choice::choose(&shared, &force, &call, &asked) {
+    let active = shared.active_configuration();
+    let choice = match choice::choose(&shared, &active, &call, &chat_request) {
         Ok(choice) => choice,
         Err(refusal) => return refusal.into(),
     };
@@ -54,24 +55,24 @@
     };
     let job = Job {
         shared,
-        force,
+        active,
         start,
         call,
         choice,
         format,
         permit,
     };
-    job.run(asked).await
+    job.run(chat_request).await
 }
 
 impl Job {
-    async fn run(mut self, asked: chat::Request) -> Reply {
+    async fn run(mut self, chat_request: chat::Request) -> Reply {
         let runner = PlanRunner {
             shared: &self.shared,
-            force: &self.force,
+            active: &self.active,
             call: &self.call,
             choice: &self.choice,
-            asked: &asked,
+            chat_request: &chat_request,
             meter: self.permit.meter(),
         };
         let ready = match runner.run().await {
@@ -94,36 +95,37 @@
         let choice = self.choice;
         let stream = Stream {
             shared: self.shared,
-            force: self.force,
+            active: self.active,
             call: self.call,
             version: choice.version,
             format: self.format,
             spent,
         };
-        labels.on(choice.on(stream.start(started, observer, self.permit)))
+        labels.add_to(choice.add_to(stream.start(started, observer, self.permit)))
     }
 
     async fn reply_complete(self, answer: Answer, spent: Spent) -> Reply {
         let Self {
             shared,
-            force,
+            active,
             call,
             choice,
             format,
             ..
         } = &self;
         let cost =
-            billing::completion(shared, force, call, choice.version, answer.usage, spent).await;
+            billing::completion(shared, active, call, choice.version, answer.usage, spent).await;
         let labels = self.labels();
         let reply = if format.is_streamed {
-            let body = stream::held(&answer, *format, &labels.request, &labels.version, cost);
+            let body =
+                stream::buffered_events(&answer, *format, &labels.request, &labels.version, cost);
             buffered_reply(200, "text/event-stream", body)
         } else {
             json_reply(&answer.completion(format.endpoint, &labels.request, &labels.version))
         };
         let reply = with_header(reply, header::OUTCOME, "done");
         let reply = with_header(reply, header::COST, &cost.to_string());
-        labels.on(choice.on(reply))
+        labels.add_to(choice.add_to(reply))
     }
 
     fn reply_failed(&self, failure: Failure) -> Reply {
@@ -145,14 +147,14 @@
                 outcome,
             ),
         };
-        self.labels().on(reply)
+        self.labels().add_to(reply)
     }
 
     fn labels(&self) -> Labels {
         Labels {
             request: self.call.request.clone(),
             version: self
-                .force
+                .active
                 .names
                 .versions
                 .name(self.choice.version)
@@ -161,14 +163,14 @@
     }
 }
 
-/// What the headers of every answer name.
+/// Request and version that the headers of every reply name.
 struct Labels {
     request: String,
     version: String,
 }
 
 impl Labels {
-    fn on(&self, reply: Reply) -> Reply {
+    fn add_to(&self, reply: Reply) -> Reply {
         let reply = with_header(reply, header::REQUEST, &self.request);
         with_header(reply, header::VERSION, &self.version)
     }
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -1,5 +1,5 @@
-//! What an answer tells the slices that learn from it: how soon it came, how
-//! long it was, and, if it is among those that are rated, its text.
+//! Records what roll-outs and the quality estimates learn from an answer: time
+//! to first token, duration and length, and the text of answers to be rated.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 use fescuerack_wire::chat::{Completion, Usage};
 
 use super::collect::Answer;
-use crate::shared::{Force, Shared, lock};
+use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::versions::ratings;
 
-/// Observes the answer of one version.
+/// Observes the answer of one version while it is received.
 pub struct Observer {
     shared: Arc<Shared>,
-    force: Arc<Force>,
+    active: Arc<ActiveConfiguration>,
     version: key::Version,
     class: Option<key::Class>,
     start: Instant,
@@ -24,46 +24,47 @@
 }
 
 impl Observer {
-    /// Starts to observe; an answer that is rated anyway is not sampled again.
+    /// Starts to observe an answer. One that the cascade rates (`is_rated`) is
+    /// not sampled for another rating.
     pub fn new(
         shared: &Arc<Shared>,
-        force: &Arc<Force>,
+        active: &Arc<ActiveConfiguration>,
         version: key::Version,
         class: Option<key::Class>,
-        is_judged: bool,
+        is_rated: bool,
     ) -> Self {
         let mut observer = Self {
             shared: Arc::clone(shared),
-            force: Arc::clone(force),
+            active: Arc::clone(active),
             version,
             class,
             start: shared.now(),
             text: None,
         };
-        if !is_judged && class.is_some() && observer.is_sampled() {
+        if !is_rated && class.is_some() && observer.is_sampled() {
             observer.text = Some(String::new());
         }
         observer
     }
 
-    /// All answers of a candidate are rated as far as the service keeps up,
-    /// and a share of the others.
+    /// Decides whether the answer is rated: all answers of a candidate, as far as
+    /// the rate limit allows, and a share of the others.
     fn is_sampled(&self) -> bool {
-        let model = self.force.catalog.versions[self.version].model;
+        let model = self.active.catalog.versions[self.version].model;
         let versions = &self.shared.versions;
         if versions.is_candidate(model, self.version) {
-            return ratings::try_acquire(&self.shared, &self.force, Purpose::Candidate);
+            return ratings::try_acquire(&self.shared, &self.active, Purpose::Candidate);
         }
-        self.shared.dice() < self.force.catalog.limit(ratings::SAMPLING_SHARE)
-            && ratings::try_acquire(&self.shared, &self.force, Purpose::Sample)
+        self.shared.random_fraction() < self.active.catalog.limit(ratings::SAMPLING_SHARE)
+            && ratings::try_acquire(&self.shared, &self.active, Purpose::Sample)
     }
 
-    /// Notes that the first token has come.
-    pub fn first(&self) {
+    /// Records that the first token was received.
+    pub fn record_first_token(&self) {
         let now = self.shared.now();
         let class = self
             .class
-            .and_then(|class| self.force.catalog.classes.get(class));
+            .and_then(|class| self.active.catalog.classes.get(class));
         let late = class.is_some_and(|class| now > self.start.plus_millis(class.first_token_ms));
         let event = Event::Answered { late };
         lock(&self.shared.versions.rollouts).observe(now, self.version, event);
@@ -81,22 +82,22 @@
         }
     }
 
-    /// Notes that the answer was collected whole.
-    pub fn ended_whole(mut self, answer: &Answer) {
+    /// Records that the answer was collected in one piece.
+    pub fn record_collected(mut self, answer: &Answer) {
         if let Some(text) = self.text.as_mut() {
             text.clone_from(&answer.text);
         }
-        self.ended(answer.usage);
+        self.record_completed(answer.usage);
     }
 
-    /// Notes that the answer is whole.
-    pub fn ended(self, usage: Usage) {
+    /// Records that the answer is complete.
+    pub fn record_completed(self, usage: Usage) {
         let Some(class) = self.class else {
             return;
         };
-        let took = self.shared.now().since(self.start).as_secs_f64() * 1000.0;
+        let duration_ms = self.shared.now().since(self.start).as_secs_f64() * 1000.0;
         let tokens = u32::try_from(usage.completion_tokens).unwrap_or(u32::MAX);
-        lock(&self.shared.versions.learner).record_answer(class, self.version, took, tokens);
+        lock(&self.shared.versions.learner).record_answer(class, self.version, duration_ms, tokens);
         if let Some(text) = self.text {
             let version = self.version;
             ratings::submit(
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -1,7 +1,7 @@
 //! `GET /state`: the dump of the process's state.
 //!
-//! It holds names, numbers and states; no key, no token and no text of a
-//! caller, so that it can be pasted into a report.
+//! The dump contains names, numbers and states, but no keys, no tokens and no
+//! text of callers, so that it can be pasted into a bug report.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -74,10 +74,10 @@
 }
 
 fn orders(shared: &Shared) -> BTreeMap<String, crate::orders::Summary> {
-    let force = shared.force();
+    let active = shared.active_configuration();
     let orders = lock(&shared.orders);
     let named = orders.iter().map(|(fleet, summary)| {
-        let name = force.names.fleets.name(*fleet).to_string();
+        let name = active.names.fleets.name(*fleet).to_string();
         (name, summary.clone())
     });
     named.collect()
