--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Drops the state of servers that are warm or gone.
+    /// Drops the state of servers that are warm or no longer listed.
     pub fn sweep(&mut self, now: Instant, view: &View) {
         let cold = view.servers.values().filter(|server| server.is_cold(now));
         let cold: Vec<u64> = cold.map(|server| server.identity).collect();
