--- a/crates/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -6,7 +6,7 @@
 use anyhow::Result;
 use clap::ValueEnum;
 use comfy_table::{ContentLineStyle, LineStyle, Table, TableStyle};
-use fescuerack_config::difference::{Effect, Kind};
+use fescuerack_config::effect::{Effect, Kind};
 use serde::Serialize;
 
 /// Style of tables: a line below the header and none between rows, so that each
--- a/crates/client/src/admin/draft.rs
+++ b/crates/client/src/admin/draft.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use fescuerack_config::difference::{self, Effect};
+use fescuerack_config::effect::{self, Effect};
 use fescuerack_config::permission;
 use fescuerack_config::{Folder, Merged, Operator, Problem, change, folder};
 use fescuerack_wire::admin::{Error, Kind, Plan, Proposal};
@@ -128,7 +128,7 @@
         change::Refusal::Problems(problems) => {
             Error::new(Kind::Refused, message).with_problems(problems)
         }
-        change::Refusal::Senseless(_) | change::Refusal::Edit { .. } => {
+        change::Refusal::NotApplicable(_) | change::Refusal::Edit { .. } => {
             Error::new(Kind::Refused, message)
         }
     }
@@ -162,12 +162,12 @@
     };
     check_names(after).map_err(refused)?;
     let merged = Merged::new(after).map_err(refused)?;
-    let now = difference::Side::new(&merged).map_err(refused)?;
+    let now = effect::Compiled::new(&merged).map_err(refused)?;
     // What is in force was checked when it was accepted; an older release may
     // have been less strict, and a change must be able to mend it.
     let old = Merged::new(before).unwrap_or_default();
     if let Some(operator) = operator {
-        let side = |folder, merged| permission::Side { folder, merged };
+        let side = |folder, merged| permission::Snapshot { folder, merged };
         permission::check(operator, side(before, &old), side(after, &merged)).map_err(
             |problems| {
                 let message = "the change lies outside your scope; nothing was changed";
@@ -175,8 +175,8 @@
             },
         )?;
     }
-    let effects = match difference::Side::new(&old) {
-        Ok(then) => difference::effects(&then, &now),
+    let effects = match effect::Compiled::new(&old) {
+        Ok(then) => effect::effects(&then, &now),
         Err(_) => Vec::new(),
     };
     Ok(effects)
--- a/crates/config/src/catalog/compile/mod.rs
+++ b/crates/config/src/catalog/compile/mod.rs
@@ -98,8 +98,8 @@
                     let listed = listed.collect::<Vec<_>>().join(", ");
                     self.report(&path, format!("no such limit; accepted are {listed}"));
                 }
-                Some(limit) if !(limit.least..=limit.most).contains(value) => {
-                    let message = format!("must lie between {} and {}", limit.least, limit.most);
+                Some(limit) if !(limit.min..=limit.max).contains(value) => {
+                    let message = format!("must lie between {} and {}", limit.min, limit.max);
                     self.report(&path, message);
                 }
                 Some(_) => {}
--- a/crates/config/src/catalog/compile/operators.rs
+++ b/crates/config/src/catalog/compile/operators.rs
@@ -6,7 +6,7 @@
 use super::{Builder, accepted};
 use crate::file;
 use crate::folder::is_digest;
-use crate::permission::{EVERY, Scope};
+use crate::permission::{Scope, WILDCARD};
 
 impl Builder<'_> {
     pub(super) fn operators(&mut self) {
@@ -19,7 +19,7 @@
         let path = format!("operators/{name}");
         for (index, organisation) in entry.organisations.iter().enumerate() {
             let known = self.merged.file.organisations.contains_key(organisation);
-            if organisation != EVERY && !known {
+            if organisation != WILDCARD && !known {
                 let defined = accepted(self.merged.file.organisations.keys());
                 self.report(
                     &format!("{path}/organisations/{index}"),
@@ -42,12 +42,12 @@
                      (`fescuerack digest` makes one)",
                 );
             }
-            if self.catalog.callers.contains_key(digest) {
+            if self.catalog.organisation_by_key.contains_key(digest) {
                 self.report(&path, "the same text is the key of an organisation");
             }
             let taken = self
                 .catalog
-                .operators
+                .operator_by_token
                 .insert(digest.clone(), Arc::clone(&operator));
             if let Some(other) = taken.filter(|other| other.name != name) {
                 self.report(
--- a/crates/config/src/catalog/compile/organisations.rs
+++ b/crates/config/src/catalog/compile/organisations.rs
@@ -82,7 +82,10 @@
                      (`fescuerack digest` makes one)",
                 );
             }
-            let taken = self.catalog.callers.insert(digest.clone(), organisation);
+            let taken = self
+                .catalog
+                .organisation_by_key
+                .insert(digest.clone(), organisation);
             if let Some(other) = taken.filter(|other| *other != organisation) {
                 let other = self.names.organisations.name(other).to_string();
                 self.report(
--- a/crates/config/src/catalog/mod.rs
+++ b/crates/config/src/catalog/mod.rs
@@ -22,7 +22,7 @@
     /// Organisations.
     pub organisations: SecondaryMap<key::Organisation, Organisation>,
     /// Organisation by the digest of a caller's key.
-    pub callers: HashMap<String, key::Organisation>,
+    pub organisation_by_key: HashMap<String, key::Organisation>,
     /// Versions.
     pub versions: SecondaryMap<key::Version, Version>,
     /// Versions of each model.
@@ -38,7 +38,7 @@
     /// Limits by name.
     pub limits: BTreeMap<String, f64>,
     /// Operators by the digest of a token.
-    pub operators: HashMap<String, Arc<Operator>>,
+    pub operator_by_token: HashMap<String, Arc<Operator>>,
 }
 
 /// Who may use the operators' port, and what for.
@@ -81,7 +81,7 @@
 impl Cost {
     /// Returns the cost of a request in micro-euro, rounded up.
     #[must_use]
-    pub fn of(self, input_tokens: u64, output_tokens: u64) -> u64 {
+    pub fn for_tokens(self, input_tokens: u64, output_tokens: u64) -> u64 {
         (self.input * input_tokens + self.output * output_tokens).div_ceil(1000)
     }
 }
--- a/crates/config/src/change/mod.rs
+++ b/crates/config/src/change/mod.rs
@@ -137,7 +137,7 @@
     Problems(Vec<Problem>),
     /// The action makes no sense for the configuration in force.
     #[error("{0}")]
-    Senseless(String),
+    NotApplicable(String),
     /// A file cannot be edited.
     #[error("{file}: {cause}")]
     Edit {
@@ -180,8 +180,8 @@
     Ok(draft.folder)
 }
 
-fn senseless(message: impl Into<String>) -> Refusal {
-    Refusal::Senseless(message.into())
+fn not_applicable(message: impl Into<String>) -> Refusal {
+    Refusal::NotApplicable(message.into())
 }
 
 struct Draft<'a> {
@@ -207,7 +207,7 @@
             .map(|(_, file)| file.clone())
             .max()
             .ok_or_else(|| {
-                senseless(format!(
+                not_applicable(format!(
                     "no file holds {section} yet; write one and apply it"
                 ))
             })
@@ -252,7 +252,7 @@
     ) -> Result<(), Refusal> {
         let owner = self
             .owner(section, name)
-            .ok_or_else(|| senseless(format!("there is no entry {section}/{name}")))?;
+            .ok_or_else(|| not_applicable(format!("there is no entry {section}/{name}")))?;
         self.edit(&owner, |text| {
             edit::set_field(text, section, name, field, value)
         })
--- a/crates/config/src/change/organisation.rs
+++ b/crates/config/src/change/organisation.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value as Json};
 
-use super::{Draft, Fields, Refusal, senseless};
+use super::{Draft, Fields, Refusal, not_applicable};
 
 /// Section of organisations.
 const SECTION: &str = "organisations";
@@ -17,7 +17,7 @@
         return draft.put(&file, SECTION, name, Some(&values));
     }
     if values.is_empty() {
-        return Err(senseless("name at least one field to change"));
+        return Err(not_applicable("name at least one field to change"));
     }
     for (field, value) in values {
         draft.set(SECTION, name, &field, value)?;
@@ -28,7 +28,7 @@
 pub(super) fn remove(draft: &mut Draft<'_>, name: &str) -> Result<(), Refusal> {
     let owner = draft
         .owner(SECTION, name)
-        .ok_or_else(|| senseless(format!("no organisation is named {name}")))?;
+        .ok_or_else(|| not_applicable(format!("no organisation is named {name}")))?;
     draft.put(&owner, SECTION, name, None)
 }
 
--- a/crates/config/src/change/rollout.rs
+++ b/crates/config/src/change/rollout.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value as Json};
 
-use super::{Action, Draft, Refusal, senseless};
+use super::{Action, Draft, Refusal, not_applicable};
 use crate::file::{Rollout, State};
 
 const ROLLOUTS: &str = "rollouts";
@@ -55,14 +55,14 @@
 fn running<'a>(draft: &Draft<'a>, model: &str) -> Result<(&'a Rollout, &'a str), Refusal> {
     let rollout = draft.merged.file.rollouts.get(model);
     let found = rollout.and_then(|rollout| Some((rollout, rollout.candidate.as_deref()?)));
-    found.ok_or_else(|| senseless(format!("no roll-out of {model} is open")))
+    found.ok_or_else(|| not_applicable(format!("no roll-out of {model} is open")))
 }
 
 fn known(draft: &Draft<'_>, version: &str) -> Result<State, Refusal> {
     let entry = draft.merged.file.versions.get(version);
     entry
         .map(|entry| entry.state)
-        .ok_or_else(|| senseless(format!("no version is named {version}")))
+        .ok_or_else(|| not_applicable(format!("no version is named {version}")))
 }
 
 fn open(
@@ -73,11 +73,11 @@
 ) -> Result<(), Refusal> {
     if let Ok((_, running)) = running(draft, model) {
         let message = format!("a roll-out of {running} is open; close or withdraw it first");
-        return Err(senseless(message));
+        return Err(not_applicable(message));
     }
     if known(draft, candidate)? != State::Open {
         let message = format!("{candidate} is not open; `rollout reopen {candidate}` opens it");
-        return Err(senseless(message));
+        return Err(not_applicable(message));
     }
     // Only an opening raises the word: it clears a halt of the candidate.
     let last = draft.merged.file.rollouts.get(model);
@@ -86,7 +86,7 @@
     if draft.owner(ROLLOUTS, model).is_none() {
         if !fields.contains_key("current") {
             let message = format!("{model} has no roll-out yet: name its version of today");
-            return Err(senseless(message));
+            return Err(not_applicable(message));
         }
         let file = draft.home(ROLLOUTS).or_else(|_| draft.home(VERSIONS))?;
         return draft.put(&file, ROLLOUTS, model, Some(&fields));
@@ -101,11 +101,11 @@
     let (rollout, candidate) = running(draft, model)?;
     if rollout.paused {
         let message = format!("the roll-out of {candidate} is paused; resume it first");
-        return Err(senseless(message));
+        return Err(not_applicable(message));
     }
     if rollout.stage + 1 >= rollout.stages.len() {
         let message = format!("{candidate} has reached its last stage; close the roll-out");
-        return Err(senseless(message));
+        return Err(not_applicable(message));
     }
     draft.set(ROLLOUTS, model, "stage", rollout.stage + 1)
 }
@@ -115,7 +115,7 @@
     if rollout.paused == paused {
         let state = if paused { "paused" } else { "running" };
         let message = format!("the roll-out of {candidate} is {state} already");
-        return Err(senseless(message));
+        return Err(not_applicable(message));
     }
     draft.set(ROLLOUTS, model, "paused", paused)
 }
@@ -141,7 +141,7 @@
                 rollout.stage,
                 rollout.stages.len() - 1
             );
-            return Err(senseless(message));
+            return Err(not_applicable(message));
         }
         draft.set(ROLLOUTS, model, "current", candidate)?;
     }
@@ -158,12 +158,12 @@
     replacement: Option<&str>,
 ) -> Result<(), Refusal> {
     if known(draft, version)? == State::Withdrawn {
-        return Err(senseless(format!("{version} is withdrawn already")));
+        return Err(not_applicable(format!("{version} is withdrawn already")));
     }
     if let Some(other) = replacement
         && known(draft, other)? != State::Open
     {
-        return Err(senseless(format!("{other} is not open")));
+        return Err(not_applicable(format!("{other} is not open")));
     }
     draft.set(VERSIONS, version, "state", "withdrawn")?;
     let merged = draft.merged;
@@ -179,7 +179,7 @@
                     "{version} is the version of today of {model}: name the version that takes \
                      its place"
                 );
-                return Err(senseless(message));
+                return Err(not_applicable(message));
             };
             draft.set(ROLLOUTS, model, "current", other)?;
             if candidate == Some(other) {
--- a/crates/config/src/difference/mod.rs
+++ b/crates/config/src/effect/mod.rs
@@ -51,13 +51,13 @@
 
 /// One side of the comparison.
 #[derive(Debug)]
-pub struct Side<'a> {
+pub struct Compiled<'a> {
     merged: &'a Merged,
     catalog: Catalog,
     names: Names,
 }
 
-impl<'a> Side<'a> {
+impl<'a> Compiled<'a> {
     /// Compiles a merge.
     ///
     /// # Errors
@@ -118,7 +118,7 @@
 /// Returns the effects of going from one configuration to another, losses
 /// first.
 #[must_use]
-pub fn effects(before: &Side<'_>, after: &Side<'_>) -> Vec<Effect> {
+pub fn effects(before: &Compiled<'_>, after: &Compiled<'_>) -> Vec<Effect> {
     let mut found = Vec::new();
     organisations::versions(before, after, &mut found);
     organisations::entries(before.file(), after.file(), &mut found);
--- a/crates/config/src/difference/organisations.rs
+++ b/crates/config/src/effect/organisations.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Effect, Kind, Side, add, all_organisations, compare, lists};
+use super::{Compiled, Effect, Kind, add, all_organisations, compare, lists};
 use crate::File;
 
 /// Who gains or loses which version, one effect for each version.
-pub(super) fn versions(before: &Side<'_>, after: &Side<'_>, found: &mut Vec<Effect>) {
+pub(super) fn versions(before: &Compiled<'_>, after: &Compiled<'_>, found: &mut Vec<Effect>) {
     let mut by_version: BTreeMap<(Kind, String), Vec<String>> = BTreeMap::new();
     for organisation in all_organisations(before.file(), after.file()) {
         let (old, new) = (before.usable(&organisation), after.usable(&organisation));
@@ -79,7 +79,7 @@
 }
 
 /// Which version answers a class of work from now on.
-pub(super) fn classes(before: &Side<'_>, after: &Side<'_>, found: &mut Vec<Effect>) {
+pub(super) fn classes(before: &Compiled<'_>, after: &Compiled<'_>, found: &mut Vec<Effect>) {
     let mut moves: BTreeMap<(String, String, String), Vec<String>> = BTreeMap::new();
     let targets = before.file().targets.keys();
     let classes: BTreeSet<_> = targets.chain(after.file().targets.keys()).collect();
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,8 +10,8 @@
 
 mod catalog;
 pub mod change;
-pub mod difference;
 pub mod edit;
+pub mod effect;
 pub mod file;
 pub mod folder;
 pub mod key;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -9,13 +9,13 @@
     /// Its name in the section `limits`.
     pub name: &'static str,
     /// Its least value.
-    pub least: f64,
+    pub min: f64,
     /// Its greatest value.
-    pub most: f64,
+    pub max: f64,
     /// Its value when the configuration does not name it.
     pub default: f64,
     /// What it bounds.
-    pub note: &'static str,
+    pub description: &'static str,
 }
 
 /// All limits.
@@ -114,15 +114,15 @@
 
 const fn limit(
     name: &'static str,
-    (least, most, default): (f64, f64, f64),
-    note: &'static str,
+    (min, max, default): (f64, f64, f64),
+    description: &'static str,
 ) -> Limit {
     Limit {
         name,
-        least,
-        most,
+        min,
+        max,
         default,
-        note,
+        description,
     }
 }
 
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -18,7 +18,7 @@
 
 use bytes::Bytes;
 
-use crate::tree::{self, Failure, Node, Value};
+use crate::tree::{self, Node, ParseError, Value};
 use crate::{File, Folder, Problem};
 
 /// The merge of a folder, with the owner of every entry.
@@ -176,14 +176,14 @@
         Ok(file) => return Ok(file),
         Err(error) => error,
     };
-    let problem = |failure: Failure| vec![Problem::new(name, failure.line, failure.message)];
+    let problem = |failure: ParseError| vec![Problem::new(name, failure.line, failure.message)];
     let root = Node::new(text).map_err(problem)?;
     if matches!(root.value, Value::Null) {
         return Ok(File::default());
     }
     let problems = tree::diagnose::diagnose(name, &root);
     if problems.is_empty() {
-        return Err(problem(Failure::from(&error)));
+        return Err(problem(ParseError::from(&error)));
     }
     Err(problems)
 }
--- a/crates/config/src/permission.rs
+++ b/crates/config/src/permission.rs
@@ -13,7 +13,7 @@
 use crate::{Folder, Merged, Problem};
 
 /// Name that stands for all names.
-pub const EVERY: &str = "*";
+pub const WILDCARD: &str = "*";
 
 /// A set of names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -33,13 +33,13 @@
     /// Returns whether the scope holds `name`.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
-        self.names.contains(EVERY) || self.names.contains(name)
+        self.names.contains(WILDCARD) || self.names.contains(name)
     }
 }
 
 /// A configuration with its text.
 #[derive(Clone, Copy, Debug)]
-pub struct Side<'a> {
+pub struct Snapshot<'a> {
     /// The files.
     pub folder: &'a Folder,
     /// Their merge.
@@ -51,7 +51,11 @@
 /// # Errors
 ///
 /// Everything that lies outside the operator's scope, at once.
-pub fn check(operator: &Operator, before: Side<'_>, after: Side<'_>) -> Result<(), Vec<Problem>> {
+pub fn check(
+    operator: &Operator,
+    before: Snapshot<'_>,
+    after: Snapshot<'_>,
+) -> Result<(), Vec<Problem>> {
     let mut problems = Vec::new();
     for name in changed(&before.folder.files, &after.folder.files) {
         if !operator.files.contains(name) {
@@ -82,7 +86,7 @@
     }
 }
 
-fn at(after: Side<'_>, before: Side<'_>, path: &str, message: String) -> Problem {
+fn at(after: Snapshot<'_>, before: Snapshot<'_>, path: &str, message: String) -> Problem {
     let side = if after.merged.owners.contains_key(path) {
         after
     } else {
--- a/crates/config/src/tree/diagnose.rs
+++ b/crates/config/src/tree/diagnose.rs
@@ -7,7 +7,7 @@
 
 use serde::de::DeserializeOwned;
 
-use super::{Failure, Field, Node, Value};
+use super::{Field, Node, ParseError, Value};
 use crate::{Problem, file};
 
 /// Sections of a file, in the order in which they are documented.
@@ -38,7 +38,7 @@
 }
 
 fn diagnose_section(name: &str, section: &Field, problems: &mut Vec<Problem>) {
-    let parse: fn(&Node) -> Result<(), Failure> = match section.name.as_str() {
+    let parse: fn(&Node) -> Result<(), ParseError> = match section.name.as_str() {
         "operators" => parses::<file::Operator>,
         "organisations" => parses::<file::Organisation>,
         "models" => parses::<file::Model>,
@@ -80,7 +80,7 @@
     }
 }
 
-fn parses<T: DeserializeOwned>(node: &Node) -> Result<(), Failure> {
+fn parses<T: DeserializeOwned>(node: &Node) -> Result<(), ParseError> {
     T::deserialize(node).map(|_| ())
 }
 
@@ -88,7 +88,7 @@
 ///
 /// A field at fault is given a value that parses, so that the parse goes on to
 /// the next one; a field that no value helps is left out.
-fn failures(mut node: Node, parse: fn(&Node) -> Result<(), Failure>) -> Vec<Failure> {
+fn failures(mut node: Node, parse: fn(&Node) -> Result<(), ParseError>) -> Vec<ParseError> {
     let mut found = Vec::new();
     let mut left_out: Vec<String> = Vec::new();
     while let Err(failure) = parse(&node) {
@@ -114,7 +114,7 @@
 }
 
 /// Gives a field a value that parses; returns whether there is one.
-fn fill_in(node: &mut Node, name: &str, parse: fn(&Node) -> Result<(), Failure>) -> bool {
+fn fill_in(node: &mut Node, name: &str, parse: fn(&Node) -> Result<(), ParseError>) -> bool {
     let values = [
         Value::Unsigned(1),
         Value::Text(String::new()),
--- a/crates/config/src/tree/mod.rs
+++ b/crates/config/src/tree/mod.rs
@@ -10,7 +10,7 @@
 mod parse;
 mod typed;
 
-pub use typed::Failure;
+pub use typed::ParseError;
 
 use std::ops::Range;
 
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// The line and the message of the first error of syntax.
-    pub fn new(text: &str) -> Result<Self, Failure> {
+    pub fn new(text: &str) -> Result<Self, ParseError> {
         parse::parse(text)
     }
 
--- a/crates/config/src/tree/parse.rs
+++ b/crates/config/src/tree/parse.rs
@@ -6,20 +6,20 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 
-use super::{Failure, Field, Node, Value};
+use super::{Field, Node, ParseError, Value};
 
 /// Parses the text of one file.
 ///
 /// # Errors
 ///
 /// The first error of syntax.
-pub fn parse(text: &str) -> Result<Node, Failure> {
+pub fn parse(text: &str) -> Result<Node, ParseError> {
     let spanned: Spanned<Value> =
-        serde_saphyr::from_str(text).map_err(|error| Failure::from(&error))?;
+        serde_saphyr::from_str(text).map_err(|error| ParseError::from(&error))?;
     Ok(node(spanned))
 }
 
-impl From<&serde_saphyr::Error> for Failure {
+impl From<&serde_saphyr::Error> for ParseError {
     /// Takes the position out of an error of the parser, so that it is shown
     /// as `file:line` like every other problem.
     fn from(error: &serde_saphyr::Error) -> Self {
--- a/crates/config/src/tree/typed.rs
+++ b/crates/config/src/tree/typed.rs
@@ -12,7 +12,7 @@
 
 /// Why a text or a node is not what it should be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failure {
+pub struct ParseError {
     /// Line, from 1; 0 until it is known.
     pub line: usize,
     /// Names from the value that was asked for to the value at fault.
@@ -21,7 +21,7 @@
     pub message: String,
 }
 
-impl Failure {
+impl ParseError {
     fn at(mut self, line: usize, name: &str) -> Self {
         if self.line == 0 {
             self.line = line;
@@ -31,15 +31,15 @@
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for ParseError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for ParseError {}
 
-impl de::Error for Failure {
+impl de::Error for ParseError {
     fn custom<T: fmt::Display>(message: T) -> Self {
         Self {
             line: 0,
@@ -50,9 +50,9 @@
 }
 
 impl<'de> Deserializer<'de> for &'de Node {
-    type Error = Failure;
+    type Error = ParseError;
 
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match &self.value {
             Value::Null => visitor.visit_unit(),
             Value::Bool(value) => visitor.visit_bool(*value),
@@ -69,7 +69,7 @@
     }
 
     // A name such as `007` is a number to YAML and text to its reader.
-    fn deserialize_string<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_string<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match &self.value {
             Value::Bool(value) => visitor.visit_string(value.to_string()),
             Value::Unsigned(value) => visitor.visit_string(value.to_string()),
@@ -79,11 +79,11 @@
         }
     }
 
-    fn deserialize_str<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_str<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         self.deserialize_string(visitor)
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match self.value {
             Value::Null => visitor.visit_none(),
             _ => visitor.visit_some(self),
@@ -95,7 +95,7 @@
         _: &'static str,
         variants: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Failure> {
+    ) -> Result<V::Value, ParseError> {
         match &self.value {
             Value::Text(name) => visitor.visit_enum(Unit(name)),
             _ => Err(de::Error::custom(format_args!(
@@ -115,12 +115,12 @@
 struct Items<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
 
 impl<'de> SeqAccess<'de> for Items<'de> {
-    type Error = Failure;
+    type Error = ParseError;
 
     fn next_element_seed<T: DeserializeSeed<'de>>(
         &mut self,
         seed: T,
-    ) -> Result<Option<T::Value>, Failure> {
+    ) -> Result<Option<T::Value>, ParseError> {
         let Some((index, node)) = self.0.next() else {
             return Ok(None);
         };
@@ -136,23 +136,26 @@
 }
 
 impl<'de> MapAccess<'de> for Fields<'de> {
-    type Error = Failure;
+    type Error = ParseError;
 
     fn next_key_seed<K: DeserializeSeed<'de>>(
         &mut self,
         seed: K,
-    ) -> Result<Option<K::Value>, Failure> {
+    ) -> Result<Option<K::Value>, ParseError> {
         self.current = self.fields.next();
         let Some(field) = self.current else {
             return Ok(None);
         };
-        let name: StrDeserializer<'_, Failure> = field.name.as_str().into_deserializer();
+        let name: StrDeserializer<'_, ParseError> = field.name.as_str().into_deserializer();
         seed.deserialize(name)
             .map(Some)
             .map_err(|failure| failure.at(field.line, &field.name))
     }
 
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Failure> {
+    fn next_value_seed<V: DeserializeSeed<'de>>(
+        &mut self,
+        seed: V,
+    ) -> Result<V::Value, ParseError> {
         let field = self.current.expect("serde asks for a key first");
         seed.deserialize(&field.node)
             .map_err(|failure| failure.at(field.line, &field.name))
@@ -162,27 +165,30 @@
 struct Unit<'a>(&'a str);
 
 impl<'de> EnumAccess<'de> for Unit<'de> {
-    type Error = Failure;
+    type Error = ParseError;
     type Variant = Self;
 
-    fn variant_seed<V: DeserializeSeed<'de>>(self, seed: V) -> Result<(V::Value, Self), Failure> {
-        let name: StrDeserializer<'_, Failure> = self.0.into_deserializer();
+    fn variant_seed<V: DeserializeSeed<'de>>(
+        self,
+        seed: V,
+    ) -> Result<(V::Value, Self), ParseError> {
+        let name: StrDeserializer<'_, ParseError> = self.0.into_deserializer();
         Ok((seed.deserialize(name)?, self))
     }
 }
 
 impl<'de> VariantAccess<'de> for Unit<'de> {
-    type Error = Failure;
+    type Error = ParseError;
 
-    fn unit_variant(self) -> Result<(), Failure> {
+    fn unit_variant(self) -> Result<(), ParseError> {
         Ok(())
     }
 
-    fn newtype_variant_seed<T: DeserializeSeed<'de>>(self, _: T) -> Result<T::Value, Failure> {
+    fn newtype_variant_seed<T: DeserializeSeed<'de>>(self, _: T) -> Result<T::Value, ParseError> {
         Err(de::Error::custom("expected a name alone"))
     }
 
-    fn tuple_variant<V: Visitor<'de>>(self, _: usize, _: V) -> Result<V::Value, Failure> {
+    fn tuple_variant<V: Visitor<'de>>(self, _: usize, _: V) -> Result<V::Value, ParseError> {
         Err(de::Error::custom("expected a name alone"))
     }
 
@@ -190,7 +196,7 @@
         self,
         _: &'static [&'static str],
         _: V,
-    ) -> Result<V::Value, Failure> {
+    ) -> Result<V::Value, ParseError> {
         Err(de::Error::custom("expected a name alone"))
     }
 }
--- a/crates/config/tests/all/change.rs
+++ b/crates/config/tests/all/change.rs
@@ -17,7 +17,7 @@
 
 fn refusal(action: &Action) -> String {
     match apply(&example("hoivapolku"), action) {
-        Err(Refusal::Senseless(message)) => message,
+        Err(Refusal::NotApplicable(message)) => message,
         other => panic!("{other:?}"),
     }
 }
@@ -70,7 +70,7 @@
     let (folder, file) = after(&example("hoivapolku"), &[pause]);
     assert!(file.rollouts["kaisla-mini"].paused);
     let step = apply(&folder, &Action::RolloutStep { model: model() });
-    assert!(matches!(step, Err(Refusal::Senseless(_))));
+    assert!(matches!(step, Err(Refusal::NotApplicable(_))));
 }
 
 // A new version turns bad at night. The operator withdraws it: the roll-out
@@ -115,7 +115,7 @@
     assert_eq!(file.backends["kaisla-llm"].retired, ["kaisla-llm-0"]);
     assert!(matches!(
         apply(&retired, &retire),
-        Err(Refusal::Senseless(_))
+        Err(Refusal::NotApplicable(_))
     ));
     let (added, _) = after(&retired, &[add]);
     assert_eq!(added, before);
--- a/crates/config/tests/all/difference.rs
+++ b/crates/config/tests/all/effect.rs
@@ -1,6 +1,6 @@
 //! The effects of a change, in words.
 
-use fescuerack_config::difference::{Kind, Side, effects};
+use fescuerack_config::effect::{Compiled, Kind, effects};
 use fescuerack_config::{Folder, Merged};
 use rstest::rstest;
 
@@ -10,7 +10,7 @@
     let merged = [before, after].map(|folder| Merged::new(folder).expect("no problems"));
     let sides = merged
         .each_ref()
-        .map(|merged| Side::new(merged).expect("no problems"));
+        .map(|merged| Compiled::new(merged).expect("no problems"));
     let found = effects(&sides[0], &sides[1]);
     found
         .iter()
--- a/crates/config/tests/all/main.rs
+++ b/crates/config/tests/all/main.rs
@@ -1,8 +1,8 @@
 //! Tests of the configuration: parse, merge, checks, edits and permissions.
 
 mod change;
-mod difference;
 mod edit;
+mod effect;
 mod examples;
 mod permission;
 mod problems;
--- a/crates/config/tests/all/permission.rs
+++ b/crates/config/tests/all/permission.rs
@@ -1,6 +1,6 @@
 //! An operator changes what it owns, and nothing else.
 
-use fescuerack_config::permission::{Scope, Side, check};
+use fescuerack_config::permission::{Scope, Snapshot, check};
 use fescuerack_config::{Folder, Merged, Operator};
 use rstest::rstest;
 
@@ -37,7 +37,7 @@
     let before = folder(&BEFORE);
     let after = before.clone().with_file(file, text.to_owned());
     let merged = [&before, &after].map(|folder| Merged::new(folder).expect("no problems"));
-    let side = |folder, merged| Side { folder, merged };
+    let side = |folder, merged| Snapshot { folder, merged };
     let result = check(
         &operator,
         side(&before, &merged[0]),
--- a/crates/config/tests/all/reference.rs
+++ b/crates/config/tests/all/reference.rs
@@ -111,7 +111,7 @@
         .map(|limit| {
             format!(
                 "| `{}` | {} | {} | {} | {} |",
-                limit.name, limit.least, limit.most, limit.default, limit.note
+                limit.name, limit.min, limit.max, limit.default, limit.description
             )
         })
         .collect();
--- a/crates/core/benches/versions/cascade.rs
+++ b/crates/core/benches/versions/cascade.rs
@@ -118,7 +118,7 @@
     fn cost(&self, version: key::Version, job: &Job) -> f64 {
         let cost = self.catalog.versions[version]
             .cost
-            .of(job.input, job.output);
+            .for_tokens(job.input, job.output);
         f64::from(u32::try_from(cost).expect("a small cost"))
     }
 
--- a/crates/node/src/callers/billing.rs
+++ b/crates/node/src/callers/billing.rs
@@ -93,7 +93,7 @@
 /// Returns the cost of an answer in micro-euro.
 fn cost(active: &ActiveConfiguration, version: key::Version, usage: Usage) -> u64 {
     let cost = active.catalog.versions[version].cost;
-    cost.of(usage.prompt_tokens, usage.completion_tokens)
+    cost.for_tokens(usage.prompt_tokens, usage.completion_tokens)
 }
 
 /// Waits until an entry is durable, up to `ledger_wait_ms`.
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -136,7 +136,7 @@
     let organisation = shared
         .active_configuration()
         .catalog
-        .callers
+        .organisation_by_key
         .get(&digest)
         .copied();
     organisation
--- a/crates/node/src/operators/token.rs
+++ b/crates/node/src/operators/token.rs
@@ -30,9 +30,9 @@
     };
     let active = shared.active_configuration();
     let digest = folder::digest(presented.as_bytes());
-    match active.catalog.operators.get(&digest) {
+    match active.catalog.operator_by_token.get(&digest) {
         Some(operator) => Ok(Arc::clone(operator)),
-        None if active.catalog.operators.is_empty() => refuse(
+        None if active.catalog.operator_by_token.is_empty() => refuse(
             "no operator is configured here; the first configuration goes to the store itself \
              (fescuerack apply --store)",
         ),
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context as _, Result, bail};
 use fescuerack_config::Problem;
-use fescuerack_config::tree::{Failure, Field, Node, Value};
+use fescuerack_config::tree::{Field, Node, ParseError, Value};
 use serde::Deserialize as _;
 
 use super::{Settings, check};
@@ -173,7 +173,7 @@
     )])
 }
 
-fn problem(name: &str, failure: &Failure) -> Problem {
+fn problem(name: &str, failure: &ParseError) -> Problem {
     Problem::new(name, failure.line, failure.message.clone())
 }
 
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -271,10 +271,10 @@
             let known = limits::find(name);
             let limit = known.with_context(|| format!("policy: no limit is named {name}"))?;
             ensure!(
-                (limit.least..=limit.most).contains(value),
+                (limit.min..=limit.max).contains(value),
                 "policy: {name} must lie between {} and {}",
-                limit.least,
-                limit.most
+                limit.min,
+                limit.max
             );
         }
         Ok(())
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -7,7 +7,7 @@
 
 use fescuerack_config::Problem;
 use fescuerack_config::change::Action;
-use fescuerack_config::difference::Effect;
+use fescuerack_config::effect::Effect;
 use serde::{Deserialize, Serialize};
 
 /// A change that an operator proposes: files, or an action by name.
