--- a/crates/config/src/catalog/compile/backends.rs
+++ b/crates/config/src/catalog/compile/backends.rs
@@ -1,7 +1,7 @@
 //! Sections `backends` and `services`.
 
 use super::super::{Fleet, Service};
-use super::{Builder, accepted};
+use super::{Builder, list_defined};
 use crate::file::Kind;
 use crate::{file, key};
 
@@ -15,7 +15,7 @@
     fn backend(&mut self, name: &str, entry: &file::Backend) {
         let path = format!("backends/{name}");
         let fleet = self.names.fleets.intern(name);
-        let versions = self.served(&path, fleet, &entry.versions);
+        let versions = self.served_versions(&path, fleet, &entry.versions);
         if entry.kind == Kind::Service && !entry.versions.is_empty() {
             self.report(
                 &format!("{path}/versions"),
@@ -37,12 +37,17 @@
         );
     }
 
-    fn served(&mut self, path: &str, fleet: key::Fleet, names: &[String]) -> Vec<key::Version> {
+    fn served_versions(
+        &mut self,
+        path: &str,
+        fleet: key::Fleet,
+        names: &[String],
+    ) -> Vec<key::Version> {
         let mut versions = Vec::new();
         for (index, name) in names.iter().enumerate() {
             let path = format!("{path}/versions/{index}");
             let Some(key) = self.known_version(name) else {
-                let defined = accepted(self.merged.file.versions.keys());
+                let defined = list_defined(self.merged.file.versions.keys());
                 self.report(&path, format!("no version is named {name}; {defined}"));
                 continue;
             };
@@ -67,7 +72,7 @@
         let fleet = self.names.fleets.get(&entry.backend);
         let fleet = fleet.and_then(|key| Some((key, self.catalog.fleets.get(key)?.kind)));
         let Some((fleet, kind)) = fleet else {
-            let defined = accepted(self.merged.file.backends.keys());
+            let defined = list_defined(self.merged.file.backends.keys());
             let message = format!("no backend is named {}; {defined}", entry.backend);
             self.report(&format!("{path}/backend"), message);
             return;
--- a/crates/config/src/catalog/compile/mod.rs
+++ b/crates/config/src/catalog/compile/mod.rs
@@ -1,8 +1,8 @@
-//! Checks the references of a merge and turns names into keys.
+//! Checks the references of a merge and replaces names by keys.
 //!
-//! Sections are compiled in the order in which they refer to each other, and a
-//! problem in one does not end the others: an operator is told of every
-//! problem at once, each with its file and line.
+//! Sections are compiled in the order of their dependencies. A problem in one
+//! section does not stop the others, so that an operator gets all problems of
+//! all sections in one run, each with its file and line.
 
 mod backends;
 mod models;
@@ -14,14 +14,13 @@
 use super::Catalog;
 use crate::{Merged, Names, Problem, key, limits};
 
-/// Longest name of an entry, in bytes.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// Compiles a merge.
 ///
 /// # Errors
 ///
-/// All problems at once.
+/// All problems of all sections, ordered by file and line.
 pub fn compile(revision: u64, merged: &Merged, names: &mut Names) -> Result<Catalog, Vec<Problem>> {
     let mut builder = Builder {
         merged,
@@ -33,7 +32,7 @@
         },
         problems: Vec::new(),
     };
-    builder.entry_names();
+    builder.check_entry_names();
     builder.models();
     builder.versions();
     builder.backends();
@@ -42,7 +41,7 @@
     builder.rollouts();
     builder.organisations();
     builder.operators();
-    builder.limits();
+    builder.check_limits();
     if builder.problems.is_empty() {
         return Ok(builder.catalog);
     }
@@ -51,6 +50,7 @@
     Err(problems)
 }
 
+/// Collects the compiled sections and their problems.
 struct Builder<'a> {
     merged: &'a Merged,
     names: &'a mut Names,
@@ -59,7 +59,7 @@
 }
 
 impl Builder<'_> {
-    /// Reports a problem of the value at `path`, such as
+    /// Adds a problem with the value at `path`, such as
     /// `organisations/a/allow/0`.
     fn report(&mut self, path: &str, message: impl Into<String>) {
         let (file, line) = self.merged.position(path);
@@ -67,9 +67,9 @@
         self.problems.push(Problem::new(file, line, message));
     }
 
-    /// Checks the names of all entries: they become parts of keys of the
-    /// store and of paths, where `/`, `?` and spaces would mean something else.
-    fn entry_names(&mut self) {
+    /// Checks the names of all entries. They become parts of store keys and of
+    /// URL paths, where `/`, `?` and spaces have another meaning.
+    fn check_entry_names(&mut self) {
         let merged = self.merged;
         for path in merged.owners.keys() {
             let Some((section, name)) = path.split_once('/') else {
@@ -77,11 +77,11 @@
             };
             let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
             let accepted = |byte: u8| plain(byte) || (section == "versions" && byte == b'@');
-            if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(accepted) {
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(accepted) {
                 self.report(
                     path,
                     format!(
-                        "a name holds 1 to {LONGEST_NAME} letters of a-z and A-Z, digits, \
+                        "a name holds 1 to {MAX_NAME_BYTES} letters of a-z and A-Z, digits, \
                          `-`, `_` and `.`"
                     ),
                 );
@@ -89,7 +89,7 @@
         }
     }
 
-    fn limits(&mut self) {
+    fn check_limits(&mut self) {
         for (name, value) in &self.merged.file.limits {
             let path = format!("limits/{name}");
             match limits::find(name) {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn share(&mut self, path: &str, value: f64) {
+    fn check_share(&mut self, path: &str, value: f64) {
         if !(0.0..=1.0).contains(&value) {
             self.report(path, format!("{value} must lie between 0 and 1"));
         }
@@ -124,17 +124,17 @@
     }
 }
 
-/// Ends a message by the names that would have been accepted.
-fn accepted<'a>(names: impl Iterator<Item = &'a String>) -> String {
-    const SHOWN: usize = 12;
+/// Lists the defined names, as the end of a message.
+fn list_defined<'a>(names: impl Iterator<Item = &'a String>) -> String {
+    const MAX_NAMES: usize = 12;
     let names: Vec<_> = names.map(String::as_str).collect();
     match names.len() {
         0 => "none is defined".to_owned(),
-        1..=SHOWN => format!("defined are {}", names.join(", ")),
+        1..=MAX_NAMES => format!("defined are {}", names.join(", ")),
         more => format!(
             "defined are {} and {} more",
-            names[..SHOWN].join(", "),
-            more - SHOWN
+            names[..MAX_NAMES].join(", "),
+            more - MAX_NAMES
         ),
     }
 }
--- a/crates/config/src/catalog/compile/models.rs
+++ b/crates/config/src/catalog/compile/models.rs
@@ -3,12 +3,12 @@
 use slotmap::SecondaryMap;
 
 use super::super::{Cost, Version};
-use super::{Builder, accepted};
+use super::{Builder, list_defined};
 use crate::file;
 
-/// Quality of a version whose entry names no `default`.
+/// Expected quality of a version whose entry has no `default`.
 const DEFAULT_QUALITY: f64 = 0.5;
-/// Name, in `quality`, of all classes that are not named.
+/// Name in `quality` that applies to all classes without an entry of their own.
 const DEFAULT_CLASS: &str = "default";
 
 impl Builder<'_> {
@@ -34,14 +34,14 @@
             .split_once('@')
             .and_then(|(model, _)| self.known_model(model));
         let Some(model) = model else {
-            let defined = accepted(self.merged.file.models.keys());
+            let defined = list_defined(self.merged.file.models.keys());
             self.report(
                 &path,
                 format!("the part before `@` must name a model; {defined}"),
             );
             return;
         };
-        let quality_by_class = self.quality(&path, entry);
+        let quality_by_class = self.quality_by_class(&path, entry);
         if !entry.prior_weight.is_finite() || entry.prior_weight < 0.0 {
             self.report(
                 &format!("{path}/prior_weight"),
@@ -68,7 +68,7 @@
         );
     }
 
-    fn quality(
+    fn quality_by_class(
         &mut self,
         path: &str,
         entry: &file::Version,
@@ -76,12 +76,12 @@
         let mut by_class = SecondaryMap::new();
         for (class, quality) in &entry.quality {
             let path = format!("{path}/quality/{class}");
-            self.share(&path, *quality);
+            self.check_share(&path, *quality);
             if class == DEFAULT_CLASS {
                 continue;
             }
             if !self.merged.file.targets.contains_key(class) {
-                let defined = accepted(self.merged.file.targets.keys());
+                let defined = list_defined(self.merged.file.targets.keys());
                 self.report(&path, format!("no target is named {class}; {defined}"));
             } else if let Some(class) = self.names.classes.get(class) {
                 by_class.insert(class, *quality);
--- a/crates/config/src/catalog/compile/operators.rs
+++ b/crates/config/src/catalog/compile/operators.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::super::Operator;
-use super::{Builder, accepted};
+use super::{Builder, list_defined};
 use crate::file;
 use crate::folder::is_digest;
 use crate::permission::{Scope, WILDCARD};
@@ -20,7 +20,7 @@
         for (index, organisation) in entry.organisations.iter().enumerate() {
             let known = self.merged.file.organisations.contains_key(organisation);
             if organisation != WILDCARD && !known {
-                let defined = accepted(self.merged.file.organisations.keys());
+                let defined = list_defined(self.merged.file.organisations.keys());
                 self.report(
                     &format!("{path}/organisations/{index}"),
                     format!("no organisation is named {organisation}; `*` means all; {defined}"),
--- a/crates/config/src/catalog/compile/organisations.rs
+++ b/crates/config/src/catalog/compile/organisations.rs
@@ -3,12 +3,11 @@
 use std::collections::BTreeSet;
 
 use super::super::Organisation;
-use super::{Builder, accepted};
+use super::{Builder, list_defined};
 use crate::folder::is_digest;
 use crate::{file, key};
 
-/// Most requests a second of one organisation.
-const MOST_RATE: f64 = 1e6;
+const MAX_REQUESTS_PER_SECOND: f64 = 1e6;
 
 impl Builder<'_> {
     pub(super) fn organisations(&mut self) {
@@ -20,10 +19,10 @@
     fn organisation(&mut self, name: &str, entry: &file::Organisation) {
         let path = format!("organisations/{name}");
         let organisation = self.names.organisations.intern(name);
-        let allowed = self.allowed(&path, &entry.allow);
+        let allowed = self.allowed_versions(&path, &entry.allow);
         for (index, service) in entry.services.iter().enumerate() {
             if !self.merged.file.services.contains_key(service) {
-                let defined = accepted(self.merged.file.services.keys());
+                let defined = list_defined(self.merged.file.services.keys());
                 self.report(
                     &format!("{path}/services/{index}"),
                     format!("no service is named {service}; {defined}"),
@@ -35,12 +34,12 @@
         }
         if entry
             .rate
-            .is_some_and(|rate| !(rate > 0.0 && rate <= MOST_RATE))
+            .is_some_and(|rate| !(rate > 0.0 && rate <= MAX_REQUESTS_PER_SECOND))
         {
-            let message = format!("must lie above 0 and at most {MOST_RATE}");
+            let message = format!("must lie above 0 and at most {MAX_REQUESTS_PER_SECOND}");
             self.report(&format!("{path}/rate"), message);
         }
-        self.keys(&path, organisation, &entry.keys);
+        self.register_keys(&path, organisation, &entry.keys);
         self.catalog.organisations.insert(
             organisation,
             Organisation {
@@ -53,7 +52,7 @@
         );
     }
 
-    fn allowed(&mut self, path: &str, names: &[String]) -> BTreeSet<key::Version> {
+    fn allowed_versions(&mut self, path: &str, names: &[String]) -> BTreeSet<key::Version> {
         let mut allowed = BTreeSet::new();
         for (index, name) in names.iter().enumerate() {
             if let Some(version) = self.known_version(name) {
@@ -62,7 +61,7 @@
                 allowed.extend(self.catalog.models[model].iter().copied());
             } else {
                 let models = self.merged.file.models.keys();
-                let defined = accepted(models.chain(self.merged.file.versions.keys()));
+                let defined = list_defined(models.chain(self.merged.file.versions.keys()));
                 self.report(
                     &format!("{path}/allow/{index}"),
                     format!("{name} names no model and no version; {defined}"),
@@ -72,7 +71,7 @@
         allowed
     }
 
-    fn keys(&mut self, path: &str, organisation: key::Organisation, digests: &[String]) {
+    fn register_keys(&mut self, path: &str, organisation: key::Organisation, digests: &[String]) {
         for (index, digest) in digests.iter().enumerate() {
             let path = format!("{path}/keys/{index}");
             if !is_digest(digest) {
--- a/crates/config/src/catalog/compile/rollouts.rs
+++ b/crates/config/src/catalog/compile/rollouts.rs
@@ -1,7 +1,7 @@
 //! Section `rollouts`.
 
 use super::super::Rollout;
-use super::{Builder, accepted};
+use super::{Builder, list_defined};
 use crate::{file, key};
 
 impl Builder<'_> {
@@ -14,16 +14,16 @@
     fn rollout(&mut self, name: &str, entry: &file::Rollout) {
         let path = format!("rollouts/{name}");
         let Some(model) = self.known_model(name) else {
-            let defined = accepted(self.merged.file.models.keys());
+            let defined = list_defined(self.merged.file.models.keys());
             self.report(&path, format!("no model has this name; {defined}"));
             return;
         };
-        self.stages(&path, entry);
-        let current = self.version_of(&format!("{path}/current"), name, &entry.current);
+        self.check_stages(&path, entry);
+        let current = self.version_of_model(&format!("{path}/current"), name, &entry.current);
         let candidate = entry
             .candidate
             .as_ref()
-            .and_then(|version| self.version_of(&format!("{path}/candidate"), name, version));
+            .and_then(|version| self.version_of_model(&format!("{path}/candidate"), name, version));
         if candidate.is_some() && candidate == current {
             self.report(
                 &format!("{path}/candidate"),
@@ -47,10 +47,10 @@
         );
     }
 
-    fn stages(&mut self, path: &str, entry: &file::Rollout) {
-        let rising = entry.stages.windows(2).all(|pair| pair[0] < pair[1]);
-        let within = |share: &f64| *share > 0.0 && *share <= 1.0;
-        if entry.stages.is_empty() || !rising || !entry.stages.iter().all(within) {
+    fn check_stages(&mut self, path: &str, entry: &file::Rollout) {
+        let is_rising = entry.stages.windows(2).all(|pair| pair[0] < pair[1]);
+        let is_share = |share: &f64| *share > 0.0 && *share <= 1.0;
+        if entry.stages.is_empty() || !is_rising || !entry.stages.iter().all(is_share) {
             self.report(
                 &format!("{path}/stages"),
                 "shares must rise, each over 0 and at most 1",
@@ -64,16 +64,16 @@
         }
     }
 
-    fn version_of(&mut self, path: &str, model: &str, name: &str) -> Option<key::Version> {
+    fn version_of_model(&mut self, path: &str, model: &str, name: &str) -> Option<key::Version> {
         let model_key = self.known_model(model)?;
         let found = self
             .known_version(name)
             .filter(|key| self.catalog.versions[*key].model == model_key);
         if found.is_none() {
             let versions = &self.merged.file.versions;
-            let of_model =
+            let is_of_model =
                 |version: &&String| version.split_once('@').is_some_and(|(of, _)| of == model);
-            let defined = accepted(versions.keys().filter(of_model));
+            let defined = list_defined(versions.keys().filter(is_of_model));
             self.report(path, format!("{name} is no version of {model}; {defined}"));
         }
         found
--- a/crates/config/src/catalog/compile/targets.rs
+++ b/crates/config/src/catalog/compile/targets.rs
@@ -1,13 +1,13 @@
 //! Section `targets`.
 
 use super::super::Class;
-use super::{Builder, accepted};
+use super::{Builder, list_defined};
 use crate::file;
 
-/// Part of the target under which an answer is bad, unless the entry says.
-const BAD: f64 = 0.75;
-/// Most requests that may try a version of uncertain quality.
-const MOST_EXPLORED: f64 = 0.2;
+/// Fraction of the target's quality used as `bad_quality` when the entry does not set it.
+const DEFAULT_BAD_QUALITY_RATIO: f64 = 0.75;
+/// Largest share of requests that may explore a version of uncertain quality.
+const MAX_EXPLORE_SHARE: f64 = 0.2;
 
 impl Builder<'_> {
     pub(super) fn targets(&mut self) {
@@ -18,13 +18,15 @@
 
     fn target(&mut self, name: &str, entry: &file::Target) {
         let path = format!("targets/{name}");
-        self.share(&format!("{path}/quality"), entry.quality);
-        let bad_quality = entry.bad_quality.unwrap_or(entry.quality * BAD);
-        self.share(&format!("{path}/bad_quality"), bad_quality);
-        if !(0.0..=MOST_EXPLORED).contains(&entry.explore) {
+        self.check_share(&format!("{path}/quality"), entry.quality);
+        let bad_quality = entry
+            .bad_quality
+            .unwrap_or(entry.quality * DEFAULT_BAD_QUALITY_RATIO);
+        self.check_share(&format!("{path}/bad_quality"), bad_quality);
+        if !(0.0..=MAX_EXPLORE_SHARE).contains(&entry.explore) {
             self.report(
                 &format!("{path}/explore"),
-                format!("must lie between 0 and {MOST_EXPLORED}"),
+                format!("must lie between 0 and {MAX_EXPLORE_SHARE}"),
             );
         }
         if entry.deadline_ms == 0 {
@@ -45,7 +47,7 @@
                 models.push(key);
                 continue;
             }
-            let defined = accepted(self.merged.file.models.keys());
+            let defined = list_defined(self.merged.file.models.keys());
             self.report(
                 &format!("{path}/models/{index}"),
                 format!("no model is named {model}; {defined}"),
--- a/crates/config/src/catalog/mod.rs
+++ b/crates/config/src/catalog/mod.rs
@@ -1,7 +1,8 @@
-//! The compiled configuration: references checked, names turned into keys.
+//! The compiled configuration: references are checked and names are replaced
+//! by keys.
 //!
-//! The types stand here; `compile` holds one file per section that checks the
-//! entries of the section and adds them.
+//! This module defines the types. `compile` has one module per section, which
+//! checks the entries of the section and adds them.
 
 mod compile;
 
@@ -14,14 +15,14 @@
 use crate::permission::Scope;
 use crate::{Merged, Names, Problem, key, limits};
 
-/// The configuration in force, ready for decisions.
+/// A compiled configuration, in the form in which routing decisions read it.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     /// Revision of the manifest that it was compiled from.
     pub revision: u64,
     /// Organisations.
     pub organisations: SecondaryMap<key::Organisation, Organisation>,
-    /// Organisation by the digest of a caller's key.
+    /// Organisations by the digest of a caller's key.
     pub organisation_by_key: HashMap<String, key::Organisation>,
     /// Versions.
     pub versions: SecondaryMap<key::Version, Version>,
@@ -41,10 +42,10 @@
     pub operator_by_token: HashMap<String, Arc<Operator>>,
 }
 
-/// Who may use the operators' port, and what for.
+/// A user of the operators' port and what it may change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Operator {
-    /// Name, as it is recorded with a change.
+    /// Name that is recorded with each change.
     pub name: String,
     /// Files that it may change.
     pub files: Scope,
@@ -54,27 +55,27 @@
     pub admin: bool,
 }
 
-/// What an organisation may use.
+/// An organisation and what it may use.
 #[derive(Clone, Debug)]
 pub struct Organisation {
-    /// Versions it may use.
+    /// Versions that it may use.
     pub allowed: BTreeSet<key::Version>,
-    /// Plain services it may call.
+    /// Plain services that it may call.
     pub services: BTreeSet<String>,
     /// Share of capacity relative to other organisations.
     pub weight: u32,
     /// Requests a second that it may send through all instances together.
     pub rate: Option<f64>,
-    /// Whether an answer below the target is better than none.
+    /// Whether it accepts an answer below the quality target rather than none.
     pub below_target: bool,
 }
 
-/// Cost in micro-euro of 1,000 tokens.
+/// Cost of 1,000 tokens, in micro-euro.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cost {
-    /// Of 1,000 input tokens.
+    /// Cost of 1,000 input tokens.
     pub input: u64,
-    /// Of 1,000 output tokens.
+    /// Cost of 1,000 output tokens.
     pub output: u64,
 }
 
@@ -91,15 +92,16 @@
 pub struct Version {
     /// Its model.
     pub model: key::Model,
-    /// What it costs.
+    /// Cost of its tokens.
     pub cost: Cost,
-    /// Expected quality by class; classes that are missing use `quality`.
+    /// Expected quality by class; absent classes use `quality`.
     pub quality_by_class: SecondaryMap<key::Class, f64>,
     /// Expected quality of all other classes.
     pub quality: f64,
-    /// Number of ratings that the expected quality is worth.
+    /// Weight of the expected quality against measured ratings, as a number of
+    /// ratings.
     pub prior_weight: f64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: State,
     /// Fleets that serve it.
     pub fleets: Vec<key::Fleet>,
@@ -108,42 +110,42 @@
 /// A class of work.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Least expected quality of an answer.
+    /// Minimum expected quality of an answer.
     pub quality: f64,
     /// Models to choose from.
     pub models: Vec<key::Model>,
-    /// Milliseconds within which the first token is due.
+    /// Deadline of the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Milliseconds within which the whole answer is due.
+    /// Deadline of the whole answer, in milliseconds.
     pub deadline_ms: u64,
     /// Whether the work is long.
     pub long: bool,
     /// Whether a cheap answer may be escalated.
     pub cascade: bool,
-    /// Rating under which an answer counts as bad.
+    /// Rating below which an answer counts as bad.
     pub bad_quality: f64,
-    /// Share of requests that may try a version of uncertain quality.
+    /// Share of requests that may explore a version of uncertain quality.
     pub explore: f64,
-    /// Priority; a lower number goes first.
+    /// Priority; lower numbers are served first.
     pub priority: u8,
 }
 
 /// A roll-out.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// Version of today.
+    /// Current version.
     pub current: key::Version,
     /// Version that is being rolled out.
     pub candidate: Option<key::Version>,
-    /// Shares of new sessions.
+    /// Share of new sessions that start on the candidate at each stage.
     pub stages: Vec<f64>,
-    /// Position in `stages`.
+    /// Index into `stages`, from 0.
     pub stage: usize,
-    /// Whether it stays at its stage.
+    /// Whether it is held at its current stage.
     pub paused: bool,
-    /// Number of the operators' word; a higher one clears a halt.
+    /// The roll-out's generation; a higher one clears a halt.
     pub word: u64,
-    /// Bad answers that may reach callers.
+    /// Number of bad answers that may reach callers before the roll-out halts.
     pub exposure: u32,
 }
 
@@ -152,26 +154,27 @@
 pub struct Fleet {
     /// What its servers run.
     pub kind: Kind,
-    /// Versions it serves.
+    /// Versions that it serves.
     pub versions: Vec<key::Version>,
-    /// Requests that one server runs at a time.
+    /// Requests that one server runs concurrently.
     pub slots: u32,
-    /// Whether its engines refuse old fencing numbers.
+    /// Whether its engines refuse an order with an outdated fencing token.
     pub fences: bool,
-    /// Servers that take no new work.
+    /// Servers that receive no new work, by identifier.
     pub retired: BTreeSet<String>,
 }
 
 /// A plain service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Fleet that runs it.
+    /// Fleet that serves it.
     pub fleet: key::Fleet,
-    /// Whether a call may be repeated.
+    /// Whether a call may be retried.
     pub idempotent: bool,
-    /// Whether a call that may not be repeated is taken without a key.
+    /// Whether a call that may not be retried is accepted without an
+    /// `Idempotency-Key`.
     pub keyless: bool,
-    /// Milliseconds within which the answer is due.
+    /// Deadline of the answer, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -180,20 +183,20 @@
     ///
     /// # Errors
     ///
-    /// All problems at once; `names` may then hold names that are not used.
+    /// All problems of the merge; `names` may then contain unused names.
     pub fn new(revision: u64, merged: &Merged, names: &mut Names) -> Result<Self, Vec<Problem>> {
         compile::compile(revision, merged, names)
     }
 
-    /// Returns a limit that [`crate::limits`] lists: the configured value or
-    /// its default.
+    /// Returns the value of a limit listed in [`crate::limits`]: the configured
+    /// one or its default.
     ///
     /// # Panics
     ///
-    /// When no such limit is listed.
+    /// If the limit is not listed.
     #[must_use]
     pub fn limit(&self, name: &str) -> f64 {
-        let known = limits::find(name).expect("the program asks for listed limits");
+        let known = limits::find(name).expect("the limit is listed");
         self.limits.get(name).copied().unwrap_or(known.default)
     }
 
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,4 +1,4 @@
-//! The shape of one configuration file.
+//! The schema of a configuration file.
 //!
 //! Every section is optional and every entry has a name. Unknown fields are
 //! refused, so that a misspelt field cannot silently fall back to a default.
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One file of the folder; the merge of all files has the same shape.
+/// One file of the folder; the merge of all files has the same type.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct File {
@@ -19,7 +19,7 @@
     pub models: BTreeMap<String, Model>,
     /// Versions by `model@version`.
     pub versions: BTreeMap<String, Version>,
-    /// Classes of work by name, with their quality targets.
+    /// Classes of work and their quality targets, by name.
     pub targets: BTreeMap<String, Target>,
     /// Roll-outs by the name of their model.
     pub rollouts: BTreeMap<String, Rollout>,
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// SHA-256 digests, in hex, of its tokens.
+    /// SHA-256 digests of its tokens, in hex.
     pub tokens: Vec<String>,
     /// Names of the files that it may change; `*` means all.
     pub files: Vec<String>,
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// SHA-256 digests, in hex, of the keys that its callers present.
+    /// SHA-256 digests of the keys that its callers present, in hex.
     #[serde(default)]
     pub keys: Vec<String>,
     /// Names of models (every version) or `model@version` (that version only).
@@ -62,10 +62,11 @@
     #[serde(default = "one")]
     pub weight: u32,
     /// Requests a second that it may send through all instances together;
-    /// unlimited when it is left out.
+    /// unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
-    /// Whether an answer below the quality target is better than none.
+    /// Whether the organisation accepts an answer below the quality target
+    /// rather than none.
     #[serde(default)]
     pub below_target: bool,
 }
@@ -86,27 +87,29 @@
     pub cost_input: u64,
     /// Cost of 1,000 output tokens, in micro-euro.
     pub cost_output: u64,
-    /// Expected quality by class of work, 0 to 1; `default` serves the rest.
+    /// Expected quality by class of work, 0 to 1; `default` applies to all
+    /// other classes.
     #[serde(default)]
     pub quality: BTreeMap<String, f64>,
-    /// Number of ratings that the expected quality is worth.
+    /// Weight of the expected quality against measured ratings, as a number of
+    /// ratings.
     #[serde(default = "prior_weight")]
     pub prior_weight: f64,
-    /// Whether the version takes work.
+    /// Whether the version accepts work.
     #[serde(default)]
     pub state: State,
 }
 
-/// Whether a version takes work.
+/// Whether a version accepts work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes all work.
+    /// Accepts all work.
     #[default]
     Open,
-    /// Takes no new session and keeps those it has.
+    /// Accepts no new session and keeps serving its current ones.
     Closed,
-    /// Takes no new work at all.
+    /// Accepts no new work at all.
     Withdrawn,
 }
 
@@ -114,31 +117,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Least expected quality of an answer, 0 to 1.
+    /// Minimum expected quality of an answer, 0 to 1.
     pub quality: f64,
     /// Models to choose from.
     pub models: Vec<String>,
-    /// Milliseconds within which the first token is due.
+    /// Deadline of the first token, in milliseconds.
     #[serde(default = "first_token_ms")]
     pub first_token_ms: u64,
-    /// Milliseconds within which the whole answer is due.
+    /// Deadline of the whole answer, in milliseconds.
     #[serde(default = "deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether the work is long and draws on the budget of long work.
+    /// Whether the work is long and is admitted within the share of long work.
     #[serde(default)]
     pub long: bool,
-    /// Whether a cheap answer may be rated and escalated before it is handed on.
+    /// Whether a cheap answer may be rated, and escalated to a better version,
+    /// before it is returned to the caller.
     #[serde(default)]
     pub cascade: bool,
-    /// Rating under which an answer counts as bad, 0 to 1; three quarters of
+    /// Rating below which an answer counts as bad, 0 to 1; three quarters of
     /// `quality` if absent.
     #[serde(default)]
     pub bad_quality: Option<f64>,
-    /// Share of requests, 0 to 0.2, that may try a version whose quality is
-    /// not known well enough, where trying it cannot hand on an unrated answer.
+    /// Share of requests, 0 to 0.2, that may explore a version whose quality
+    /// estimate is still uncertain, where no unrated answer can reach the caller.
     #[serde(default = "explore")]
     pub explore: f64,
-    /// Priority; a lower number goes first.
+    /// Priority; lower numbers are served first.
     #[serde(default = "priority")]
     pub priority: u8,
 }
@@ -147,27 +151,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// Version that sessions use today.
+    /// Current version, used by all sessions outside the candidate's share.
     pub current: String,
     /// Version that is being rolled out.
     #[serde(default)]
     pub candidate: Option<String>,
-    /// Shares of new sessions, rising, each over 0 and at most 1.
+    /// Share of new sessions that start on the candidate at each stage: rising,
+    /// each over 0 and at most 1.
     #[serde(default = "stages")]
     pub stages: Vec<f64>,
-    /// Position in `stages`.
+    /// Index into `stages`, from 0.
     #[serde(default)]
     pub stage: usize,
-    /// Whether the roll-out stays at its stage.
+    /// Whether the roll-out is held at its current stage.
     #[serde(default)]
     pub paused: bool,
-    /// Number of the operators' word on this roll-out. It rises when a roll-out
-    /// is opened, and only then: a step or a pause by somebody who has not heard
-    /// of a halt must not clear it. A halt holds for the words up to the one it
-    /// stopped; only a higher number lets the same candidate start again.
+    /// The roll-out's generation. It rises when a roll-out is opened, and only
+    /// then: a step or a pause by an operator who has not yet seen a halt must
+    /// not clear it. A halt applies to all generations up to the one it
+    /// stopped; only a higher one lets the same candidate start again.
     #[serde(default)]
     pub word: u64,
-    /// Bad answers that may reach callers before the roll-out halts.
+    /// Number of bad answers that may reach callers before the roll-out halts.
     #[serde(default = "exposure")]
     pub exposure: u32,
 }
@@ -176,21 +181,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Fleet that runs it.
+    /// Fleet that serves it.
     pub backend: String,
-    /// Whether a call may be repeated.
+    /// Whether a call may be retried.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether a call that may not be repeated is taken without an
-    /// `Idempotency-Key`; a resend is then a new call.
+    /// Whether a call that may not be retried is accepted without an
+    /// `Idempotency-Key`; a repeated call then counts as a new one.
     #[serde(default)]
     pub keyless: bool,
-    /// Milliseconds within which the answer is due.
+    /// Deadline of the answer, in milliseconds.
     #[serde(default = "deadline_ms")]
     pub deadline_ms: u64,
 }
 
-/// A fleet of alike backend servers.
+/// A fleet of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
@@ -199,16 +204,16 @@
     /// Versions that the servers of an engine fleet serve.
     #[serde(default)]
     pub versions: Vec<String>,
-    /// Availability zones in which its servers stand.
+    /// Availability zones of its servers.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Requests that one server runs at a time.
+    /// Requests that one server runs concurrently.
     #[serde(default = "slots")]
     pub slots: u32,
-    /// Whether its engines refuse an order with an old fencing number.
+    /// Whether its engines refuse an order with an outdated fencing token.
     #[serde(default)]
     pub fences: bool,
-    /// Servers that take no new work, by identifier.
+    /// Servers that receive no new work, by identifier.
     #[serde(default)]
     pub retired: Vec<String>,
 }
--- a/crates/config/src/folder.rs
+++ b/crates/config/src/folder.rs
@@ -1,4 +1,4 @@
-//! The folder of files as it stands on disk or in a manifest.
+//! The configuration folder: a set of files, read from disk or from a manifest.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use sha2::{Digest as _, Sha256};
 
-/// Files by name; the order of the names is the order of the merge.
+/// Files by name, merged in the order of their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Folder {
     /// Content by file name.
@@ -28,7 +28,7 @@
         self
     }
 
-    /// Reads every `*.yaml` file of a directory; other files are passed over.
+    /// Reads every `*.yaml` file of a directory and ignores other files.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns the digest under which a file's content is kept, in lower-case hex.
+/// Returns the digest under which a file's content is stored, in lower-case hex.
 #[must_use]
 pub fn digest(content: &[u8]) -> String {
     hex::encode(Sha256::digest(content))
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -1,8 +1,8 @@
 //! Typed keys into the arenas of [`crate::Names`].
 //!
-//! A key stays valid for the life of the process, also when a later
-//! configuration no longer mentions the name: counters and sessions keep
-//! referring to it. Keys never leave the process; messages carry names.
+//! A key stays valid for the life of the process, even when a later
+//! configuration no longer contains the name, because counters and sessions
+//! still refer to it. Keys never leave the process; messages carry names.
 
 slotmap::new_key_type! {
     /// An organisation that sends requests.
@@ -13,7 +13,7 @@
     pub struct Version;
     /// A class of work with its quality target.
     pub struct Class;
-    /// A group of alike backend servers.
+    /// A group of interchangeable backend servers.
     pub struct Fleet;
     /// One backend server.
     pub struct Server;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,10 @@
 //! Configuration of fescuerack: a folder of small YAML files.
 //!
 //! Each team owns one file. The files are merged in the order of their names
-//! ([`merge`]), references are checked and the result is compiled
-//! into a [`Catalog`] in which every name is a small `Copy` key ([`key`]).
+//! ([`merge`]), references are checked and the result is compiled into a
+//! [`Catalog`], in which every name is a small `Copy` key ([`key`]).
 //!
-//! Nothing here performs I/O except [`folder::Folder::read`], which loads the
-//! files of a directory. Merge and compilation are pure functions, so every
+//! Only [`folder::Folder::read`] performs I/O: it loads the files of a directory. Merge and compilation are pure functions, so every
 //! instance derives the same catalog from the same manifest.
 
 mod catalog;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,20 +1,20 @@
 //! The limits that the configuration may set, with their bounds and defaults.
 //!
-//! A name that is not listed is refused: a misspelt limit would silently leave
-//! the default in force.
+//! A name that is not listed is refused: otherwise a misspelt limit would
+//! silently leave the default active.
 
-/// One limit.
+/// One limit, its bounds and its default.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Its name in the section `limits`.
+    /// Name in the section `limits`.
     pub name: &'static str,
-    /// Its least value.
+    /// Smallest accepted value.
     pub min: f64,
-    /// Its greatest value.
+    /// Largest accepted value.
     pub max: f64,
-    /// Its value when the configuration does not name it.
+    /// Value when the configuration does not set it.
     pub default: f64,
-    /// What it bounds.
+    /// What it bounds, as the configuration page prints it.
     pub description: &'static str,
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// Returns the limit of this name.
+/// Returns the limit with this name.
 #[must_use]
 pub fn find(name: &str) -> Option<&'static Limit> {
     LIMITS.iter().find(|limit| limit.name == name)
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -2,16 +2,16 @@
 //!
 //! Rules, in the order in which they apply:
 //!
-//! 1. Files are taken in the order of their names, by bytes: `10-a.yaml` comes
+//! 1. Files are merged in the byte order of their names: `10-a.yaml` comes
 //!    before `9-b.yaml`. Only names that end in `.yaml` count.
 //! 2. An empty file is valid and adds nothing.
-//! 3. Two files may hold the same section; their entries are joined.
-//! 4. An entry (an organisation, a model, and so on) may stand in one file
-//!    only, also when both say the same: two teams that write the same entry
+//! 3. Several files may contain the same section; its entries are combined.
+//! 4. An entry (an organisation, a model, and so on) may appear in one file
+//!    only, even if both copies are equal: two teams that write the same entry
 //!    would otherwise override each other without noticing.
-//! 5. `limits` are the exception: the last file that names a limit sets it, so
-//!    that a team can tighten what the first file sets for all.
-//! 6. Any problem in any file refuses the whole folder.
+//! 5. `limits` are the exception: the last file that sets a limit takes effect,
+//!    so that a team can tighten what the first file sets for all.
+//! 6. A problem in any file refuses the whole folder.
 
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
@@ -21,15 +21,15 @@
 use crate::tree::{self, Node, ParseError, Value};
 use crate::{File, Folder, Problem};
 
-/// The merge of a folder, with the owner of every entry.
+/// The merge of a folder, with the file that owns each entry.
 ///
-/// Lines are worked out when the first problem asks for one: instances compile
-/// every accepted change and never need them.
+/// Line numbers are computed on the first call of [`Merged::position`]: instances
+/// compile every accepted change and never need them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Merged {
     /// The merged sections.
     pub file: File,
-    /// File that holds an entry, by `section/name`.
+    /// Name of the file that contains an entry, by `section/name`.
     pub owners: BTreeMap<String, String>,
     texts: BTreeMap<String, Bytes>,
     lines: OnceLock<BTreeMap<String, usize>>,
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     ///
-    /// All problems of syntax and all doubled entries, at once.
+    /// All syntax errors and all duplicate entries of the folder.
     pub fn new(folder: &Folder) -> Result<Self, Vec<Problem>> {
         let mut merged = Self::default();
         let mut problems = Vec::new();
@@ -61,52 +61,52 @@
     }
 
     /// Returns the file and the line of the value at `path`, such as
-    /// `organisations/a/allow/0`; a value that does not stand in the text
-    /// takes the position of what surrounds it.
+    /// `organisations/a/allow/0`. A value that is absent from the text gets the
+    /// position of the closest enclosing value.
     #[must_use]
     pub fn position(&self, path: &str) -> (&str, usize) {
         let file = self.owner(path).unwrap_or("");
-        let lines = self.lines.get_or_init(|| self.all_lines());
-        let mut part = path;
+        let lines = self.lines.get_or_init(|| self.owned_line_numbers());
+        let mut prefix = path;
         loop {
-            if let Some(line) = lines.get(part) {
+            if let Some(line) = lines.get(prefix) {
                 return (file, *line);
             }
-            match part.rsplit_once('/') {
-                Some((above, _)) => part = above,
+            match prefix.rsplit_once('/') {
+                Some((parent, _)) => prefix = parent,
                 None => return (file, 0),
             }
         }
     }
 
-    /// Returns the line of every value in its owner, by
+    /// Returns the line of every value in the file that owns it, by
     /// `section/name/field/...`.
-    fn all_lines(&self) -> BTreeMap<String, usize> {
-        let mut all = BTreeMap::new();
+    fn owned_line_numbers(&self) -> BTreeMap<String, usize> {
+        let mut owned = BTreeMap::new();
         for (name, content) in &self.texts {
-            for (path, line) in lines(content) {
+            for (path, line) in line_numbers(content) {
                 if self.owner(&path) == Some(name) {
-                    all.insert(path, line);
+                    owned.insert(path, line);
                 }
             }
         }
-        all
+        owned
     }
 
-    /// Returns the file that holds the entry of a path. The longest entry
-    /// counts: a name that wrongly holds a `/` must still be found.
+    /// Returns the file that contains the entry of a path. The longest matching
+    /// entry is used, so that a name with an invalid `/` is still found.
     fn owner(&self, path: &str) -> Option<&str> {
-        let mut part = path;
+        let mut prefix = path;
         loop {
-            if let Some(file) = self.owners.get(part) {
+            if let Some(file) = self.owners.get(prefix) {
                 return Some(file);
             }
-            part = part.rsplit_once('/')?.0;
+            prefix = prefix.rsplit_once('/')?.0;
         }
     }
 
     fn add(&mut self, name: &str, file: File, problems: &mut Vec<Problem>) {
-        let mut section = Section {
+        let mut section = SectionMerger {
             file: name,
             text: self.texts.get(name).cloned().unwrap_or_default(),
             owners: &mut self.owners,
@@ -132,14 +132,15 @@
     }
 }
 
-struct Section<'a> {
+/// Adds the entries of one file to the merged sections.
+struct SectionMerger<'a> {
     file: &'a str,
     text: Bytes,
     owners: &'a mut BTreeMap<String, String>,
     problems: &'a mut Vec<Problem>,
 }
 
-impl Section<'_> {
+impl SectionMerger<'_> {
     fn add<T>(&mut self, section: &str, into: &mut BTreeMap<String, T>, from: BTreeMap<String, T>) {
         for (name, entry) in from {
             let path = format!("{section}/{name}");
@@ -147,7 +148,7 @@
                 let message = format!(
                     "{path} already stands in {owner}; an entry may stand in one file only"
                 );
-                let line = lines(&self.text).get(&path).copied().unwrap_or(0);
+                let line = line_numbers(&self.text).get(&path).copied().unwrap_or(0);
                 self.problems.push(Problem::new(self.file, line, message));
                 continue;
             }
@@ -157,8 +158,9 @@
     }
 }
 
-/// Returns the line of every value of a file.
-fn lines(content: &[u8]) -> BTreeMap<String, usize> {
+/// Returns the line of every value of a file, by path; empty if the file
+/// cannot be parsed.
+fn line_numbers(content: &[u8]) -> BTreeMap<String, usize> {
     let mut lines = BTreeMap::new();
     let text = std::str::from_utf8(content).unwrap_or_default();
     if let Ok(root) = Node::new(text) {
--- a/crates/config/src/names.rs
+++ b/crates/config/src/names.rs
@@ -24,7 +24,7 @@
 }
 
 impl<K: slotmap::Key> Arena<K> {
-    /// Returns the key of `name`, adding it when it is new.
+    /// Returns the key of `name` and adds the name if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(key) = self.index.get(name) {
             return *key;
@@ -35,17 +35,17 @@
         key
     }
 
-    /// Returns the key of `name` when it has been interned.
+    /// Returns the key of `name` if it has been interned.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<K> {
         self.index.get(name).copied()
     }
 
-    /// Returns the name behind `key`.
+    /// Returns the name of `key`.
     ///
     /// # Panics
     ///
-    /// When `key` comes from another arena: names are never removed.
+    /// When `key` comes from another arena; names are never removed.
     #[must_use]
     pub fn name(&self, key: K) -> &Arc<str> {
         &self.names[key]
@@ -70,7 +70,7 @@
     pub classes: Arena<key::Class>,
     /// Fleets of backend servers, of engines and of plain services.
     pub fleets: Arena<key::Fleet>,
-    /// Backend servers by the identifier of the platform's instance list.
+    /// Backend servers, by their identifier in the platform's instance list.
     pub servers: Arena<key::Server>,
 }
 
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -7,7 +7,7 @@
 pub struct Problem {
     /// Name of the file.
     pub file: String,
-    /// Line, counted from 1; 0 when the whole file is meant.
+    /// Line, counted from 1; 0 when the problem concerns the whole file.
     pub line: usize,
     /// What is wrong and what is accepted.
     pub message: String,
