--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,21 +1,21 @@
 //! The limits that the configuration may set, with their bounds and defaults.
 //!
-//! A name that is not listed is refused: a misspelt limit would silently leave
-//! the default in force.
+//! A name that is not listed is refused: otherwise a misspelt limit would
+//! silently leave the default active.
 
-/// One limit.
+/// One limit, its bounds and its default.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Its name in the section `limits`.
+    /// Name in the section `limits`.
     pub name: &'static str,
-    /// Its least value.
-    pub least: f64,
-    /// Its greatest value.
-    pub most: f64,
-    /// Its value when the configuration does not name it.
+    /// Smallest accepted value.
+    pub min: f64,
+    /// Largest accepted value.
+    pub max: f64,
+    /// Value when the configuration does not set it.
     pub default: f64,
-    /// What it bounds.
-    pub note: &'static str,
+    /// What it bounds, as the configuration page prints it.
+    pub description: &'static str,
 }
 
 /// All limits.
@@ -114,19 +114,19 @@
 
 const fn limit(
     name: &'static str,
-    (least, most, default): (f64, f64, f64),
-    note: &'static str,
+    (min, max, default): (f64, f64, f64),
+    description: &'static str,
 ) -> Limit {
     Limit {
         name,
-        least,
-        most,
+        min,
+        max,
         default,
-        note,
+        description,
     }
 }
 
-/// Returns the limit of this name.
+/// Returns the limit with this name.
 #[must_use]
 pub fn find(name: &str) -> Option<&'static Limit> {
     LIMITS.iter().find(|limit| limit.name == name)
