--- a/crates/config/src/change/mod.rs
+++ b/crates/config/src/change/mod.rs
@@ -1,9 +1,9 @@
-//! Changes that operators make by name, as edits of the folder.
+//! Named actions of operators, applied as edits of the folder.
 //!
-//! Each action knows the file that owns the entry it changes, edits the text
-//! there and leaves the rest. The result is an ordinary folder, which goes
-//! through the same checks and the same compare-and-swap as one that an
-//! operator wrote by hand: there is one way into force, not two.
+//! Each action finds the file that owns the entry to change, edits the text
+//! there and leaves the rest. The result is an ordinary folder, which passes
+//! the same checks and the same compare-and-swap as one that an operator wrote
+//! by hand, so that there is only one way to activate a configuration.
 
 mod organisation;
 mod rollout;
@@ -16,7 +16,7 @@
 
 use crate::{Folder, Merged, Problem, edit};
 
-/// What an operator asks for.
+/// An action that an operator requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Action {
@@ -26,27 +26,28 @@
         model: String,
         /// Version to roll out.
         candidate: String,
-        /// Version of today; needed when the model has no roll-out yet.
+        /// Current version; required when the model has no roll-out yet.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         current: Option<String>,
-        /// Shares of new sessions; those of the entry or the default if absent.
+        /// Shares of new sessions by stage; those of the entry or the default if
+        /// absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         stages: Option<Vec<f64>>,
-        /// Bad answers that may reach callers.
+        /// Number of bad answers that may reach callers before the roll-out halts.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         exposure: Option<u32>,
     },
-    /// Raises the share by one stage.
+    /// Advances the roll-out by one stage.
     RolloutStep {
         /// Model.
         model: String,
     },
-    /// Keeps the share where it is.
+    /// Holds the roll-out at its current stage.
     RolloutPause {
         /// Model.
         model: String,
     },
-    /// Lets the roll-out advance again.
+    /// Lets a paused roll-out advance again.
     RolloutResume {
         /// Model.
         model: String,
@@ -55,42 +56,42 @@
     RolloutClose {
         /// Model.
         model: String,
-        /// Keeps the version of today instead of taking the candidate.
+        /// Keeps the current version instead of replacing it by the candidate.
         #[serde(default)]
         keep_current: bool,
-        /// Whether the evidence has stepped it to its last stage, whatever
-        /// stage the files set.
+        /// Whether the collected evidence has advanced it to its last stage,
+        /// regardless of the stage in the files.
         #[serde(default)]
         stepped: bool,
     },
-    /// Withdraws a version: it gets no new work at all.
+    /// Withdraws a version: it receives no new work at all.
     VersionWithdraw {
         /// Version.
         version: String,
-        /// Version that takes its place where it is the version of today.
+        /// Version that replaces it where it is the current version.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         replacement: Option<String>,
     },
-    /// Takes a withdrawn or closed version into use again.
+    /// Opens a withdrawn or closed version for work again.
     VersionOpen {
         /// Version.
         version: String,
     },
-    /// Lets a backend server take work again.
+    /// Lets a retired backend server receive work again.
     ServerAdd {
         /// Fleet.
         fleet: String,
         /// Identifier in the platform's list.
         server: String,
     },
-    /// Lets a backend server finish its work and take no more.
+    /// Lets a backend server finish its work and receive no more.
     ServerRetire {
         /// Fleet.
         fleet: String,
         /// Identifier in the platform's list.
         server: String,
     },
-    /// Adds an organisation or changes the fields that are given.
+    /// Adds an organisation, or changes the given fields of an existing one.
     OrganisationSet {
         /// Organisation.
         organisation: String,
@@ -105,11 +106,11 @@
     },
 }
 
-/// Fields of an organisation that are to change.
+/// Fields of an organisation to set; absent fields stay unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fields {
-    /// File for a new organisation.
+    /// File to which a new organisation is added.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub file: Option<String>,
     /// Models and versions that it may use.
@@ -121,7 +122,7 @@
     /// Share of capacity.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<u32>,
-    /// Whether an answer below the target is better than none.
+    /// Whether it accepts an answer below the quality target rather than none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub below_target: Option<bool>,
     /// Digests of its keys.
@@ -129,13 +130,13 @@
     pub keys: Option<Vec<String>>,
 }
 
-/// Why an action cannot be taken.
+/// Reason why an action cannot be applied.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// The files as they are hold problems.
+    /// The folder already contains problems.
     #[error("the configuration holds problems: {}", .0[0])]
     Problems(Vec<Problem>),
-    /// The action makes no sense for the configuration in force.
+    /// The action does not apply to the configuration, or a field is missing.
     #[error("{0}")]
     NotApplicable(String),
     /// A file cannot be edited.
@@ -143,7 +144,7 @@
     Edit {
         /// Name of the file.
         file: String,
-        /// Why.
+        /// Reason.
         cause: edit::Refusal,
     },
 }
@@ -152,7 +153,7 @@
 ///
 /// # Errors
 ///
-/// Why the action cannot be taken; nothing is changed then.
+/// The reason why the action cannot be applied; nothing is changed then.
 pub fn apply(folder: &Folder, action: &Action) -> Result<Folder, Refusal> {
     let merged = Merged::new(folder).map_err(Refusal::Problems)?;
     let mut draft = Draft {
@@ -184,12 +185,14 @@
     Refusal::NotApplicable(message.into())
 }
 
+/// A copy of the folder to which the edits of an action are applied.
 struct Draft<'a> {
     merged: &'a Merged,
     folder: Folder,
 }
 
 impl Draft<'_> {
+    /// Returns the file that contains an entry.
     fn owner(&self, section: &str, name: &str) -> Option<String> {
         self.merged
             .owners
@@ -197,9 +200,10 @@
             .cloned()
     }
 
-    /// Returns the file of a new entry: the one that holds the section's last
-    /// entry, so that it joins its kin.
-    fn home(&self, section: &str) -> Result<String, Refusal> {
+    /// Returns the file for a new entry of a section: of the files that contain
+    /// entries of it, the last by name, so that the entry joins others of its
+    /// kind.
+    fn file_for_new_entry(&self, section: &str) -> Result<String, Refusal> {
         let prefix = format!("{section}/");
         let owners = self.merged.owners.iter();
         owners
@@ -228,7 +232,7 @@
         Ok(())
     }
 
-    fn set(
+    fn set_field(
         &mut self,
         section: &str,
         name: &str,
@@ -239,7 +243,7 @@
         self.change_field(section, name, field, Some(&value))
     }
 
-    fn unset(&mut self, section: &str, name: &str, field: &str) -> Result<(), Refusal> {
+    fn remove_field(&mut self, section: &str, name: &str, field: &str) -> Result<(), Refusal> {
         self.change_field(section, name, field, None)
     }
 
@@ -258,7 +262,7 @@
         })
     }
 
-    fn put(
+    fn put_entry(
         &mut self,
         file: &str,
         section: &str,
--- a/crates/config/src/change/server.rs
+++ b/crates/config/src/change/server.rs
@@ -1,11 +1,13 @@
-//! Backend servers that take no new work.
+//! Actions on backend servers: retiring one and adding it back.
 //!
-//! The platform's list says which servers exist; the configuration names only
-//! those that operators have retired. A server that was never retired needs no
-//! entry, and adding one back means taking its name from the list.
+//! The platform's list defines which servers exist; the configuration lists
+//! only those that operators have retired. A server that was never retired has
+//! no entry, and adding one back means removing it from the list of retired
+//! servers.
 
 use super::{Draft, Refusal, not_applicable};
 
+/// Retires a server or, if `retire` is false, adds it back.
 pub(super) fn set(
     draft: &mut Draft<'_>,
     fleet: &str,
@@ -19,8 +21,8 @@
         not_applicable(format!("no backend is named {fleet}; there are {known}"))
     })?;
     let mut retired = entry.retired.clone();
-    let was = retired.iter().any(|known| known == server);
-    match (was, retire) {
+    let is_retired = retired.iter().any(|known| known == server);
+    match (is_retired, retire) {
         (true, true) => return Err(not_applicable(format!("{server} is retired already"))),
         (false, false) => {
             let message = format!(
@@ -32,8 +34,8 @@
         (true, false) => retired.retain(|known| known != server),
     }
     if retired.is_empty() {
-        draft.unset("backends", fleet, "retired")
+        draft.remove_field("backends", fleet, "retired")
     } else {
-        draft.set("backends", fleet, "retired", retired)
+        draft.set_field("backends", fleet, "retired", retired)
     }
 }
--- a/crates/config/src/edit/emit.rs
+++ b/crates/config/src/edit/emit.rs
@@ -1,11 +1,11 @@
-//! Values as YAML text.
+//! Writes values as YAML text.
 
 use serde_json::{Map, Value as Json};
 
-/// Words that YAML readers take for something else than text.
-const WORDS: [&str; 9] = ["true", "false", "null", "yes", "no", "on", "off", "y", "n"];
+/// Words that a YAML parser reads as a boolean or as null instead of as text.
+const RESERVED_WORDS: [&str; 9] = ["true", "false", "null", "yes", "no", "on", "off", "y", "n"];
 
-/// Returns the lines of an entry, one for each field.
+/// Returns the lines of an entry: its name, then one line for each field.
 pub fn entry(indent: &str, name: &str, fields: &Map<String, Json>) -> Vec<String> {
     let name = scalar(name);
     if fields.is_empty() {
@@ -18,7 +18,7 @@
     lines
 }
 
-/// Returns a value on one line.
+/// Returns a value on one line, in flow style.
 pub fn flow(value: &Json) -> String {
     match value {
         Json::String(text) => scalar(text),
@@ -37,11 +37,13 @@
     }
 }
 
+/// Returns `text` unquoted where YAML reads it as the same text, otherwise in
+/// double quotes.
 fn scalar(text: &str) -> String {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.@".contains(&byte);
-    let word = WORDS.contains(&text.to_ascii_lowercase().as_str());
-    let starts = text.starts_with(|first: char| first.is_ascii_alphabetic());
-    if starts && !word && text.bytes().all(plain) {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.@".contains(&byte);
+    let is_reserved = RESERVED_WORDS.contains(&text.to_ascii_lowercase().as_str());
+    let starts_with_letter = text.starts_with(|first: char| first.is_ascii_alphabetic());
+    if starts_with_letter && !is_reserved && text.bytes().all(is_plain) {
         text.to_owned()
     } else {
         Json::from(text).to_string()
--- a/crates/config/src/edit/mod.rs
+++ b/crates/config/src/edit/mod.rs
@@ -1,11 +1,10 @@
-//! Changes of single fields and entries in the text of a file.
+//! Changes single fields and entries in the text of a file.
 //!
-//! A program that parsed a file and wrote it anew would drop its comments and
-//! its order, and the team that owns the file would no longer recognise it.
-//! These functions replace the lines of one field or one entry and leave all
-//! others as they are. Each result is parsed again and compared with what was
-//! asked for, so a layout that the functions do not understand gives an error
-//! and never a wrong file.
+//! Parsing a file and writing it again would lose its comments and its order,
+//! and the team that owns the file would no longer recognise it. These
+//! functions replace only the lines of one field or one entry. Each result is
+//! parsed again and compared with the requested content, so that an
+//! unsupported layout gives an error and never a wrong file.
 
 mod emit;
 mod lines;
@@ -15,16 +14,16 @@
 use crate::tree::{Field, Node, Value};
 use lines::Lines;
 
-/// Why a text was not changed.
+/// Reason why a text was not changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The text is no valid file.
+    /// The text is not a valid file: line and message.
     #[error("line {0}: {1}")]
     Malformed(usize, String),
-    /// There is no such entry.
+    /// The entry does not exist.
     #[error("there is no entry {0}")]
     Missing(String),
-    /// The text is laid out in a way that cannot be changed safely.
+    /// The layout of the text cannot be changed safely.
     #[error("the layout of {0} cannot be changed by a program; change the file by hand")]
     Layout(String),
 }
@@ -33,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// When the entry is missing or the layout is not understood.
+/// If the text is malformed, the entry is missing or the layout is not supported.
 pub fn set_field(
     text: &str,
     section: &str,
@@ -44,40 +43,40 @@
     let root = parse(text)?;
     let path = format!("{section}/{name}");
     let entry = entry(&root, section, name).ok_or_else(|| Refusal::Missing(path.clone()))?;
-    let mut wanted = match json(&entry.node) {
+    let mut desired = match to_json(&entry.node) {
         Json::Object(fields) => fields,
         Json::Null => Map::new(),
         _ => return Err(Refusal::Layout(path)),
     };
     match value {
-        Some(value) => wanted.insert(field.to_owned(), value.clone()),
-        None => wanted.remove(field),
+        Some(value) => desired.insert(field.to_owned(), value.clone()),
+        None => desired.remove(field),
     };
     let changed = change_field(text, entry, field, value)
-        .filter(|changed| holds(changed, &root, section, name, Some(&wanted)));
+        .filter(|changed| is_only_change(changed, &root, section, name, Some(&desired)));
     match changed {
         Some(changed) => Ok(changed),
-        None => put_entry(text, section, name, Some(&wanted)),
+        None => put_entry(text, section, name, Some(&desired)),
     }
 }
 
-/// Adds or replaces an entry, or removes it when `wanted` is `None`.
+/// Adds or replaces an entry, or removes it when `desired` is `None`.
 ///
 /// # Errors
 ///
-/// When the layout is not understood.
+/// If the text is malformed, the entry to remove is missing or the layout is not supported.
 pub fn put_entry(
     text: &str,
     section: &str,
     name: &str,
-    wanted: Option<&Map<String, Json>>,
+    desired: Option<&Map<String, Json>>,
 ) -> Result<String, Refusal> {
     let root = parse(text)?;
-    if wanted.is_none() && entry(&root, section, name).is_none() {
+    if desired.is_none() && entry(&root, section, name).is_none() {
         return Err(Refusal::Missing(format!("{section}/{name}")));
     }
-    let changed = change_entry(text, &root, section, name, wanted);
-    if holds(&changed, &root, section, name, wanted) {
+    let changed = change_entry(text, &root, section, name, desired);
+    if is_only_change(&changed, &root, section, name, desired) {
         Ok(changed)
     } else {
         Err(Refusal::Layout(format!("{section}/{name}")))
@@ -85,18 +84,18 @@
 }
 
 fn parse(text: &str) -> Result<Node, Refusal> {
-    Node::new(text).map_err(|failure| Refusal::Malformed(failure.line, failure.message))
+    Node::new(text).map_err(|error| Refusal::Malformed(error.line, error.message))
 }
 
 fn entry<'a>(root: &'a Node, section: &str, name: &str) -> Option<&'a Field> {
     root.field(section)?.node.field(name)
 }
 
-/// Returns the text with one field changed, for an entry that has a line for
-/// each field.
+/// Returns the text with one field changed, or `None` if the value cannot be
+/// replaced in place and the entry does not have a line for each field.
 fn change_field(text: &str, entry: &Field, field: &str, value: Option<&Json>) -> Option<String> {
     let fields = entry.node.fields();
-    let found = fields.iter().position(|known| known.name == field);
+    let found = fields.iter().position(|existing| existing.name == field);
     if let (Some(at), Some(value)) = (found, value) {
         let bytes = fields[at].node.bytes.clone();
         if !bytes.is_empty() && !value.is_array() && !value.is_object() {
@@ -107,8 +106,8 @@
         }
     }
     let mut lines = Lines::new(text);
-    let block = fields.first().is_some_and(|first| first.line > entry.line);
-    if !block {
+    let has_line_per_field = fields.first().is_some_and(|first| first.line > entry.line);
+    if !has_line_per_field {
         return None;
     }
     let indent = lines.indent(fields[0].line);
@@ -124,19 +123,20 @@
     Some(lines.join())
 }
 
+/// Returns the text with one entry added, replaced or removed.
 fn change_entry(
     text: &str,
     root: &Node,
     section: &str,
     name: &str,
-    wanted: Option<&Map<String, Json>>,
+    desired: Option<&Map<String, Json>>,
 ) -> String {
     let mut lines = Lines::new(text);
     let Some(block) = root.field(section) else {
         let mut new = vec![format!("{section}:")];
         new.extend(
-            wanted
-                .map(|wanted| emit::entry("  ", name, wanted))
+            desired
+                .map(|desired| emit::entry("  ", name, desired))
                 .unwrap_or_default(),
         );
         let end = lines.end();
@@ -144,26 +144,26 @@
         return lines.join();
     };
     let entries = block.node.fields();
-    let known = entries.iter().find(|entry| entry.name == name);
+    let existing = entries.iter().find(|entry| entry.name == name);
     let first = entries.first().filter(|first| first.line > block.line);
     let Some(first) = first else {
-        // The whole section stands on one line, or is empty: write it anew.
-        let new = section_anew(block, section, name, wanted);
+        // The whole section is on one line, or is empty: rewrite it.
+        let new = rewrite_section(block, section, name, desired);
         let range = lines.block(block.line);
         lines.replace(range, &new);
         return lines.join();
     };
     let indent = lines.indent(first.line);
-    let mut new = wanted
-        .map(|wanted| emit::entry(&indent, name, wanted))
+    let mut new = desired
+        .map(|desired| emit::entry(&indent, name, desired))
         .unwrap_or_default();
-    let mut range = if let Some(known) = known {
-        lines.block(known.line)
+    let mut range = if let Some(existing) = existing {
+        lines.block(existing.line)
     } else {
         let end = lines.block(block.line).end;
         end..end
     };
-    if wanted.is_none() && entries.len() == 1 {
+    if desired.is_none() && entries.len() == 1 {
         new = vec![format!("{section}: {{}}")];
         range = lines.block(block.line);
     }
@@ -171,18 +171,19 @@
     lines.join()
 }
 
-fn section_anew(
+/// Returns the lines of a section with one entry added, replaced or removed.
+fn rewrite_section(
     block: &Field,
     section: &str,
     name: &str,
-    wanted: Option<&Map<String, Json>>,
+    desired: Option<&Map<String, Json>>,
 ) -> Vec<String> {
-    let mut all = match json(&block.node) {
+    let mut all = match to_json(&block.node) {
         Json::Object(entries) => entries,
         _ => Map::new(),
     };
-    match wanted {
-        Some(wanted) => all.insert(name.to_owned(), Json::Object(wanted.clone())),
+    match desired {
+        Some(desired) => all.insert(name.to_owned(), Json::Object(desired.clone())),
         None => all.remove(name),
     };
     if all.is_empty() {
@@ -196,19 +197,19 @@
     lines
 }
 
-/// Returns whether `changed` differs from `before` in this one entry only,
-/// and there as wanted.
-fn holds(
+/// Returns whether `changed` differs from `before` only in this entry, whose
+/// content is `desired`.
+fn is_only_change(
     changed: &str,
     before: &Node,
     section: &str,
     name: &str,
-    wanted: Option<&Map<String, Json>>,
+    desired: Option<&Map<String, Json>>,
 ) -> bool {
     let Ok(after) = Node::new(changed) else {
         return false;
     };
-    let mut expected = match json(before) {
+    let mut expected = match to_json(before) {
         Json::Object(sections) => sections,
         _ => Map::new(),
     };
@@ -221,15 +222,15 @@
     let Some(entries) = entries.as_object_mut() else {
         return false;
     };
-    match wanted {
-        Some(wanted) => entries.insert(name.to_owned(), Json::Object(wanted.clone())),
+    match desired {
+        Some(desired) => entries.insert(name.to_owned(), Json::Object(desired.clone())),
         None => entries.remove(name),
     };
-    json(&after) == Json::Object(expected)
+    to_json(&after) == Json::Object(expected)
 }
 
-/// Returns a node without its positions.
-fn json(node: &Node) -> Json {
+/// Returns the value of a node, without positions.
+fn to_json(node: &Node) -> Json {
     match &node.value {
         Value::Null => Json::Null,
         Value::Bool(value) => Json::from(*value),
@@ -237,10 +238,10 @@
         Value::Signed(value) => Json::from(*value),
         Value::Float(value) => Json::from(*value),
         Value::Text(value) => Json::from(value.as_str()),
-        Value::Sequence(items) => items.iter().map(json).collect(),
+        Value::Sequence(items) => items.iter().map(to_json).collect(),
         Value::Mapping(fields) => fields
             .iter()
-            .map(|field| (field.name.clone(), json(&field.node)))
+            .map(|field| (field.name.clone(), to_json(&field.node)))
             .collect::<Map<_, _>>()
             .into(),
     }
--- a/crates/config/src/effect/mod.rs
+++ b/crates/config/src/effect/mod.rs
@@ -1,10 +1,10 @@
-//! What a change of configuration means, in words.
+//! The effects of a configuration change, described for an operator.
 //!
-//! A difference of text tells an operator which lines changed, not who is
-//! affected: one line of a target can move every chat of ten organisations to
-//! another version. The effects are therefore worked out on the compiled
-//! catalogs: who gains or loses which version, which version answers a class
-//! of work from now on, and what share of sessions a roll-out moves.
+//! A text diff shows which lines changed but not who is affected: one line of
+//! a target can move every chat of ten organisations to another version. The
+//! effects are therefore computed from the compiled catalogs: which
+//! organisation gains or loses which version, which version answers a class of
+//! work after the change, and which share of sessions a roll-out moves.
 
 mod organisations;
 mod rollouts;
@@ -18,15 +18,15 @@
 use crate::file::State;
 use crate::{Catalog, File, Merged, Names, key};
 
-/// What kind of effect a change has.
+/// The kind of an effect, in the order in which effects are listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Somebody can no longer use something.
+    /// Access or capacity is lost.
     Loses,
-    /// Work goes elsewhere.
+    /// Work moves to other versions.
     Moves,
-    /// Somebody can use something new.
+    /// Access or capacity is gained.
     Gains,
     /// A value changes.
     Changes,
@@ -39,7 +39,7 @@
     pub kind: Kind,
     /// What is affected, such as `organisations/a`.
     pub subject: String,
-    /// The effect in words.
+    /// Description of the effect.
     pub text: String,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// One side of the comparison.
+/// One of the two configurations that are compared: a merge with its catalog.
 #[derive(Debug)]
 pub struct Compiled<'a> {
     merged: &'a Merged,
@@ -77,37 +77,45 @@
         &self.merged.file
     }
 
-    /// Returns the versions that an organisation may use and that take work.
-    fn usable(&self, organisation: &str) -> BTreeSet<String> {
+    /// Returns the versions that an organisation may use and that are not
+    /// withdrawn.
+    fn usable_versions(&self, organisation: &str) -> BTreeSet<String> {
         let key = self.names.organisations.get(organisation);
         let entry = key.and_then(|key| self.catalog.organisations.get(key));
         let allowed = entry.into_iter().flat_map(|entry| &entry.allowed);
-        let working = allowed.filter(|key| self.catalog.versions[**key].state != State::Withdrawn);
-        working
+        let not_withdrawn =
+            allowed.filter(|key| self.catalog.versions[**key].state != State::Withdrawn);
+        not_withdrawn
             .map(|key| self.names.versions.name(*key).to_string())
             .collect()
     }
 
-    /// Returns the cheapest version of today that meets the target of a class
-    /// for an organisation, by the expected quality of the configuration.
-    fn answers(&self, organisation: &str, class: &str) -> Option<String> {
+    /// Returns the cheapest current version that meets the target of a class for
+    /// an organisation, by the expected quality in the configuration.
+    fn answering_version(&self, organisation: &str, class: &str) -> Option<String> {
         let organisation = self.names.organisations.get(organisation)?;
         let organisation = self.catalog.organisations.get(organisation)?;
         let class_key = self.names.classes.get(class)?;
         let class = self.catalog.classes.get(class_key)?;
-        let today = class.models.iter().filter_map(|model| self.today(*model));
-        let fitting = today.filter(|version| {
+        let current = class
+            .models
+            .iter()
+            .filter_map(|model| self.current_version(*model));
+        let eligible = current.filter(|version| {
             let entry = &self.catalog.versions[*version];
-            let meets = self.catalog.quality(*version, class_key) >= class.quality;
+            let meets_target = self.catalog.quality(*version, class_key) >= class.quality;
             organisation.allowed.contains(version)
                 && entry.state == State::Open
-                && (meets || organisation.below_target)
+                && (meets_target || organisation.below_target)
         });
-        let cheapest = fitting.min_by_key(|version| self.catalog.versions[*version].cost.output)?;
+        let cheapest =
+            eligible.min_by_key(|version| self.catalog.versions[*version].cost.output)?;
         Some(self.names.versions.name(cheapest).to_string())
     }
 
-    fn today(&self, model: key::Model) -> Option<key::Version> {
+    /// Returns the current version of a model: that of its roll-out, otherwise
+    /// the last one by name.
+    fn current_version(&self, model: key::Model) -> Option<key::Version> {
         match self.catalog.rollouts.get(model) {
             Some(rollout) => Some(rollout.current),
             None => self.catalog.models.get(model)?.last().copied(),
@@ -115,31 +123,36 @@
     }
 }
 
-/// Returns the effects of going from one configuration to another, losses
-/// first.
+/// Returns the effects of a change from `before` to `after`, losses first.
 #[must_use]
 pub fn effects(before: &Compiled<'_>, after: &Compiled<'_>) -> Vec<Effect> {
-    let mut found = Vec::new();
-    organisations::versions(before, after, &mut found);
-    organisations::entries(before.file(), after.file(), &mut found);
-    organisations::classes(before, after, &mut found);
-    sections::versions(before.file(), after.file(), &mut found);
-    rollouts::entries(before.file(), after.file(), &mut found);
-    sections::backends(before.file(), after.file(), &mut found);
-    sections::rest(before.file(), after.file(), &mut found);
-    found.sort();
-    found
+    let mut effects = Vec::new();
+    organisations::versions(before, after, &mut effects);
+    organisations::entries(before.file(), after.file(), &mut effects);
+    organisations::classes(before, after, &mut effects);
+    sections::versions(before.file(), after.file(), &mut effects);
+    rollouts::entries(before.file(), after.file(), &mut effects);
+    sections::backends(before.file(), after.file(), &mut effects);
+    sections::others(before.file(), after.file(), &mut effects);
+    effects.sort();
+    effects
 }
 
-fn add(found: &mut Vec<Effect>, kind: Kind, subject: impl Into<String>, text: impl Into<String>) {
-    found.push(Effect {
+fn push(
+    effects: &mut Vec<Effect>,
+    kind: Kind,
+    subject: impl Into<String>,
+    text: impl Into<String>,
+) {
+    effects.push(Effect {
         kind,
         subject: subject.into(),
         text: text.into(),
     });
 }
 
-/// Calls `visit` for each name whose entry differs.
+/// Calls `visit` for each name whose entry differs, with the old and the new
+/// entry.
 fn compare<T: PartialEq>(
     before: &BTreeMap<String, T>,
     after: &BTreeMap<String, T>,
@@ -154,6 +167,7 @@
     }
 }
 
+/// Returns the names of the organisations of both configurations.
 fn all_organisations(before: &File, after: &File) -> BTreeSet<String> {
     let names = before
         .organisations
@@ -162,11 +176,28 @@
     names.cloned().collect()
 }
 
-fn lists(found: &mut Vec<Effect>, subject: &str, what: &str, old: &[String], new: &[String]) {
+/// Adds an effect for each name that is in only one of two lists.
+fn compare_lists(
+    effects: &mut Vec<Effect>,
+    subject: &str,
+    what: &str,
+    old: &[String],
+    new: &[String],
+) {
     for name in old.iter().filter(|name| !new.contains(name)) {
-        add(found, Kind::Loses, subject, format!("loses {what} {name}"));
+        push(
+            effects,
+            Kind::Loses,
+            subject,
+            format!("loses {what} {name}"),
+        );
     }
     for name in new.iter().filter(|name| !old.contains(name)) {
-        add(found, Kind::Gains, subject, format!("gains {what} {name}"));
+        push(
+            effects,
+            Kind::Gains,
+            subject,
+            format!("gains {what} {name}"),
+        );
     }
 }
--- a/crates/config/src/effect/organisations.rs
+++ b/crates/config/src/effect/organisations.rs
@@ -1,15 +1,19 @@
-//! Who may use what, and which version answers whom.
+//! Which versions and services an organisation may use, and which version
+//! answers its classes of work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Compiled, Effect, Kind, add, all_organisations, compare, lists};
+use super::{Compiled, Effect, Kind, all_organisations, compare, compare_lists, push};
 use crate::File;
 
-/// Who gains or loses which version, one effect for each version.
-pub(super) fn versions(before: &Compiled<'_>, after: &Compiled<'_>, found: &mut Vec<Effect>) {
+/// Adds which organisations gain or lose a version, one effect for each version.
+pub(super) fn versions(before: &Compiled<'_>, after: &Compiled<'_>, effects: &mut Vec<Effect>) {
     let mut by_version: BTreeMap<(Kind, String), Vec<String>> = BTreeMap::new();
     for organisation in all_organisations(before.file(), after.file()) {
-        let (old, new) = (before.usable(&organisation), after.usable(&organisation));
+        let (old, new) = (
+            before.usable_versions(&organisation),
+            after.usable_versions(&organisation),
+        );
         for version in new.difference(&old) {
             let key = (Kind::Gains, version.clone());
             by_version
@@ -32,11 +36,12 @@
             "lost"
         };
         let text = format!("{verb} by {}", organisations.join(", "));
-        add(found, kind, format!("versions/{version}"), text);
+        push(effects, kind, format!("versions/{version}"), text);
     }
 }
 
-pub(super) fn entries(before: &File, after: &File, found: &mut Vec<Effect>) {
+/// Adds the changes of the organisations' own fields and keys.
+pub(super) fn entries(before: &File, after: &File, effects: &mut Vec<Effect>) {
     compare(
         &before.organisations,
         &after.organisations,
@@ -44,15 +49,15 @@
             let subject = format!("organisations/{name}");
             let (old, new) = match (old, new) {
                 (Some(old), Some(new)) => (old, new),
-                (None, _) => return add(found, Kind::Gains, subject, "is new"),
+                (None, _) => return push(effects, Kind::Gains, subject, "is new"),
                 (_, None) => {
                     let text = "is removed; its callers are refused";
-                    return add(found, Kind::Loses, subject, text);
+                    return push(effects, Kind::Loses, subject, text);
                 }
             };
             if old.weight != new.weight {
                 let text = format!("weight {} to {}", old.weight, new.weight);
-                add(found, Kind::Changes, &subject, text);
+                push(effects, Kind::Changes, &subject, text);
             }
             if old.below_target != new.below_target {
                 let text = if new.below_target {
@@ -60,36 +65,37 @@
                 } else {
                     "no longer takes answers below the target"
                 };
-                add(found, Kind::Changes, &subject, text);
+                push(effects, Kind::Changes, &subject, text);
             }
-            lists(found, &subject, "service", &old.services, &new.services);
-            let keys = |from: &[String], to: &[String]| {
+            compare_lists(effects, &subject, "service", &old.services, &new.services);
+            let count_missing = |from: &[String], to: &[String]| {
                 from.iter().filter(|key| !to.contains(key)).count()
             };
-            let (gone, come) = (keys(&old.keys, &new.keys), keys(&new.keys, &old.keys));
-            if gone > 0 {
-                let text = format!("{gone} keys are no longer accepted");
-                add(found, Kind::Loses, &subject, text);
+            let removed = count_missing(&old.keys, &new.keys);
+            let added = count_missing(&new.keys, &old.keys);
+            if removed > 0 {
+                let text = format!("{removed} keys are no longer accepted");
+                push(effects, Kind::Loses, &subject, text);
             }
-            if come > 0 {
-                add(found, Kind::Gains, &subject, format!("{come} new keys"));
+            if added > 0 {
+                push(effects, Kind::Gains, &subject, format!("{added} new keys"));
             }
         },
     );
 }
 
-/// Which version answers a class of work from now on.
-pub(super) fn classes(before: &Compiled<'_>, after: &Compiled<'_>, found: &mut Vec<Effect>) {
+/// Adds which classes of work are answered by another version after the change.
+pub(super) fn classes(before: &Compiled<'_>, after: &Compiled<'_>, effects: &mut Vec<Effect>) {
     let mut moves: BTreeMap<(String, String, String), Vec<String>> = BTreeMap::new();
     let targets = before.file().targets.keys();
     let classes: BTreeSet<_> = targets.chain(after.file().targets.keys()).collect();
     for organisation in all_organisations(before.file(), after.file()) {
         for class in &classes {
-            let old = before.answers(&organisation, class);
-            let new = after.answers(&organisation, class);
-            let both = before.file().organisations.contains_key(&organisation)
+            let old = before.answering_version(&organisation, class);
+            let new = after.answering_version(&organisation, class);
+            let is_in_both = before.file().organisations.contains_key(&organisation)
                 && after.file().organisations.contains_key(&organisation);
-            if old != new && both {
+            if old != new && is_in_both {
                 let name = |version: Option<String>| version.unwrap_or_default();
                 let key = ((*class).clone(), name(old), name(new));
                 moves.entry(key).or_default().push(organisation.clone());
@@ -101,13 +107,13 @@
         let who = organisations.join(", ");
         if new.is_empty() {
             let text = format!("no version meets the target any more for {who} (before: {old})");
-            add(found, Kind::Loses, subject, text);
+            push(effects, Kind::Loses, subject, text);
         } else if old.is_empty() {
             let text = format!("is answered by {new} for {who} (before: by none)");
-            add(found, Kind::Gains, subject, text);
+            push(effects, Kind::Gains, subject, text);
         } else {
             let text = format!("moves from {old} to {new} for {who}");
-            add(found, Kind::Moves, subject, text);
+            push(effects, Kind::Moves, subject, text);
         }
     }
 }
--- a/crates/config/src/effect/sections.rs
+++ b/crates/config/src/effect/sections.rs
@@ -1,10 +1,11 @@
-//! Versions, backends and the smaller sections.
+//! Effects of changes to versions, backends and the remaining sections.
 
-use super::{Effect, Kind, add, compare, lists};
+use super::{Effect, Kind, compare, compare_lists, push};
 use crate::File;
 use crate::file::State;
 
-pub(super) fn versions(before: &File, after: &File, found: &mut Vec<Effect>) {
+/// Adds the effects of each version that differs.
+pub(super) fn versions(before: &File, after: &File, effects: &mut Vec<Effect>) {
     compare(&before.versions, &after.versions, |name, old, new| {
         let subject = format!("versions/{name}");
         let (Some(old), Some(new)) = (old, new) else {
@@ -13,7 +14,7 @@
             } else {
                 "is removed"
             };
-            return add(found, Kind::Changes, subject, text);
+            return push(effects, Kind::Changes, subject, text);
         };
         if old.state != new.state {
             let text = match new.state {
@@ -21,14 +22,14 @@
                 State::Closed => "is closed: no new session, those it has stay",
                 State::Withdrawn => "is withdrawn: no new work at all",
             };
-            add(found, Kind::Changes, &subject, text);
+            push(effects, Kind::Changes, &subject, text);
         }
         if (old.cost_input, old.cost_output) != (new.cost_input, new.cost_output) {
             let text = format!(
                 "costs {} and {} micro-euro per 1,000 tokens (before: {} and {})",
                 new.cost_input, new.cost_output, old.cost_input, old.cost_output
             );
-            add(found, Kind::Changes, &subject, text);
+            push(effects, Kind::Changes, &subject, text);
         }
         compare(&old.quality, &new.quality, |class, old, new| {
             let number = |value: Option<&f64>| value.map_or("none".to_owned(), f64::to_string);
@@ -37,12 +38,13 @@
                 number(old),
                 number(new)
             );
-            add(found, Kind::Changes, &subject, text);
+            push(effects, Kind::Changes, &subject, text);
         });
     });
 }
 
-pub(super) fn backends(before: &File, after: &File, found: &mut Vec<Effect>) {
+/// Adds the effects of each fleet that differs.
+pub(super) fn backends(before: &File, after: &File, effects: &mut Vec<Effect>) {
     compare(&before.backends, &after.backends, |name, old, new| {
         let subject = format!("backends/{name}");
         let (Some(old), Some(new)) = (old, new) else {
@@ -50,16 +52,16 @@
                 Some(_) => (Kind::Gains, "is new"),
                 None => (Kind::Loses, "is removed; its servers get no new work"),
             };
-            return add(found, kind, subject, text);
+            return push(effects, kind, subject, text);
         };
-        lists(found, &subject, "version", &old.versions, &new.versions);
+        compare_lists(effects, &subject, "version", &old.versions, &new.versions);
         for server in new.retired.iter().filter(|id| !old.retired.contains(id)) {
             let text = format!("{server} finishes its work and takes no more");
-            add(found, Kind::Loses, &subject, text);
+            push(effects, Kind::Loses, &subject, text);
         }
         for server in old.retired.iter().filter(|id| !new.retired.contains(id)) {
-            add(
-                found,
+            push(
+                effects,
                 Kind::Gains,
                 &subject,
                 format!("{server} takes work again"),
@@ -67,30 +69,32 @@
         }
         if old.slots != new.slots {
             let text = format!("slots {} to {}", old.slots, new.slots);
-            add(found, Kind::Changes, &subject, text);
+            push(effects, Kind::Changes, &subject, text);
         }
         if old.fences != new.fences {
             let text = format!("fences {} to {}", old.fences, new.fences);
-            add(found, Kind::Changes, &subject, text);
+            push(effects, Kind::Changes, &subject, text);
         }
         if old.zones != new.zones {
             let text = format!("zones {:?} to {:?}", old.zones, new.zones);
-            add(found, Kind::Changes, &subject, text);
+            push(effects, Kind::Changes, &subject, text);
         }
     });
 }
 
-pub(super) fn rest(before: &File, after: &File, found: &mut Vec<Effect>) {
-    let mut simple = |section: &str, name: &str, was: bool, is: bool, detail: String| {
+/// Adds the effects of the sections `models`, `targets`, `services`,
+/// `operators` and `limits`.
+pub(super) fn others(before: &File, after: &File, effects: &mut Vec<Effect>) {
+    let mut push_change = |section: &str, name: &str, was: bool, is: bool, detail: String| {
         let text = match (was, is) {
             (false, _) => format!("is new{detail}"),
             (_, false) => "is removed".to_owned(),
             (true, true) => format!("changes{detail}"),
         };
-        add(found, Kind::Changes, format!("{section}/{name}"), text);
+        push(effects, Kind::Changes, format!("{section}/{name}"), text);
     };
     compare(&before.models, &after.models, |name, old, new| {
-        simple("models", name, old.is_some(), new.is_some(), String::new());
+        push_change("models", name, old.is_some(), new.is_some(), String::new());
     });
     compare(&before.targets, &after.targets, |name, old, new| {
         let detail = match (old, new) {
@@ -99,7 +103,7 @@
             }
             _ => String::new(),
         };
-        simple("targets", name, old.is_some(), new.is_some(), detail);
+        push_change("targets", name, old.is_some(), new.is_some(), detail);
     });
     compare(&before.services, &after.services, |name, old, new| {
         let detail = match (old, new) {
@@ -108,10 +112,10 @@
             }
             _ => String::new(),
         };
-        simple("services", name, old.is_some(), new.is_some(), detail);
+        push_change("services", name, old.is_some(), new.is_some(), detail);
     });
     compare(&before.operators, &after.operators, |name, old, new| {
-        simple(
+        push_change(
             "operators",
             name,
             old.is_some(),
@@ -122,6 +126,6 @@
     compare(&before.limits, &after.limits, |name, old, new| {
         let number = |value: Option<&f64>| value.map_or("none".to_owned(), f64::to_string);
         let detail = format!(": {} to {}", number(old), number(new));
-        simple("limits", name, old.is_some(), new.is_some(), detail);
+        push_change("limits", name, old.is_some(), new.is_some(), detail);
     });
 }
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -178,7 +178,7 @@
         Ok(file) => return Ok(file),
         Err(error) => error,
     };
-    let problem = |failure: ParseError| vec![Problem::new(name, failure.line, failure.message)];
+    let problem = |error: ParseError| vec![Problem::new(name, error.line, error.message)];
     let root = Node::new(text).map_err(problem)?;
     if matches!(root.value, Value::Null) {
         return Ok(File::default());
--- a/crates/config/src/tree/diagnose.rs
+++ b/crates/config/src/tree/diagnose.rs
@@ -1,16 +1,16 @@
-//! All errors of a file that the typed parse refused.
+//! Finds all errors of a file that the typed parse refused.
 //!
-//! The typed parse stops at its first error; an operator who corrects one line
-//! and is told of the next one, again and again, loses minutes at night. Each
-//! entry is therefore parsed by itself, and a field at fault is set aside and
-//! the entry is tried again until nothing new is found.
+//! The typed parse stops at its first error. An operator who gets one error per
+//! run and must correct line after line loses minutes in an incident at night.
+//! Each entry is therefore parsed separately; a field with an error is replaced
+//! or removed, and the entry is parsed again until no new error is found.
 
 use serde::de::DeserializeOwned;
 
 use super::{Field, Node, ParseError, Value};
 use crate::{Problem, file};
 
-/// Sections of a file, in the order in which they are documented.
+/// Sections of a file, in the order of the documentation.
 pub const SECTIONS: [&str; 9] = [
     "operators",
     "organisations",
@@ -23,7 +23,7 @@
     "limits",
 ];
 
-/// Returns every error of `name`, whose tree is `root`.
+/// Returns every error of the file `name`, whose tree is `root`.
 #[must_use]
 pub fn diagnose(name: &str, root: &Node) -> Vec<Problem> {
     let mut problems = Vec::new();
@@ -39,15 +39,15 @@
 
 fn diagnose_section(name: &str, section: &Field, problems: &mut Vec<Problem>) {
     let parse: fn(&Node) -> Result<(), ParseError> = match section.name.as_str() {
-        "operators" => parses::<file::Operator>,
-        "organisations" => parses::<file::Organisation>,
-        "models" => parses::<file::Model>,
-        "versions" => parses::<file::Version>,
-        "targets" => parses::<file::Target>,
-        "rollouts" => parses::<file::Rollout>,
-        "services" => parses::<file::Service>,
-        "backends" => parses::<file::Backend>,
-        "limits" => parses::<f64>,
+        "operators" => try_parse::<file::Operator>,
+        "organisations" => try_parse::<file::Organisation>,
+        "models" => try_parse::<file::Model>,
+        "versions" => try_parse::<file::Version>,
+        "targets" => try_parse::<file::Target>,
+        "rollouts" => try_parse::<file::Rollout>,
+        "services" => try_parse::<file::Service>,
+        "backends" => try_parse::<file::Backend>,
+        "limits" => try_parse::<f64>,
         unknown => {
             let known = SECTIONS.join(", ");
             let message = format!("no section is named {unknown}; the sections are {known}");
@@ -61,60 +61,65 @@
     }
     for entry in section.node.fields() {
         let path = format!("{}/{}", section.name, entry.name);
-        for failure in failures(entry.node.clone(), parse) {
-            let line = if failure.line == 0 {
+        for error in collect_errors(entry.node.clone(), parse) {
+            let line = if error.line == 0 {
                 entry.line
             } else {
-                failure.line
+                error.line
             };
             let path = std::iter::once(path.as_str())
-                .chain(failure.field.iter().map(String::as_str))
+                .chain(error.field.iter().map(String::as_str))
                 .collect::<Vec<_>>()
                 .join("/");
             problems.push(Problem::new(
                 name,
                 line,
-                format!("{path}: {}", readable(&failure.message)),
+                format!("{path}: {}", replace_type_names(&error.message)),
             ));
         }
     }
 }
 
-fn parses<T: DeserializeOwned>(node: &Node) -> Result<(), ParseError> {
+/// Parses a node as `T` and drops the value.
+fn try_parse<T: DeserializeOwned>(node: &Node) -> Result<(), ParseError> {
     T::deserialize(node).map(|_| ())
 }
 
-/// Parses an entry until no further field is at fault.
+/// Parses an entry repeatedly and returns the errors of all its fields.
 ///
-/// A field at fault is given a value that parses, so that the parse goes on to
-/// the next one; a field that no value helps is left out.
-fn failures(mut node: Node, parse: fn(&Node) -> Result<(), ParseError>) -> Vec<ParseError> {
+/// A field with an error gets a value that parses, so that the next run reaches
+/// the next field. A field for which no value parses is removed.
+fn collect_errors(mut node: Node, parse: fn(&Node) -> Result<(), ParseError>) -> Vec<ParseError> {
     let mut found = Vec::new();
-    let mut left_out: Vec<String> = Vec::new();
-    while let Err(failure) = parse(&node) {
-        let missing = left_out
+    let mut removed: Vec<String> = Vec::new();
+    while let Err(error) = parse(&node) {
+        let is_missing = removed
             .iter()
-            .any(|name| failure.message == format!("missing field `{name}`"));
-        if missing {
+            .any(|name| error.message == format!("missing field `{name}`"));
+        if is_missing {
             return found;
         }
-        let name = failure.field.first().cloned();
-        found.push(failure);
+        let name = error.field.first().cloned();
+        found.push(error);
         let Some(name) = name else {
             return found;
         };
-        if !fill_in(&mut node, &name, parse) {
+        if !substitute_valid_value(&mut node, &name, parse) {
             if let Value::Mapping(fields) = &mut node.value {
                 fields.retain(|field| field.name != name);
             }
-            left_out.push(name);
+            removed.push(name);
         }
     }
     found
 }
 
-/// Gives a field a value that parses; returns whether there is one.
-fn fill_in(node: &mut Node, name: &str, parse: fn(&Node) -> Result<(), ParseError>) -> bool {
+/// Gives a field a value that parses and returns whether one was found.
+fn substitute_valid_value(
+    node: &mut Node,
+    name: &str,
+    parse: fn(&Node) -> Result<(), ParseError>,
+) -> bool {
     let values = [
         Value::Unsigned(1),
         Value::Text(String::new()),
@@ -130,20 +135,21 @@
             return false;
         };
         field.node.value = value;
-        let helped = match parse(node) {
+        let is_valid = match parse(node) {
             Ok(()) => true,
-            Err(failure) => failure.field.first().map(String::as_str) != Some(name),
+            Err(error) => error.field.first().map(String::as_str) != Some(name),
         };
-        if helped {
+        if is_valid {
             return true;
         }
     }
     false
 }
 
-/// Replaces names of Rust types, which say nothing to an operator.
-fn readable(message: &str) -> String {
-    const NAMES: [(&str, &str); 7] = [
+/// Replaces names of Rust types, which mean nothing to an operator, by plain
+/// descriptions.
+fn replace_type_names(message: &str) -> String {
+    const TYPE_NAMES: [(&str, &str); 7] = [
         ("expected u8", "expected a whole number, 0 to 255"),
         ("expected u32", "expected a whole number of 0 or more"),
         ("expected u64", "expected a whole number of 0 or more"),
@@ -153,7 +159,7 @@
         ("expected a sequence", "expected a list such as [a, b]"),
     ];
     let mut message = message.to_owned();
-    for (old, new) in NAMES {
+    for (old, new) in TYPE_NAMES {
         if message.ends_with(old) {
             message = message.replace(old, new);
         }
--- a/crates/config/src/tree/mod.rs
+++ b/crates/config/src/tree/mod.rs
@@ -1,10 +1,10 @@
 //! A file as a tree of nodes with their positions.
 //!
-//! The typed parse ([`crate::File`]) ends at the first error and forgets where
-//! a value stood. The tree keeps the line and the bytes of every value: it
-//! gives each problem its line, lets all errors of a file be told at once
-//! ([`diagnose`]) and lets one field be changed in the text without touching
-//! the comments around it ([`crate::edit`]).
+//! The typed parse ([`crate::File`]) stops at the first error and drops the
+//! position of each value. The tree keeps the line and the byte range of every
+//! value. This gives each problem its line, reports all errors of a file in one
+//! run ([`diagnose`]) and allows one field to be changed in the text without
+//! touching the comments around it ([`crate::edit`]).
 
 pub mod diagnose;
 mod parse;
@@ -19,13 +19,13 @@
 pub struct Node {
     /// Line of the value, from 1.
     pub line: usize,
-    /// Bytes of a scalar value in the text; empty where they are not known.
+    /// Byte range of a scalar value in the text; empty if unknown.
     pub bytes: Range<usize>,
     /// The value.
     pub value: Value,
 }
 
-/// A value.
+/// A value, in the data model of YAML.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// No value.
@@ -53,7 +53,7 @@
     pub name: String,
     /// Line of the name.
     pub line: usize,
-    /// Bytes of the name in the text.
+    /// Byte range of the name in the text.
     pub bytes: Range<usize>,
     /// Value.
     pub node: Node,
@@ -64,12 +64,12 @@
     ///
     /// # Errors
     ///
-    /// The line and the message of the first error of syntax.
+    /// The line and the message of the first syntax error.
     pub fn new(text: &str) -> Result<Self, ParseError> {
         parse::parse(text)
     }
 
-    /// Returns the fields of a mapping; none for any other value.
+    /// Returns the fields of a mapping; empty for any other value.
     #[must_use]
     pub fn fields(&self) -> &[Field] {
         match &self.value {
@@ -86,8 +86,8 @@
 
     /// Calls `visit` with the path and the line of every value below this one.
     ///
-    /// A path is the names from the top, joined by `/`; items of a sequence
-    /// are named by their position, from 0.
+    /// A path consists of the names from the root, joined by `/`; items of a
+    /// sequence are named by their index, from 0.
     pub fn walk(&self, path: &str, visit: &mut impl FnMut(&str, usize)) {
         let join = |name: &str| {
             if path.is_empty() {
--- a/crates/config/src/tree/parse.rs
+++ b/crates/config/src/tree/parse.rs
@@ -1,4 +1,4 @@
-//! From text to nodes.
+//! Parses text into nodes.
 
 use std::fmt;
 use std::ops::Range;
@@ -12,16 +12,16 @@
 ///
 /// # Errors
 ///
-/// The first error of syntax.
+/// The first syntax error.
 pub fn parse(text: &str) -> Result<Node, ParseError> {
     let spanned: Spanned<Value> =
         serde_saphyr::from_str(text).map_err(|error| ParseError::from(&error))?;
-    Ok(node(spanned))
+    Ok(to_node(spanned))
 }
 
 impl From<&serde_saphyr::Error> for ParseError {
-    /// Takes the position out of an error of the parser, so that it is shown
-    /// as `file:line` like every other problem.
+    /// Moves the position of a parser error from its text into `line`, so that
+    /// it is printed as `file:line` like every other problem.
     fn from(error: &serde_saphyr::Error) -> Self {
         let line = error
             .location()
@@ -35,7 +35,7 @@
     }
 }
 
-/// Drops a leading `error: ` and `line L column C: `.
+/// Removes a leading `error: ` and `line L column C: `.
 fn without_position(text: &str) -> &str {
     let text = text.lines().next().unwrap_or(text);
     let text = text.strip_prefix("error: ").unwrap_or(text);
@@ -45,11 +45,11 @@
     text.split_once(": ").map_or(text, |(_, message)| message)
 }
 
-fn line(location: serde_saphyr::Location) -> usize {
+fn line_number(location: serde_saphyr::Location) -> usize {
     usize::try_from(location.line()).unwrap_or(0)
 }
 
-fn bytes(location: serde_saphyr::Location) -> Range<usize> {
+fn byte_range(location: serde_saphyr::Location) -> Range<usize> {
     let span = location.span();
     let start = span.byte_offset().and_then(|at| usize::try_from(at).ok());
     let length = span
@@ -61,23 +61,23 @@
     }
 }
 
-fn node(spanned: Spanned<Value>) -> Node {
+fn to_node(spanned: Spanned<Value>) -> Node {
     Node {
-        line: line(spanned.referenced),
-        bytes: bytes(spanned.referenced),
+        line: line_number(spanned.referenced),
+        bytes: byte_range(spanned.referenced),
         value: spanned.value,
     }
 }
 
 impl<'de> Deserialize<'de> for Value {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(Any)
+        deserializer.deserialize_any(ValueVisitor)
     }
 }
 
-struct Any;
+struct ValueVisitor;
 
-impl<'de> Visitor<'de> for Any {
+impl<'de> Visitor<'de> for ValueVisitor {
     type Value = Value;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -119,7 +119,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
         while let Some(item) = access.next_element::<Spanned<Value>>()? {
-            items.push(node(item));
+            items.push(to_node(item));
         }
         Ok(Value::Sequence(items))
     }
@@ -129,10 +129,10 @@
         while let Some(name) = access.next_key::<Spanned<String>>()? {
             let value = access.next_value::<Spanned<Value>>()?;
             fields.push(Field {
-                line: line(name.referenced),
-                bytes: bytes(name.referenced),
+                line: line_number(name.referenced),
+                bytes: byte_range(name.referenced),
                 name: name.value,
-                node: node(value),
+                node: to_node(value),
             });
         }
         Ok(Value::Mapping(fields))
--- a/crates/config/src/tree/typed.rs
+++ b/crates/config/src/tree/typed.rs
@@ -1,4 +1,4 @@
-//! From a node to a type, with the line of the first mismatch.
+//! Deserialises a node into a type, with the line of the first mismatch.
 
 use std::fmt;
 
@@ -10,19 +10,20 @@
 
 use super::{Field, Node, Value};
 
-/// Why a text or a node is not what it should be.
+/// An error in a text or in the type of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
-    /// Line, from 1; 0 until it is known.
+    /// Line, from 1; 0 while unknown.
     pub line: usize,
-    /// Names from the value that was asked for to the value at fault.
+    /// Names on the path from the deserialised value to the invalid one.
     pub field: Vec<String>,
     /// What is wrong and what is accepted.
     pub message: String,
 }
 
 impl ParseError {
-    fn at(mut self, line: usize, name: &str) -> Self {
+    /// Prepends `name` to the path and sets the line if it is unknown.
+    fn with_parent(mut self, line: usize, name: &str) -> Self {
         if self.line == 0 {
             self.line = line;
         }
@@ -60,15 +61,15 @@
             Value::Signed(value) => visitor.visit_i64(*value),
             Value::Float(value) => visitor.visit_f64(*value),
             Value::Text(value) => visitor.visit_borrowed_str(value),
-            Value::Sequence(items) => visitor.visit_seq(Items(items.iter().enumerate())),
-            Value::Mapping(fields) => visitor.visit_map(Fields {
+            Value::Sequence(items) => visitor.visit_seq(SequenceItems(items.iter().enumerate())),
+            Value::Mapping(fields) => visitor.visit_map(MappingFields {
                 fields: fields.iter(),
                 current: None,
             }),
         }
     }
 
-    // A name such as `007` is a number to YAML and text to its reader.
+    // YAML reads a name such as `007` as a number, but the field expects text.
     fn deserialize_string<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match &self.value {
             Value::Bool(value) => visitor.visit_string(value.to_string()),
@@ -97,7 +98,7 @@
         visitor: V,
     ) -> Result<V::Value, ParseError> {
         match &self.value {
-            Value::Text(name) => visitor.visit_enum(Unit(name)),
+            Value::Text(name) => visitor.visit_enum(UnitVariant(name)),
             _ => Err(de::Error::custom(format_args!(
                 "expected one of {}",
                 variants.join(", ")
@@ -112,9 +113,9 @@
     }
 }
 
-struct Items<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
+struct SequenceItems<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
 
-impl<'de> SeqAccess<'de> for Items<'de> {
+impl<'de> SeqAccess<'de> for SequenceItems<'de> {
     type Error = ParseError;
 
     fn next_element_seed<T: DeserializeSeed<'de>>(
@@ -126,16 +127,16 @@
         };
         seed.deserialize(node)
             .map(Some)
-            .map_err(|failure| failure.at(node.line, &index.to_string()))
+            .map_err(|error| error.with_parent(node.line, &index.to_string()))
     }
 }
 
-struct Fields<'a> {
+struct MappingFields<'a> {
     fields: std::slice::Iter<'a, Field>,
     current: Option<&'a Field>,
 }
 
-impl<'de> MapAccess<'de> for Fields<'de> {
+impl<'de> MapAccess<'de> for MappingFields<'de> {
     type Error = ParseError;
 
     fn next_key_seed<K: DeserializeSeed<'de>>(
@@ -149,22 +150,22 @@
         let name: StrDeserializer<'_, ParseError> = field.name.as_str().into_deserializer();
         seed.deserialize(name)
             .map(Some)
-            .map_err(|failure| failure.at(field.line, &field.name))
+            .map_err(|error| error.with_parent(field.line, &field.name))
     }
 
     fn next_value_seed<V: DeserializeSeed<'de>>(
         &mut self,
         seed: V,
     ) -> Result<V::Value, ParseError> {
-        let field = self.current.expect("serde asks for a key first");
+        let field = self.current.expect("serde requests the key first");
         seed.deserialize(&field.node)
-            .map_err(|failure| failure.at(field.line, &field.name))
+            .map_err(|error| error.with_parent(field.line, &field.name))
     }
 }
 
-struct Unit<'a>(&'a str);
+struct UnitVariant<'a>(&'a str);
 
-impl<'de> EnumAccess<'de> for Unit<'de> {
+impl<'de> EnumAccess<'de> for UnitVariant<'de> {
     type Error = ParseError;
     type Variant = Self;
 
@@ -177,7 +178,7 @@
     }
 }
 
-impl<'de> VariantAccess<'de> for Unit<'de> {
+impl<'de> VariantAccess<'de> for UnitVariant<'de> {
     type Error = ParseError;
 
     fn unit_variant(self) -> Result<(), ParseError> {
--- a/crates/config/tests/all/edit.rs
+++ b/crates/config/tests/all/edit.rs
@@ -1,4 +1,4 @@
-//! Edits leave everything but the entry as it was.
+//! Edits change the requested entry and nothing else.
 
 use fescuerack_config::edit::{Refusal, put_entry, set_field};
 use proptest::prelude::*;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn put_entry_adds_behind_its_kin_and_removes() {
+fn put_entry_adds_after_the_last_entry_and_removes() {
     let entry = json!({"note": "a: b"});
     let added = put_entry(TEXT, "models", "new", entry.as_object()).expect("an edit");
     assert_eq!(added, format!("{TEXT}  new:\n    note: \"a: b\"\n"));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn put_entry_writes_a_section_of_one_line_anew() {
+fn put_entry_rewrites_a_section_of_one_line() {
     let entry = json!({"note": "plain"});
     let changed = put_entry("models: {a: {}}\n", "models", "b", entry.as_object());
     assert_eq!(
@@ -76,8 +76,8 @@
         ..Config::default()
     })]
 
-    // Whatever an operator names a thing, the file that comes out reads back
-    // as what was asked for, or nothing is changed.
+    // Text that YAML could read as another type, or as syntax, must read back
+    // unchanged, or the edit must be refused.
     #[test]
     fn set_field_any_text_reads_back(text in "\\PC{0,12}") {
         let value = json!(text);
--- a/crates/config/tests/all/effect.rs
+++ b/crates/config/tests/all/effect.rs
@@ -1,4 +1,4 @@
-//! The effects of a change, in words.
+//! Effects of configuration changes, as listed for an operator.
 
 use fescuerack_config::effect::{Compiled, Kind, effects};
 use fescuerack_config::{Folder, Merged};
@@ -6,13 +6,13 @@
 
 use super::examples::example;
 
-fn words(before: &Folder, after: &Folder) -> Vec<(Kind, String)> {
+fn effects_between(before: &Folder, after: &Folder) -> Vec<(Kind, String)> {
     let merged = [before, after].map(|folder| Merged::new(folder).expect("no problems"));
     let sides = merged
         .each_ref()
         .map(|merged| Compiled::new(merged).expect("no problems"));
-    let found = effects(&sides[0], &sides[1]);
-    found
+    let listed = effects(&sides[0], &sides[1]);
+    listed
         .iter()
         .map(|effect| (effect.kind, effect.to_string()))
         .collect()
@@ -68,20 +68,20 @@
     Kind::Loses,
     "backends/kaisla-llm: kaisla-llm-1 finishes its work and takes no more"
 )]
-fn effects_tell_who_is_affected(
+fn effects_name_who_is_affected(
     #[case] file: &str,
     #[case] old: &str,
     #[case] new: &str,
     #[case] kind: Kind,
     #[case] expected: &str,
 ) {
-    let found = words(&example("hoivapolku"), &replaced(file, old, new));
-    let matching = found.iter().find(|(_, text)| text.starts_with(expected));
-    assert_eq!(matching.map(|(kind, _)| *kind), Some(kind), "{found:#?}");
+    let listed = effects_between(&example("hoivapolku"), &replaced(file, old, new));
+    let matching = listed.iter().find(|(_, text)| text.starts_with(expected));
+    assert_eq!(matching.map(|(kind, _)| *kind), Some(kind), "{listed:#?}");
 }
 
 #[test]
-fn effects_of_a_comment_are_none() {
+fn effects_comment_has_none() {
     let after = replaced("30-targets.yaml", "targets:", "# Reviewed.\ntargets:");
-    assert_eq!(words(&example("hoivapolku"), &after), []);
+    assert_eq!(effects_between(&example("hoivapolku"), &after), []);
 }
--- a/crates/config/tests/all/examples.rs
+++ b/crates/config/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The examples follow the deployments of the brief.
+//! The example configurations are valid and match the deployments they describe.
 
 use std::path::PathBuf;
 
@@ -24,12 +24,12 @@
     }
 }
 
-// The demo and the pages hand out tokens and keys by these names; a digest
-// that no longer matches would lock a reader of README out.
+// The demo and the documentation use these tokens and keys. A digest that no
+// longer matches would lock out a reader who follows README.
 #[rstest]
 #[case::hoivapolku("hoivapolku")]
 #[case::opozivnik("opozivnik")]
-fn example_digests_belong_to_the_documented_texts(#[case] name: &str) {
+fn example_digests_match_the_documented_keys(#[case] name: &str) {
     let merged = Merged::new(&example(name)).expect("no problems");
     for (name, organisation) in &merged.file.organisations {
         let key = folder::digest(format!("demo-{name}").as_bytes());
--- a/crates/config/tests/all/main.rs
+++ b/crates/config/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration: parse, merge, checks, edits and permissions.
+//! Tests of the configuration: parsing, merge, checks, edits and permissions.
 
 mod change;
 mod edit;
--- a/crates/config/tests/all/permission.rs
+++ b/crates/config/tests/all/permission.rs
@@ -1,4 +1,4 @@
-//! An operator changes what it owns, and nothing else.
+//! An operator may change only what lies within its scope.
 
 use fescuerack_config::permission::{Scope, Snapshot, check};
 use fescuerack_config::{Folder, Merged, Operator};
@@ -23,7 +23,7 @@
 #[case::file_of_others("b.yaml", "operators:\n  o: {}\n#\n", &["b.yaml:0: operator team may not change this file"])]
 #[case::new_file("c.yaml", "", &["c.yaml:0: operator team may not change this file"])]
 #[case::grant("a.yaml", "organisations: {one: {}, two: {}}\noperators:\n  evil: {admin: true}\n", &["a.yaml:3: operators/evil: only an operator with `admin: true`"])]
-fn check_names_what_lies_outside(
+fn check_names_what_is_outside_the_scope(
     #[case] file: &str,
     #[case] text: &str,
     #[case] expected: &[&str],
@@ -37,11 +37,11 @@
     let before = folder(&BEFORE);
     let after = before.clone().with_file(file, text.to_owned());
     let merged = [&before, &after].map(|folder| Merged::new(folder).expect("no problems"));
-    let side = |folder, merged| Snapshot { folder, merged };
+    let snapshot = |folder, merged| Snapshot { folder, merged };
     let result = check(
         &operator,
-        side(&before, &merged[0]),
-        side(&after, &merged[1]),
+        snapshot(&before, &merged[0]),
+        snapshot(&after, &merged[1]),
     );
     let found = result.err().unwrap_or_default();
     assert_eq!(found.len(), expected.len(), "{found:?}");
--- a/crates/config/tests/all/problems.rs
+++ b/crates/config/tests/all/problems.rs
@@ -1,4 +1,4 @@
-//! Every problem comes with its file and line, and all at once.
+//! Problems are reported with file and line, all of them in one run.
 
 use fescuerack_config::{Catalog, Folder, Merged, Names};
 use rstest::rstest;
@@ -7,10 +7,10 @@
     let folder = files.iter().fold(Folder::new(), |folder, (name, text)| {
         folder.with_file(name, (*text).to_owned())
     });
-    let found = Merged::new(&folder)
+    let reported = Merged::new(&folder)
         .and_then(|merged| Catalog::new(1, &merged, &mut Names::new()).map(|_| ()));
-    let found = found.expect_err("the folder holds problems");
-    found.iter().map(ToString::to_string).collect()
+    let reported = reported.expect_err("the folder holds problems");
+    reported.iter().map(ToString::to_string).collect()
 }
 
 const BASE: &str = "\
@@ -125,11 +125,11 @@
     "models:\n  m: {}\n",
     "b.yaml:2: models/m already stands in a.yaml; an entry may stand in one file only"
 )]
-fn problem_names_line_and_what_is_accepted(#[case] text: &str, #[case] expected: &str) {
-    let found = problems(&[("a.yaml", BASE), ("b.yaml", text)]);
+fn compile_problem_names_line_and_accepted_values(#[case] text: &str, #[case] expected: &str) {
+    let reported = problems(&[("a.yaml", BASE), ("b.yaml", text)]);
     assert!(
-        found.iter().any(|problem| problem.starts_with(expected)),
-        "{found:#?}"
+        reported.iter().any(|problem| problem.starts_with(expected)),
+        "{reported:#?}"
     );
 }
 
@@ -156,27 +156,27 @@
 )]
 #[case::syntax("organisations:\n  a: [\n", "b.yaml:")]
 #[case::twice("organisations:\n  a: {}\n  a: {}\n", "b.yaml:3: ")]
-fn parse_names_line_and_what_is_accepted(#[case] text: &str, #[case] expected: &str) {
-    let found = problems(&[("b.yaml", text)]);
-    assert!(found[0].starts_with(expected), "{found:#?}");
-    assert!(!found[0].starts_with("b.yaml:0"), "{found:#?}");
+fn parse_problem_names_line_and_accepted_values(#[case] text: &str, #[case] expected: &str) {
+    let reported = problems(&[("b.yaml", text)]);
+    assert!(reported[0].starts_with(expected), "{reported:#?}");
+    assert!(!reported[0].starts_with("b.yaml:0"), "{reported:#?}");
 }
 
-// A team lead corrects one line of a long file, applies it, is told of the next
-// error, and so on while callers wait. Every error must show in one run.
+// Guards against reporting only the first error: a team lead would correct a
+// long file line by line, with one run for each error, while callers wait.
 #[test]
-fn problems_of_all_files_are_told_at_once() {
+fn merge_reports_the_problems_of_all_files() {
     let first = "organisations:\n  a:\n    weight: -1\n    kees: []\n  b:\n    weight: x\n";
     let second = "targets:\n  t: {quality: high}\n";
-    let found = problems(&[("1.yaml", first), ("2.yaml", second)]);
-    let positions: Vec<_> = found
+    let reported = problems(&[("1.yaml", first), ("2.yaml", second)]);
+    let positions: Vec<_> = reported
         .iter()
         .map(|problem| problem.split(": ").next().expect("a position"))
         .collect();
     assert_eq!(
         positions,
         ["1.yaml:3", "1.yaml:4", "1.yaml:6", "2.yaml:2", "2.yaml:2"],
-        "{found:#?}"
+        "{reported:#?}"
     );
 }
 
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn merge_joins_sections_of_several_files() {
+fn merge_combines_sections_of_several_files() {
     let folder = Folder::new()
         .with_file("9-b.yaml", "models:\n  b: {}\n")
         .with_file("10-a.yaml", "models:\n  a: {}\n");
--- a/crates/config/tests/all/random.rs
+++ b/crates/config/tests/all/random.rs
@@ -1,10 +1,9 @@
-//! Random changes by name, one after another.
+//! Random sequences of operators' actions.
 //!
-//! Whatever operators ask for, in whatever order: an action either makes no
-//! sense and changes nothing, or the files that come out parse, every file but
-//! those that own what was changed stays as it was to the byte, and no comment
-//! outside a changed entry is lost. `FESCUERACK_STEPS` and `FESCUERACK_SEED`
-//! make the run longer or another one.
+//! An action is either refused and changes nothing, or the resulting files
+//! parse, every file that does not own the changed entry stays identical byte
+//! for byte, and no comment outside a changed entry is lost. `FESCUERACK_STEPS`
+//! sets the number of actions and `FESCUERACK_SEED` the seed.
 
 use fescuerack_config::change::{Action, Fields, apply};
 use fescuerack_config::{Catalog, Folder, Merged, Names};
@@ -15,8 +14,7 @@
 
 const STEPS: u32 = 400;
 const SEED: u64 = 11;
-/// Actions in one sequence.
-const LENGTH: usize = 12;
+const ACTIONS_PER_SEQUENCE: usize = 12;
 
 fn from_environment<T: std::str::FromStr>(name: &str, default: T) -> T {
     let value = std::env::var(name).ok();
@@ -105,7 +103,7 @@
     ]
 }
 
-/// Returns the files that an action may touch.
+/// Returns the files that an action may change.
 fn owners(action: &Action) -> &'static [&'static str] {
     match action {
         Action::ServerAdd { .. } | Action::ServerRetire { .. } => &["20-backends.yaml"],
@@ -117,12 +115,14 @@
     }
 }
 
-fn comments(folder: &Folder, name: &str) -> usize {
+/// Returns the number of comments of a file that are outside all entries.
+fn count_comments(folder: &Folder, name: &str) -> usize {
     let text = String::from_utf8_lossy(&folder.files[name]).into_owned();
-    // Comments at the margin stand outside all entries.
+    // Comments without indentation are outside all entries.
     text.lines().filter(|line| line.starts_with('#')).count()
 }
 
+/// Applies an action, checks the result and returns the folder that is then active.
 fn check(before: &Folder, action: &Action) -> Result<Folder, TestCaseError> {
     let Ok(after) = apply(before, action) else {
         return Ok(before.clone());
@@ -135,23 +135,24 @@
             same || owners(action).contains(&name.as_str()),
             "{action:?}: {name}"
         );
-        prop_assert_eq!(comments(before, name), comments(&after, name));
+        prop_assert_eq!(count_comments(before, name), count_comments(&after, name));
     }
-    // What the checks refuse would not be accepted: the files stay.
+    // A folder that the checks refuse is not activated: the files stay as they
+    // were.
     let merged = merged.unwrap_or_default();
     let accepted = Catalog::new(1, &merged, &mut Names::new()).is_ok();
     Ok(if accepted { after } else { before.clone() })
 }
 
 #[test]
-fn apply_random_actions_keep_every_other_file() {
+fn apply_random_actions_keep_other_files() {
     let config = Config {
         cases: from_environment("FESCUERACK_STEPS", STEPS) / 12,
         rng_seed: RngSeed::Fixed(from_environment("FESCUERACK_SEED", SEED)),
         failure_persistence: None,
         ..Config::default()
     };
-    let actions = prop::collection::vec(action(), LENGTH);
+    let actions = prop::collection::vec(action(), ACTIONS_PER_SEQUENCE);
     let result = TestRunner::new(config).run(&actions, |actions| {
         let mut folder = example("hoivapolku");
         for action in &actions {
--- a/crates/config/tests/all/reference.rs
+++ b/crates/config/tests/all/reference.rs
@@ -1,5 +1,5 @@
-//! `docs/CONFIGURATION.md` lists exactly the fields that the types have, with
-//! their defaults.
+//! `docs/CONFIGURATION.md` lists exactly the fields of the types, with their
+//! defaults.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     .collect()
 }
 
-/// Returns the default of each field of a type; `required` are the fields
+/// Returns the default of each field of a type. `required` contains the fields
 /// without which an entry is refused.
 fn fields<T: Serialize + DeserializeOwned>(required: &Value) -> BTreeMap<String, String> {
     let required = required.as_object().expect("an object").clone();
