--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -13,7 +13,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Listen, Node, Settings};
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::list::Instance;
+use fescuerack_wire::discovery::Instance;
 use serde::Serialize;
 use tokio::runtime::Runtime;
 
--- a/crates/cli/tests/all/support.rs
+++ b/crates/cli/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Node, Settings};
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::list::Instance;
+use fescuerack_wire::discovery::Instance;
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
--- a/crates/client/src/admin/submit.rs
+++ b/crates/client/src/admin/submit.rs
@@ -53,7 +53,7 @@
             files: draft.files.clone(),
             author: author.to_owned(),
             reason: proposal.why.clone(),
-            at: manifest::seconds(),
+            at: manifest::unix_seconds(),
             request: request.clone(),
         };
         match manifest::apply(store, change_request) {
--- a/crates/client/src/directory.rs
+++ b/crates/client/src/discovery.rs
@@ -3,12 +3,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use fescuerack_wire::list::Instances;
+use fescuerack_wire::discovery::Instances;
 
 use crate::{Agent, Fault, agent};
 
 /// Lists instances; the list lags behind the truth.
-pub trait Directory: Send + Sync {
+pub trait Discovery: Send + Sync {
     /// Returns the list.
     ///
     /// # Errors
@@ -25,7 +25,7 @@
 /// 304 while nothing has changed. A platform that knows no tags sends the whole
 /// list, which is right and dear.
 #[derive(Clone, Debug)]
-pub struct HttpDirectory {
+pub struct HttpDiscovery {
     agent: Agent,
     url: String,
     held: Arc<Mutex<Option<Held>>>,
@@ -41,7 +41,7 @@
 /// Status of an answer that repeats the list at hand.
 const NOT_MODIFIED: u16 = 304;
 
-impl HttpDirectory {
+impl HttpDiscovery {
     const TIMEOUT: Duration = Duration::from_secs(2);
 
     /// Creates a client of the platform at `address`, as `host:port`.
@@ -60,7 +60,7 @@
     }
 }
 
-impl Directory for HttpDirectory {
+impl Discovery for HttpDiscovery {
     fn list(&self) -> Result<Instances, Fault> {
         let held = self.held();
         let mut request = self.agent.get(&self.url);
--- a/crates/client/src/drive.rs
+++ b/crates/client/src/drive.rs
@@ -17,12 +17,12 @@
 
 /// The process's own clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Wall {
+pub struct WallClock {
     started: std::time::Instant,
     origin: Instant,
 }
 
-impl Wall {
+impl WallClock {
     /// Starts the clock.
     #[must_use]
     pub fn new() -> Self {
@@ -34,13 +34,13 @@
     }
 }
 
-impl Default for Wall {
+impl Default for WallClock {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Timer for Wall {
+impl Timer for WallClock {
     fn now(&self) -> Instant {
         self.origin + self.started.elapsed()
     }
--- a/crates/client/src/engine.rs
+++ b/crates/client/src/engine.rs
@@ -64,10 +64,10 @@
 pub enum Failure {
     /// What came belongs to another attempt.
     #[error("crossed: the answer belongs to another attempt")]
-    Crossed,
+    Mismatched,
     /// The connection ended before the answer did.
     #[error("cut: {0}")]
-    Cut(String),
+    Truncated(String),
     /// Any other failure.
     #[error(transparent)]
     Fault(#[from] Fault),
@@ -76,8 +76,8 @@
 impl From<Failure> for Fault {
     fn from(failure: Failure) -> Self {
         match failure {
-            Failure::Crossed => Self::Malformed(failure.to_string()),
-            Failure::Cut(_) => Self::Unknown(failure.to_string()),
+            Failure::Mismatched => Self::Malformed(failure.to_string()),
+            Failure::Truncated(_) => Self::Unknown(failure.to_string()),
             Failure::Fault(fault) => fault,
         }
     }
@@ -182,7 +182,7 @@
     let status = response.status().as_u16();
     let echoed = response.headers().get(header::ATTEMPT);
     if echoed.is_none_or(|echoed| echoed.as_bytes() != attempt.id.as_bytes()) {
-        return Err(Failure::Crossed);
+        return Err(Failure::Mismatched);
     }
     let mut body = response.into_body();
     if status != 200 {
@@ -245,14 +245,14 @@
         let read = (&mut self.reader)
             .take(LONGEST_LINE)
             .read_line(&mut self.line)
-            .map_err(|error| Failure::Cut(error.to_string()))?;
+            .map_err(|error| Failure::Truncated(error.to_string()))?;
         if self.line.ends_with('\n') {
             return Ok(());
         }
         if u64::try_from(read) == Ok(LONGEST_LINE) {
             return Err(Fault::Malformed("a line without end".to_owned()).into());
         }
-        Err(Failure::Cut(
+        Err(Failure::Truncated(
             "the stream ended before its answer".to_owned(),
         ))
     }
@@ -266,7 +266,7 @@
         if position == Some(self.position) {
             Ok(())
         } else {
-            Err(Failure::Crossed)
+            Err(Failure::Mismatched)
         }
     }
 }
--- a/crates/client/src/limit.rs
+++ b/crates/client/src/limit.rs
@@ -21,7 +21,7 @@
 
 /// Calls that were made, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads, watches and leases.
     pub reads: u64,
     /// Writes, the ledger's included.
@@ -63,7 +63,7 @@
     }
 
     /// Keeps to the share of one of `nodes` instances.
-    pub fn share(&self, nodes: u32) {
+    pub fn set_node_count(&self, nodes: u32) {
         let now = self.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         budget
@@ -129,8 +129,8 @@
     }
 
     /// Returns the calls that were made.
-    pub fn calls(&self) -> Calls {
-        Calls {
+    pub fn call_counts(&self) -> CallCounts {
+        CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
             writes: self.writes.load(Ordering::Relaxed),
             held_back: self.held_back.load(Ordering::Relaxed),
--- a/crates/client/src/manifest.rs
+++ b/crates/client/src/manifest.rs
@@ -22,7 +22,7 @@
 
 pub use fescuerack_core::activation::{Applied, Change, ChangeRequest, File, KEY, Manifest};
 
-use crate::drive::{self, Timer as _, Wall};
+use crate::drive::{self, Timer as _, WallClock};
 use crate::{Store, Value};
 
 /// Time within which a change is put in force or given up.
@@ -163,7 +163,7 @@
         ChangeRequest {
             base,
             files: put.chain(removed).collect(),
-            at: seconds(),
+            at: unix_seconds(),
             ..ChangeRequest::default()
         }
     }
@@ -171,14 +171,14 @@
 
 /// Returns wall-clock time in seconds since 1970.
 #[must_use]
-pub fn seconds() -> u64 {
-    Wall::new().now().0 / 1_000_000
+pub fn unix_seconds() -> u64 {
+    WallClock::new().now().0 / 1_000_000
 }
 
 /// Puts a wish in force. The same request may be sent again after
 /// [`Applied::Unknown`].
 pub fn apply(store: &dyn Store, change_request: ChangeRequest) -> Applied {
-    let timer = Wall::new();
+    let timer = WallClock::new();
     let seed = timer.now().0;
     let mut machine = Apply::new(change_request, timer.now() + DEADLINE, seed);
     drive::run(store, &timer, &mut machine)
@@ -222,7 +222,7 @@
     let plan = Plan::new(&seen, files, true);
     let change_request = ChangeRequest {
         author: author.to_owned(),
-        request: format!("publish-{author}-{}", Wall::new().now().0),
+        request: format!("publish-{author}-{}", WallClock::new().now().0),
         ..plan.change_request(seen, files)
     };
     match apply(store, change_request) {
--- a/crates/client/src/order.rs
+++ b/crates/client/src/order.rs
@@ -8,14 +8,14 @@
 use crate::{Agent, Fault};
 
 /// Status of an order whose fencing number is too low.
-pub const FENCED: u16 = 409;
+pub const FENCED_STATUS: u16 = 409;
 
 /// Asks an engine what it has.
 ///
 /// # Errors
 ///
 /// When the engine gives no answer.
-pub fn loaded(agent: &Agent, address: &str, timeout: Duration) -> Result<Loaded, Fault> {
+pub fn fetch_loaded(agent: &Agent, address: &str, timeout: Duration) -> Result<Loaded, Fault> {
     let response = agent
         .get(format!("http://{address}/v1/loaded"))
         .config()
@@ -33,10 +33,10 @@
 ///
 /// # Errors
 ///
-/// [`Fault::Refused`] with [`FENCED`] when the engine has seen a higher fencing
+/// [`Fault::Refused`] with [`FENCED_STATUS`] when the engine has seen a higher fencing
 /// number, with another status when it takes no order now;
 /// [`Fault::Unknown`] when the order may have taken effect.
-pub fn give(agent: &Agent, address: &str, order: &Order, timeout: Duration) -> Result<(), Fault> {
+pub fn send(agent: &Agent, address: &str, order: &Order, timeout: Duration) -> Result<(), Fault> {
     let response = agent
         .post(format!("http://{address}/v1/orders"))
         .config()
--- a/crates/client/src/rating.rs
+++ b/crates/client/src/rating.rs
@@ -8,7 +8,7 @@
 use crate::{Agent, Fault, agent};
 
 /// Rates answers.
-pub trait Rating: Send + Sync {
+pub trait Rater: Send + Sync {
     /// Returns the rating of an answer.
     ///
     /// # Errors
@@ -19,12 +19,12 @@
 
 /// The rating service over HTTP.
 #[derive(Clone, Debug)]
-pub struct HttpRating {
+pub struct HttpRater {
     agent: Agent,
     url: String,
 }
 
-impl HttpRating {
+impl HttpRater {
     const TIMEOUT: Duration = Duration::from_secs(2);
 
     /// Creates a client of the service at `address`, as `host:port`.
@@ -37,7 +37,7 @@
     }
 }
 
-impl Rating for HttpRating {
+impl Rater for HttpRater {
     fn rate(&self, request: &rating::Request) -> Result<rating::Rating, Fault> {
         let response = self
             .agent
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -9,7 +9,7 @@
 
 use crate::http::Response;
 use crate::limit::Limit;
-use crate::{Agent, Calls, Fault, agent};
+use crate::{Agent, CallCounts, Fault, agent};
 
 pub use fescuerack_core::store::Value;
 
@@ -91,7 +91,7 @@
     const IDLE: usize = 16;
 
     /// Creates a client of the platform at `address`, as `host:port`. Its rate
-    /// is unlimited until [`HttpStore::share`] says how many share it.
+    /// is unlimited until [`HttpStore::set_node_count`] says how many share it.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -112,14 +112,14 @@
     }
 
     /// Keeps to the share of one of `nodes` live instances.
-    pub fn share(&self, nodes: u32) {
-        self.limit.share(nodes);
+    pub fn set_node_count(&self, nodes: u32) {
+        self.limit.set_node_count(nodes);
     }
 
     /// Returns the calls that were made.
     #[must_use]
-    pub fn calls(&self) -> Calls {
-        self.limit.calls()
+    pub fn call_counts(&self) -> CallCounts {
+        self.limit.call_counts()
     }
 
     /// Makes a call within the rate and the time that the service needs.
--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -24,7 +24,7 @@
 use fescuerack_core::route::{Listed, Request, State, Table};
 use fescuerack_core::{claim, ledger, session};
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::list::{Instance, Instances};
+use fescuerack_wire::discovery::{Instance, Instances};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/node/benches/path/world.rs
+++ b/crates/node/benches/path/world.rs
@@ -7,7 +7,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::list::Instance;
+use fescuerack_wire::discovery::Instance;
 use tokio::runtime::Runtime;
 
 /// The platform and one engine, which serves the configuration's fleet alone,
--- a/crates/node/benches/store.rs
+++ b/crates/node/benches/store.rs
@@ -15,8 +15,8 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Limits, Node, Settings};
 use fescuerack_standin::{Engine, Fault, Pace, Platform, Service};
+use fescuerack_wire::discovery::Instance;
 use fescuerack_wire::header;
-use fescuerack_wire::list::Instance;
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
 
--- a/crates/node/src/activation.rs
+++ b/crates/node/src/activation.rs
@@ -203,7 +203,9 @@
 
 /// Sets this instance's share of the store's rate from the size of the fleet.
 fn update_store_share(shared: &Shared) {
-    shared.store.share(peer_fallback::fleet_size(shared));
+    shared
+        .store
+        .set_node_count(peer_fallback::fleet_size(shared));
 }
 
 fn record_store_state(shared: &Shared, is_out: bool) {
--- a/crates/node/src/callers/billing.rs
+++ b/crates/node/src/callers/billing.rs
@@ -84,7 +84,7 @@
     Entry {
         organisation: organisation.to_string(),
         label: call.request.clone(),
-        at: manifest::seconds(),
+        at: manifest::unix_seconds(),
         requests: 1,
         ..Entry::default()
     }
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -145,7 +145,7 @@
     };
     let secret = shared.settings.peer_key.as_bytes();
     let organisation = active.names.organisations.name(call.organisation);
-    token::open(secret, organisation, session, token).unwrap_or_default()
+    token::verify(secret, organisation, session, token).unwrap_or_default()
 }
 
 /// Returns the session headers after the placement of this request.
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -201,7 +201,7 @@
                     self.meter.record_part(self.shared.now());
                     let _ = self.sender.blocking_send(Ok(part));
                 }
-                Err(Failure::Cut(cause)) => {
+                Err(Failure::Truncated(cause)) => {
                     let position = stream.position();
                     fruitless = if position > resumed_at {
                         0
@@ -211,7 +211,7 @@
                     resumed_at = position;
                     match self.resume(position, fruitless) {
                         Some(resumed) => stream = resumed,
-                        None => return self.record_failure(Failure::Cut(cause)),
+                        None => return self.record_failure(Failure::Truncated(cause)),
                     }
                 }
                 Err(failure) => return self.record_failure(failure),
@@ -233,7 +233,7 @@
                 Some(stream)
             }
             Err(failure) => {
-                if failure == Failure::Crossed {
+                if failure == Failure::Mismatched {
                     self.shared.metrics.count("upstream.crossed");
                 }
                 None
@@ -245,7 +245,7 @@
         if self.sender.is_closed() {
             return suspects::record_abandoned(&self.shared, &self.suspect_attempt);
         }
-        if failure == Failure::Crossed {
+        if failure == Failure::Mismatched {
             self.shared.metrics.count("upstream.crossed");
         }
         let fault = failure.into();
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -41,7 +41,7 @@
         "member": member(shared),
         "claims": {"backlog": shared.claims.backlog()},
         "ledger": shared.ledger.state(),
-        "store": shared.store.calls(),
+        "store": shared.store.call_counts(),
         "orders": orders(shared),
         "versions": versions::state(shared),
         "counters": shared.metrics.counters(),
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fescuerack_client::order::FENCED;
+use fescuerack_client::order::FENCED_STATUS;
 use fescuerack_client::{Fault, Store as _, Swap};
 use fescuerack_config::file::Kind;
 use fescuerack_config::key;
@@ -216,7 +216,7 @@
     for target in next.take(MAX_POLLED_ENGINES) {
         orders.last_polled = Some(target.server);
         let Ok(loaded) =
-            fescuerack_client::order::loaded(&shared.upstream, &target.address, POLL_TIMEOUT)
+            fescuerack_client::order::fetch_loaded(&shared.upstream, &target.address, POLL_TIMEOUT)
         else {
             orders.loaded.remove(&target.server);
             shared.metrics.count("orders.look_failed");
@@ -244,7 +244,7 @@
         return;
     };
     let order = Order {
-        number: permit.fencing_token,
+        fencing_token: permit.fencing_token,
         action,
         version: active.names.versions.name(version).to_string(),
     };
@@ -254,7 +254,7 @@
     }
     let timeout = permit.deadline.since(now).min(ORDER_TIMEOUT);
     // Uses a new connection, because an idle one could delay the order.
-    match fescuerack_client::order::give(
+    match fescuerack_client::order::send(
         &shared.single_use_upstream,
         &target.address,
         &order,
@@ -269,7 +269,7 @@
                 Action::Unload => loaded.remove(&version),
             };
         }
-        Err(Fault::Refused { status, .. }) if status == FENCED => {
+        Err(Fault::Refused { status, .. }) if status == FENCED_STATUS => {
             // Another instance has a higher fencing token, so this instance no
             // longer holds the lease.
             shared.metrics.count("orders.fenced");
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -12,8 +12,8 @@
 
 use anyhow::{Context as _, Result};
 use fescuerack_core::member::{self, Exchange, Payload, Time};
-use fescuerack_wire::list::Instance;
-use fescuerack_wire::peer::{self, Digest, EXCHANGE, Sealed};
+use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::peer::{self, Digest, EXCHANGE_METHOD, Sealed};
 use jsonrpsee::core::client::ClientT as _;
 use jsonrpsee::http_client::HttpClientBuilder;
 use jsonrpsee::server::{ServerBuilder, ServerHandle};
@@ -52,7 +52,7 @@
     let address = server.local_addr()?;
     lock(&shared.member).set_address(address.to_string());
     let mut module = RpcModule::new(shared);
-    module.register_method(EXCHANGE, |params, shared, _| {
+    module.register_method(EXCHANGE_METHOD, |params, shared, _| {
         let sealed: Sealed = params.one()?;
         answer(shared, &sealed).map_err(|reason| {
             shared.metrics.count("peers.refused");
@@ -102,7 +102,7 @@
 pub fn publish(shared: &Shared) {
     // Empty slices are included. Without them a peer could not detect that this
     // process lacks state that the peer has.
-    let states = peer::fields(&shared_state(shared));
+    let states = peer::all_slices(&shared_state(shared));
     let digest = digest(shared);
     let mut member = lock(&shared.member);
     let members = member.view.size();
@@ -115,7 +115,7 @@
     for (slice, state) in states {
         has_changed |= member.replica.set(&slice, state, members);
     }
-    member.set_digests(peer::slices(&digest));
+    member.set_digests(peer::non_default_slices(&digest));
     drop(member);
     if has_changed {
         shared.wake.notify_one();
@@ -125,7 +125,7 @@
 /// Records the backend servers that leave as announced; returns whether one of
 /// them is new.
 fn update_announced_leaving(shared: &Shared, digest: &Digest) -> bool {
-    let leaving: BTreeSet<String> = digest.words.leaving.keys().cloned().collect();
+    let leaving: BTreeSet<String> = digest.leaving.leaving.keys().cloned().collect();
     let mut announced = lock(&shared.announced_leaving);
     let has_new = !leaving.is_subset(&announced);
     *announced = leaving;
@@ -133,8 +133,8 @@
 }
 
 /// Collects the state that is replicated on all instances.
-fn shared_state(shared: &Shared) -> peer::Shared {
-    peer::Shared {
+fn shared_state(shared: &Shared) -> peer::SharedState {
+    peer::SharedState {
         rollouts: lock(&shared.versions.rollouts).records(),
     }
 }
@@ -146,7 +146,7 @@
     Digest {
         rates: lock(&shared.rates).digest(&active.names, now),
         pools: lock(&shared.pools).digest(&active.names, now),
-        words: lock(&shared.routes).digest(now),
+        leaving: lock(&shared.routes).digest(now),
         rollouts: lock(&shared.versions.rollouts).digest(),
         quality: lock(&shared.versions.learner).digest(&active.names),
         suspects: lock(&shared.versions.suspects).digest(now),
@@ -158,14 +158,14 @@
     let now = shared.now();
     lock(&shared.rates).merge(&active.names, now, from, &digest.rates);
     lock(&shared.pools).merge(&active.names, now, from, &digest.pools);
-    lock(&shared.routes).merge(now, &digest.words);
+    lock(&shared.routes).merge(now, &digest.leaving);
     versions::merge_digest(shared, &active, digest);
 }
 
 /// Merges a peer's message into the local state.
 fn apply(shared: &Shared, input: Payload) {
     shared.configuration.record_peer_revision(input.revision);
-    let states: peer::Shared = peer::from_slices(input.states);
+    let states: peer::SharedState = peer::from_slices(input.states);
     versions::merge_rollout_records(shared, &states.rollouts);
     let digest: Digest = peer::from_slices(input.digests);
     merge(shared, &input.origin, &digest);
@@ -241,7 +241,7 @@
         .request_timeout(EXCHANGE_TIMEOUT)
         .build(format!("http://{address}"))?;
     let sealed: Sealed = client
-        .request(EXCHANGE, rpc_params![peer::seal(key, message)])
+        .request(EXCHANGE_METHOD, rpc_params![peer::seal(key, message)])
         .await?;
     Ok(peer::open(key, &sealed)?)
 }
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -5,13 +5,13 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use fescuerack_client::Directory as _;
+use fescuerack_client::Discovery as _;
 use fescuerack_config::{Catalog, key};
 use fescuerack_core::attempt::budget;
 use fescuerack_core::num;
 use fescuerack_core::route::subset::Position;
 use fescuerack_core::route::{self, Listed, State};
-use fescuerack_wire::list::{Instance, Instances};
+use fescuerack_wire::discovery::{Instance, Instances};
 
 use crate::admission;
 use crate::peers;
@@ -26,7 +26,7 @@
 /// Polls the list until `stop` is set.
 pub fn run(shared: &Arc<Shared>, stop: &Stop) {
     loop {
-        match shared.directory.list() {
+        match shared.discovery.list() {
             Ok(list) => apply(shared, list),
             // The last list stays in use, so that an outage of the list does not
             // empty the pools.
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-use fescuerack_wire::peer::LEAST_KEY;
+use fescuerack_wire::peer::MIN_KEY_BYTES;
 
 use super::{Limits, Settings};
 
@@ -112,7 +112,7 @@
 }
 
 fn peer_key(value: &str) -> Option<String> {
-    (value.len() < LEAST_KEY).then(|| format!("must hold at least {LEAST_KEY} characters"))
+    (value.len() < MIN_KEY_BYTES).then(|| format!("must hold at least {MIN_KEY_BYTES} characters"))
 }
 
 fn address(value: &str) -> Option<String> {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 
 use anyhow::Result;
-use fescuerack_client::drive::Wall;
-use fescuerack_client::{Agent, HttpDirectory, HttpStore, agent};
+use fescuerack_client::drive::WallClock;
+use fescuerack_client::{Agent, HttpDiscovery, HttpStore, agent};
 use fescuerack_config::{Catalog, Names, key};
 use fescuerack_core::admission::rate::RateLimits;
 use fescuerack_core::attempt::pools::Pools;
@@ -42,7 +42,7 @@
     /// Monotonic clock of the process.
     pub clock: Clock,
     /// Wall clock for times that other instances read. It never goes backwards.
-    pub wall: Wall,
+    pub wall: WallClock,
     /// Runs async work on behalf of threads.
     pub runtime: Handle,
     /// Counters.
@@ -52,7 +52,7 @@
     /// Client of the key-value store with the ledger's share of the rate.
     pub ledger_store: HttpStore,
     /// Client of the platform's instance list.
-    pub directory: HttpDirectory,
+    pub discovery: HttpDiscovery,
     /// Pooled connections to backend servers.
     pub upstream: Agent,
     /// Connections to backend servers for one non-idempotent call each.
@@ -121,12 +121,12 @@
             configuration: activation::State::default(),
             incarnation,
             clock: Clock::new(),
-            wall: Wall::new(),
+            wall: WallClock::new(),
             runtime,
             metrics: Metrics::new(&settings.statsd)?,
             ledger_store: store.for_ledger(),
             store,
-            directory: HttpDirectory::new(&settings.platform),
+            discovery: HttpDiscovery::new(&settings.platform),
             upstream: agent(Self::MAX_IDLE_CONNECTIONS),
             // The other side may close an idle connection while a request is
             // being written, and the outcome would be unknown. A call that must
--- a/crates/node/src/versions/ratings.rs
+++ b/crates/node/src/versions/ratings.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use fescuerack_client::{HttpRating, Rating as _};
+use fescuerack_client::{HttpRater, Rater as _};
 use fescuerack_config::key;
 use fescuerack_core::cascade::{Purpose, TokenBucket};
 use fescuerack_core::clock::Instant;
@@ -37,7 +37,7 @@
 
 /// Queue of answers to be rated, with the client and the rate limit.
 pub struct Queue {
-    service: HttpRating,
+    service: HttpRater,
     waiting: Mutex<VecDeque<Answer>>,
     arrived: Condvar,
     bucket: Mutex<TokenBucket>,
@@ -48,7 +48,7 @@
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
-            service: HttpRating::new(address),
+            service: HttpRater::new(address),
             waiting: Mutex::new(VecDeque::new()),
             arrived: Condvar::new(),
             bucket: Mutex::new(TokenBucket::new(Instant::ORIGIN, 1.0)),
--- a/crates/node/tests/all/configuration.rs
+++ b/crates/node/tests/all/configuration.rs
@@ -32,7 +32,7 @@
         files: BTreeMap::from([(name.to_owned(), Some(Bytes::from(content.to_owned())))]),
         author: author.to_owned(),
         reason: "test".to_owned(),
-        at: manifest::seconds(),
+        at: manifest::unix_seconds(),
         request: request.to_owned(),
     }
 }
--- a/crates/node/tests/all/engine.rs
+++ b/crates/node/tests/all/engine.rs
@@ -62,7 +62,7 @@
     );
     engine.cross(1);
     let crossed = engine::open(&agent, &attempt(&engine, "three"), TIMEOUT);
-    assert_eq!(crossed.err(), Some(Failure::Crossed));
+    assert_eq!(crossed.err(), Some(Failure::Mismatched));
     read_whole(&agent, &attempt(&engine, "four"));
     assert_eq!(
         engine.connections(),
@@ -81,7 +81,7 @@
     let mut stream = engine::open(&agent, &attempt, TIMEOUT).expect("an answer");
     let mut text = String::new();
     let cut = read(&mut stream, &mut text);
-    assert!(matches!(cut, Err(Failure::Cut(_))), "{cut:?}");
+    assert!(matches!(cut, Err(Failure::Truncated(_))), "{cut:?}");
     // A cut may lose events in transit: the engine sent two.
     let position = stream.position();
     assert!(position <= 2, "{position}");
--- a/crates/node/tests/all/orders.rs
+++ b/crates/node/tests/all/orders.rs
@@ -19,7 +19,7 @@
 }
 
 fn fencing_tokens(orders: &[Order]) -> Vec<u64> {
-    orders.iter().map(|order| order.number).collect()
+    orders.iter().map(|order| order.fencing_token).collect()
 }
 
 fn signal(process: &Process, signal: &str) {
--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fescuerack_core::route::State;
-use fescuerack_wire::list::Instance;
+use fescuerack_wire::discovery::Instance;
 use fescuerack_wire::peer;
 use serde_json::{Value, json};
 
@@ -108,7 +108,7 @@
 }
 
 fn send(address: &str, body: &Value) -> Value {
-    assert_eq!(body["method"], peer::EXCHANGE);
+    assert_eq!(body["method"], peer::EXCHANGE_METHOD);
     let mut stream = TcpStream::connect(address).expect("the peers' port");
     let body = body.to_string();
     let head = format!(
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::list::Instance;
+use fescuerack_wire::discovery::Instance;
 use tokio::runtime::Runtime;
 
 /// Key of an organisation of the example configuration.
--- a/crates/node/tests/all/versions.rs
+++ b/crates/node/tests/all/versions.rs
@@ -11,7 +11,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::Fault;
-use fescuerack_wire::{chat, header, list::Instance};
+use fescuerack_wire::{chat, discovery::Instance, header};
 use serde_json::json;
 
 use crate::support::{KEY, Process, World, client, wait_until};
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -67,10 +67,10 @@
         }
         let fences = !self.ignores_fence.load(Ordering::SeqCst);
         self.with(|state| {
-            if fences && order.number < state.highest {
+            if fences && order.fencing_token < state.highest {
                 return answer(409, "a higher fencing number was seen");
             }
-            state.highest = state.highest.max(order.number);
+            state.highest = state.highest.max(order.fencing_token);
             match order.action {
                 Action::Load => state.loaded.insert(order.version.clone()),
                 Action::Unload => state.loaded.remove(&order.version),
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -10,7 +10,7 @@
 use anyhow::Result;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::route::State;
-use fescuerack_wire::list::{self, Instances};
+use fescuerack_wire::discovery::{self, Instances};
 use fescuerack_wire::{header, kv, rating};
 use tokio::runtime::Handle;
 use tokio::time::sleep;
@@ -24,7 +24,7 @@
 
 struct Shared {
     store: Mutex<Store>,
-    instances: Mutex<BTreeMap<String, list::Instance>>,
+    instances: Mutex<BTreeMap<String, discovery::Instance>>,
     quality: Mutex<BTreeMap<String, f64>>,
     store_faults: Faults,
     rating_faults: Faults,
@@ -81,7 +81,7 @@
     }
 
     /// Adds an instance to the list or replaces it.
-    pub fn list(&self, instance: list::Instance) {
+    pub fn list(&self, instance: discovery::Instance) {
         lock(&self.shared.instances).insert(instance.id.clone(), instance);
     }
 
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -17,7 +17,8 @@
 pub struct Order {
     /// Fencing number; an engine that fences refuses one that is lower than
     /// the highest it has seen.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub fencing_token: u64,
     /// What to do.
     pub action: Action,
     /// Version, as `model@version`.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -20,9 +20,9 @@
 use thiserror::Error;
 
 /// Name of the JSON-RPC method that exchanges messages.
-pub const EXCHANGE: &str = "exchange";
+pub const EXCHANGE_METHOD: &str = "exchange";
 /// Least number of characters of the shared key.
-pub const LEAST_KEY: usize = 16;
+pub const MIN_KEY_BYTES: usize = 16;
 
 /// What an instance tells its peers with its messages. Each field is one
 /// slice; an instance of another version may know more or fewer.
@@ -34,7 +34,8 @@
     /// Pools that fail.
     pub pools: pools::Digest,
     /// Servers that leave.
-    pub words: leaving::Digest,
+    #[serde(rename = "words")]
+    pub leaving: leaving::Digest,
     /// Counts of roll-outs.
     pub rollouts: rollout::Digest,
     /// Ratings.
@@ -45,7 +46,7 @@
 
 /// Soft state that every instance should hold alike. Each field is one slice.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shared {
+pub struct SharedState {
     /// Halts and steps of roll-outs, by model.
     #[serde(default)]
     pub rollouts: BTreeMap<String, rollout::Record>,
@@ -54,16 +55,16 @@
 /// Returns each field of `all` by its name; a slice that has nothing to tell is
 /// left out.
 #[must_use]
-pub fn slices<T: Serialize + Default>(all: &T) -> BTreeMap<String, Value> {
-    let nothing = fields(&T::default());
-    let mut slices = fields(all);
+pub fn non_default_slices<T: Serialize + Default>(all: &T) -> BTreeMap<String, Value> {
+    let nothing = all_slices(&T::default());
+    let mut slices = all_slices(all);
     slices.retain(|slice, state| nothing.get(slice) != Some(state));
     slices
 }
 
 /// Returns each field of `all` by its name.
 #[must_use]
-pub fn fields<T: Serialize>(all: &T) -> BTreeMap<String, Value> {
+pub fn all_slices<T: Serialize>(all: &T) -> BTreeMap<String, Value> {
     match serde_json::to_value(all) {
         Ok(Value::Object(slices)) => slices.into_iter().collect(),
         Ok(_) | Err(_) => BTreeMap::new(),
--- a/crates/wire/src/token.rs
+++ b/crates/wire/src/token.rs
@@ -33,7 +33,7 @@
 
 /// Reads a token; `None` when it is malformed, forged or another session's.
 #[must_use]
-pub fn open(secret: &[u8], organisation: &str, session: &str, token: &str) -> Option<Pins> {
+pub fn verify(secret: &[u8], organisation: &str, session: &str, token: &str) -> Option<Pins> {
     let (signature, pins) = token.split_once('.')?;
     let signature = hex::decode(signature).ok()?;
     if signature.len() != SIGNATURE {
