--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -125,7 +125,7 @@
 /// Records the backend servers that leave as announced; returns whether one of
 /// them is new.
 fn update_announced_leaving(shared: &Shared, digest: &Digest) -> bool {
-    let leaving: BTreeSet<String> = digest.leaving.leaving.keys().cloned().collect();
+    let leaving: BTreeSet<String> = digest.leaving_servers.leaving.keys().cloned().collect();
     let mut announced = lock(&shared.announced_leaving);
     let has_new = !leaving.is_subset(&announced);
     *announced = leaving;
@@ -146,7 +146,7 @@
     Digest {
         rates: lock(&shared.rates).digest(&active.names, now),
         pools: lock(&shared.pools).digest(&active.names, now),
-        leaving: lock(&shared.routes).digest(now),
+        leaving_servers: lock(&shared.routes).digest(now),
         rollouts: lock(&shared.versions.rollouts).digest(),
         quality: lock(&shared.versions.learner).digest(&active.names),
         suspects: lock(&shared.versions.suspects).digest(now),
@@ -158,7 +158,7 @@
     let now = shared.now();
     lock(&shared.rates).merge(&active.names, now, from, &digest.rates);
     lock(&shared.pools).merge(&active.names, now, from, &digest.pools);
-    lock(&shared.routes).merge(now, &digest.leaving);
+    lock(&shared.routes).merge(now, &digest.leaving_servers);
     versions::merge_digest(shared, &active, digest);
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -35,7 +35,7 @@
     pub pools: pools::Digest,
     /// Servers that leave.
     #[serde(rename = "words")]
-    pub leaving: leaving::Digest,
+    pub leaving_servers: leaving::Digest,
     /// Counts of roll-outs.
     pub rollouts: rollout::Digest,
     /// Ratings.
