--- a/crates/config/src/tree/typed.rs
+++ b/crates/config/src/tree/typed.rs
@@ -1,4 +1,4 @@
-//! From a node to a type, with the line of the first mismatch.
+//! Deserialises a node into a type, with the line of the first mismatch.
 
 use std::fmt;
 
@@ -10,19 +10,20 @@
 
 use super::{Field, Node, Value};
 
-/// Why a text or a node is not what it should be.
+/// An error in a text or in the type of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failure {
-    /// Line, from 1; 0 until it is known.
+pub struct ParseError {
+    /// Line, from 1; 0 while unknown.
     pub line: usize,
-    /// Names from the value that was asked for to the value at fault.
+    /// Names on the path from the deserialised value to the invalid one.
     pub field: Vec<String>,
     /// What is wrong and what is accepted.
     pub message: String,
 }
 
-impl Failure {
-    fn at(mut self, line: usize, name: &str) -> Self {
+impl ParseError {
+    /// Prepends `name` to the path and sets the line if it is unknown.
+    fn with_parent(mut self, line: usize, name: &str) -> Self {
         if self.line == 0 {
             self.line = line;
         }
@@ -31,15 +32,15 @@
     }
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for ParseError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Failure {}
+impl std::error::Error for ParseError {}
 
-impl de::Error for Failure {
+impl de::Error for ParseError {
     fn custom<T: fmt::Display>(message: T) -> Self {
         Self {
             line: 0,
@@ -50,9 +51,9 @@
 }
 
 impl<'de> Deserializer<'de> for &'de Node {
-    type Error = Failure;
+    type Error = ParseError;
 
-    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match &self.value {
             Value::Null => visitor.visit_unit(),
             Value::Bool(value) => visitor.visit_bool(*value),
@@ -60,16 +61,16 @@
             Value::Signed(value) => visitor.visit_i64(*value),
             Value::Float(value) => visitor.visit_f64(*value),
             Value::Text(value) => visitor.visit_borrowed_str(value),
-            Value::Sequence(items) => visitor.visit_seq(Items(items.iter().enumerate())),
-            Value::Mapping(fields) => visitor.visit_map(Fields {
+            Value::Sequence(items) => visitor.visit_seq(SequenceItems(items.iter().enumerate())),
+            Value::Mapping(fields) => visitor.visit_map(MappingFields {
                 fields: fields.iter(),
                 current: None,
             }),
         }
     }
 
-    // A name such as `007` is a number to YAML and text to its reader.
-    fn deserialize_string<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    // YAML reads a name such as `007` as a number, but the field expects text.
+    fn deserialize_string<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match &self.value {
             Value::Bool(value) => visitor.visit_string(value.to_string()),
             Value::Unsigned(value) => visitor.visit_string(value.to_string()),
@@ -79,11 +80,11 @@
         }
     }
 
-    fn deserialize_str<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_str<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         self.deserialize_string(visitor)
     }
 
-    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Failure> {
+    fn deserialize_option<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
         match self.value {
             Value::Null => visitor.visit_none(),
             _ => visitor.visit_some(self),
@@ -95,9 +96,9 @@
         _: &'static str,
         variants: &'static [&'static str],
         visitor: V,
-    ) -> Result<V::Value, Failure> {
+    ) -> Result<V::Value, ParseError> {
         match &self.value {
-            Value::Text(name) => visitor.visit_enum(Unit(name)),
+            Value::Text(name) => visitor.visit_enum(UnitVariant(name)),
             _ => Err(de::Error::custom(format_args!(
                 "expected one of {}",
                 variants.join(", ")
@@ -112,77 +113,83 @@
     }
 }
 
-struct Items<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
+struct SequenceItems<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
 
-impl<'de> SeqAccess<'de> for Items<'de> {
-    type Error = Failure;
+impl<'de> SeqAccess<'de> for SequenceItems<'de> {
+    type Error = ParseError;
 
     fn next_element_seed<T: DeserializeSeed<'de>>(
         &mut self,
         seed: T,
-    ) -> Result<Option<T::Value>, Failure> {
+    ) -> Result<Option<T::Value>, ParseError> {
         let Some((index, node)) = self.0.next() else {
             return Ok(None);
         };
         seed.deserialize(node)
             .map(Some)
-            .map_err(|failure| failure.at(node.line, &index.to_string()))
+            .map_err(|error| error.with_parent(node.line, &index.to_string()))
     }
 }
 
-struct Fields<'a> {
+struct MappingFields<'a> {
     fields: std::slice::Iter<'a, Field>,
     current: Option<&'a Field>,
 }
 
-impl<'de> MapAccess<'de> for Fields<'de> {
-    type Error = Failure;
+impl<'de> MapAccess<'de> for MappingFields<'de> {
+    type Error = ParseError;
 
     fn next_key_seed<K: DeserializeSeed<'de>>(
         &mut self,
         seed: K,
-    ) -> Result<Option<K::Value>, Failure> {
+    ) -> Result<Option<K::Value>, ParseError> {
         self.current = self.fields.next();
         let Some(field) = self.current else {
             return Ok(None);
         };
-        let name: StrDeserializer<'_, Failure> = field.name.as_str().into_deserializer();
+        let name: StrDeserializer<'_, ParseError> = field.name.as_str().into_deserializer();
         seed.deserialize(name)
             .map(Some)
-            .map_err(|failure| failure.at(field.line, &field.name))
+            .map_err(|error| error.with_parent(field.line, &field.name))
     }
 
-    fn next_value_seed<V: DeserializeSeed<'de>>(&mut self, seed: V) -> Result<V::Value, Failure> {
-        let field = self.current.expect("serde asks for a key first");
+    fn next_value_seed<V: DeserializeSeed<'de>>(
+        &mut self,
+        seed: V,
+    ) -> Result<V::Value, ParseError> {
+        let field = self.current.expect("serde requests the key first");
         seed.deserialize(&field.node)
-            .map_err(|failure| failure.at(field.line, &field.name))
+            .map_err(|error| error.with_parent(field.line, &field.name))
     }
 }
 
-struct Unit<'a>(&'a str);
+struct UnitVariant<'a>(&'a str);
 
-impl<'de> EnumAccess<'de> for Unit<'de> {
-    type Error = Failure;
+impl<'de> EnumAccess<'de> for UnitVariant<'de> {
+    type Error = ParseError;
     type Variant = Self;
 
-    fn variant_seed<V: DeserializeSeed<'de>>(self, seed: V) -> Result<(V::Value, Self), Failure> {
-        let name: StrDeserializer<'_, Failure> = self.0.into_deserializer();
+    fn variant_seed<V: DeserializeSeed<'de>>(
+        self,
+        seed: V,
+    ) -> Result<(V::Value, Self), ParseError> {
+        let name: StrDeserializer<'_, ParseError> = self.0.into_deserializer();
         Ok((seed.deserialize(name)?, self))
     }
 }
 
-impl<'de> VariantAccess<'de> for Unit<'de> {
-    type Error = Failure;
+impl<'de> VariantAccess<'de> for UnitVariant<'de> {
+    type Error = ParseError;
 
-    fn unit_variant(self) -> Result<(), Failure> {
+    fn unit_variant(self) -> Result<(), ParseError> {
         Ok(())
     }
 
-    fn newtype_variant_seed<T: DeserializeSeed<'de>>(self, _: T) -> Result<T::Value, Failure> {
+    fn newtype_variant_seed<T: DeserializeSeed<'de>>(self, _: T) -> Result<T::Value, ParseError> {
         Err(de::Error::custom("expected a name alone"))
     }
 
-    fn tuple_variant<V: Visitor<'de>>(self, _: usize, _: V) -> Result<V::Value, Failure> {
+    fn tuple_variant<V: Visitor<'de>>(self, _: usize, _: V) -> Result<V::Value, ParseError> {
         Err(de::Error::custom("expected a name alone"))
     }
 
@@ -190,7 +197,7 @@
         self,
         _: &'static [&'static str],
         _: V,
-    ) -> Result<V::Value, Failure> {
+    ) -> Result<V::Value, ParseError> {
         Err(de::Error::custom("expected a name alone"))
     }
 }
