--- a/crates/node/tests/soak/world.rs
+++ b/crates/node/tests/soak/world.rs
@@ -277,11 +277,11 @@
             }
             Fault::Fail { .. } => {
                 self.apply_behaviour(backend, Behaviour::Failing, duration)
-                    .await
+                    .await;
             }
             Fault::Refuse { .. } => {
                 self.apply_behaviour(backend, Behaviour::Refusing, duration)
-                    .await
+                    .await;
             }
             _ => unreachable!("not a fault of a backend server"),
         }
