--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -212,8 +212,11 @@
     orders: &mut FleetOrders,
 ) {
     let start = targets.partition_point(|target| Some(target.server) <= orders.last_polled);
-    let next = targets[start..].iter().chain(&targets[..start]);
-    for target in next.take(MAX_POLLED_ENGINES) {
+    let turn = targets[start..]
+        .iter()
+        .chain(&targets[..start])
+        .take(MAX_POLLED_ENGINES);
+    for target in turn {
         orders.last_polled = Some(target.server);
         let Ok(loaded) =
             fescuerack_client::order::fetch_loaded(&shared.upstream, &target.address, POLL_TIMEOUT)
