--- a/crates/client/src/admin/draft.rs
+++ b/crates/client/src/admin/draft.rs
@@ -1,4 +1,4 @@
-//! A proposal worked out on what is in force.
+//! Result of applying a proposal to the active configuration.
 
 use std::collections::BTreeMap;
 
@@ -8,70 +8,72 @@
 use fescuerack_config::{Folder, Merged, Operator, Problem, change, folder};
 use fescuerack_wire::admin::{Error, Kind, Plan, Proposal};
 
-use super::out;
+use super::store_unavailable;
 use crate::Store;
 use crate::manifest::{self, Manifest};
 
-/// Longest reason, in bytes.
-const LONGEST_WHY: usize = 500;
-/// Longest identifier of a request, in bytes.
-const LONGEST_REQUEST: usize = 64;
+/// Maximum length of the reason for a change.
+const MAX_REASON_BYTES: usize = 500;
+/// Maximum length of the identifier of a request.
+const MAX_REQUEST_BYTES: usize = 64;
 
-/// A proposal worked out on what is in force.
+/// Result of applying a proposal to the active configuration.
 #[derive(Clone, Debug)]
 pub struct Draft {
-    /// What is in force.
+    /// The active manifest, to which the proposal was applied.
     pub manifest: Manifest,
-    /// Files to put and to remove.
+    /// Files to write, with their new content, and files to remove (`None`).
     pub files: BTreeMap<String, Option<Bytes>>,
-    /// Effects, losses first.
+    /// Effects of the change, losses first.
     pub effects: Vec<Effect>,
 }
 
 impl Draft {
-    /// Works a proposal out; `operator` is `None` where whoever reaches the
-    /// store may change everything.
+    /// Applies a proposal to the active configuration and checks the result.
+    ///
+    /// `operator` is `None` where access to the store implies permission for every change.
     ///
     /// # Errors
     ///
-    /// Why the proposal cannot be accepted.
+    /// Returns the reason why the proposal cannot be accepted.
     pub fn new(
         store: &dyn Store,
         proposal: &Proposal,
         operator: Option<&Operator>,
     ) -> Result<Self, Error> {
-        let read = manifest::read(store).map_err(|error| out(&error))?;
+        let read = manifest::read(store).map_err(|error| store_unavailable(&error))?;
         let manifest = read.map(|(_, manifest)| manifest).unwrap_or_default();
-        let before = manifest::fetch(store, &manifest).map_err(|error| out(&error))?;
+        let before =
+            manifest::fetch(store, &manifest).map_err(|error| store_unavailable(&error))?;
         let after = match &proposal.action {
             Some(_) if !proposal.files.is_empty() => {
                 let message = "name files or an action, not both";
                 return Err(Error::new(Kind::InvalidRequest, message));
             }
-            Some(action) => change::apply(&before, action).map_err(refusal)?,
+            Some(action) => change::apply(&before, action).map_err(error_for)?,
             None => with_files(&before, proposal),
         };
         let effects = check(&before, &after, operator)?;
         let draft = Self {
-            files: changed(&before, &after),
+            files: changed_files(&before, &after),
             effects,
             manifest,
         };
-        draft.compare(proposal)?;
+        draft.check_conflicts(proposal)?;
         Ok(draft)
     }
 
-    /// Checks that no file was changed since the sender looked.
-    fn compare(&self, proposal: &Proposal) -> Result<(), Error> {
+    /// Checks that no file has changed since the sender read it.
+    fn check_conflicts(&self, proposal: &Proposal) -> Result<(), Error> {
         for name in self.files.keys() {
             let Some(seen) = proposal.seen.get(name) else {
                 continue;
             };
-            let stands = self.manifest.files.get(name);
-            if stands.is_some_and(|file| file.digest == *seen) {
+            let current = self.manifest.files.get(name);
+            if current.is_some_and(|file| file.digest == *seen) {
                 continue;
             }
-            let by = stands.map_or("somebody removed it".to_owned(), |file| {
+            let by = current.map_or("somebody removed it".to_owned(), |file| {
                 format!("{} changed it in revision {}", file.author, file.revision)
             });
             let message = format!("{name}: {by} since you looked; nothing was changed");
@@ -80,7 +82,7 @@
         Ok(())
     }
 
-    /// Returns what the draft would do.
+    /// Returns the changes and effects of the draft.
     #[must_use]
     pub fn plan(&self) -> Plan {
         let mut plan = Plan {
@@ -100,29 +102,29 @@
     }
 }
 
-/// Checks the fields by which a change is recorded.
+/// Checks the fields that are recorded with a change: its identifier and its reason.
 ///
 /// # Errors
 ///
-/// Which field is missing or too long.
+/// Returns an error that names the field that is missing, too long or malformed.
 pub(super) fn check_record(proposal: &Proposal) -> Result<(), Error> {
     let refuse = |message: String| Err(Error::new(Kind::InvalidRequest, message));
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     let request = &proposal.request;
-    if request.is_empty() || request.len() > LONGEST_REQUEST || !request.bytes().all(plain) {
+    if request.is_empty() || request.len() > MAX_REQUEST_BYTES || !request.bytes().all(is_allowed) {
         return refuse(format!(
-            "request: an identifier of 1 to {LONGEST_REQUEST} letters, digits, `-`, `_` and `.`"
+            "request: an identifier of 1 to {MAX_REQUEST_BYTES} letters, digits, `-`, `_` and `.`"
         ));
     }
-    if proposal.why.trim().is_empty() || proposal.why.len() > LONGEST_WHY {
+    if proposal.why.trim().is_empty() || proposal.why.len() > MAX_REASON_BYTES {
         return refuse(format!(
-            "why: say in 1 to {LONGEST_WHY} bytes why the change is made"
+            "why: say in 1 to {MAX_REASON_BYTES} bytes why the change is made"
         ));
     }
     Ok(())
 }
 
-fn refusal(refusal: change::Refusal) -> Error {
+fn error_for(refusal: change::Refusal) -> Error {
     let message = refusal.to_string();
     match refusal {
         change::Refusal::Problems(problems) => {
@@ -150,7 +152,8 @@
     after
 }
 
-/// Checks the configuration that would come out, and who asks for it.
+/// Validates the resulting configuration, checks the operator's permission and returns the effects
+/// of the change.
 fn check(
     before: &Folder,
     after: &Folder,
@@ -162,36 +165,41 @@
     };
     check_names(after).map_err(refused)?;
     let merged = Merged::new(after).map_err(refused)?;
-    let now = effect::Compiled::new(&merged).map_err(refused)?;
-    // What is in force was checked when it was accepted; an older release may
-    // have been less strict, and a change must be able to mend it.
-    let old = Merged::new(before).unwrap_or_default();
+    let new = effect::Compiled::new(&merged).map_err(refused)?;
+    // The active configuration was valid when it was accepted, but an older release may have been
+    // less strict. A change must be able to correct it.
+    let merged_before = Merged::new(before).unwrap_or_default();
     if let Some(operator) = operator {
-        let side = |folder, merged| permission::Snapshot { folder, merged };
-        permission::check(operator, side(before, &old), side(after, &merged)).map_err(
-            |problems| {
-                let message = "the change lies outside your scope; nothing was changed";
-                Error::new(Kind::Forbidden, message).with_problems(problems)
-            },
-        )?;
+        let snapshot = |folder, merged| permission::Snapshot { folder, merged };
+        permission::check(
+            operator,
+            snapshot(before, &merged_before),
+            snapshot(after, &merged),
+        )
+        .map_err(|problems| {
+            let message = "the change lies outside your scope; nothing was changed";
+            Error::new(Kind::Forbidden, message).with_problems(problems)
+        })?;
     }
-    let effects = match effect::Compiled::new(&old) {
-        Ok(then) => effect::effects(&then, &now),
+    let effects = match effect::Compiled::new(&merged_before) {
+        Ok(old) => effect::effects(&old, &new),
         Err(_) => Vec::new(),
     };
     Ok(effects)
 }
 
-/// Checks the names of files: a file that no reader would take for one of the
-/// folder must not lie there unread.
+/// Checks the names of files. A file that readers of the folder would ignore is refused, because it
+/// would never take effect.
 fn check_names(folder: &Folder) -> Result<(), Vec<Problem>> {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
-    let wrong = folder.files.keys().filter(|name| {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    let invalid_names = folder.files.keys().filter(|name| {
         let stem = name.strip_suffix(".yaml").unwrap_or_default();
-        stem.is_empty() || stem.starts_with('.') || !name.bytes().all(plain)
+        stem.is_empty() || stem.starts_with('.') || !name.bytes().all(is_allowed)
     });
     let message = "a file is named by letters, digits, `-`, `_` and `.`, and ends in .yaml";
-    let problems: Vec<_> = wrong.map(|name| Problem::new(name, 0, message)).collect();
+    let problems: Vec<_> = invalid_names
+        .map(|name| Problem::new(name, 0, message))
+        .collect();
     if problems.is_empty() {
         Ok(())
     } else {
@@ -199,7 +207,7 @@
     }
 }
 
-fn changed(before: &Folder, after: &Folder) -> BTreeMap<String, Option<Bytes>> {
+fn changed_files(before: &Folder, after: &Folder) -> BTreeMap<String, Option<Bytes>> {
     let mut files = BTreeMap::new();
     for (name, content) in &after.files {
         let old = before.files.get(name);
--- a/crates/client/src/admin/mod.rs
+++ b/crates/client/src/admin/mod.rs
@@ -1,9 +1,9 @@
-//! Reading and changing what the store holds for operators.
+//! Operators' access to the store: configuration, history and ledger.
 //!
-//! The administration API and the command line's way around it (`--store`, for
-//! the first configuration and for when no instance answers) are the same
-//! functions, so there is one way into force: draft, check, permission,
-//! compare-and-swap ([`crate::manifest`]).
+//! The administration API uses these functions, and so does the command line with `--store`, which
+//! bypasses the API for the first configuration and when no instance answers. Every change is
+//! therefore activated by the same steps: draft, validation, permission check and compare-and-swap
+//! ([`crate::manifest`]).
 
 mod draft;
 mod submit;
@@ -17,22 +17,22 @@
 
 use crate::{Store, ledger, manifest};
 
-fn out(error: &anyhow::Error) -> Error {
+fn store_unavailable(error: &anyhow::Error) -> Error {
     let message = format!("the store gives no answer; nothing was changed ({error:#})");
     Error::new(Kind::StoreOut, message)
 }
 
-/// Reads the latest configuration that was accepted.
+/// Reads the configuration that was accepted last, or an empty one if there is none.
 ///
 /// # Errors
 ///
-/// When the store gives no answer or holds no configuration.
+/// Returns [`Kind::StoreOut`] if the configuration cannot be read from the store.
 pub fn configuration(store: &dyn Store) -> Result<Configuration, Error> {
-    let read = manifest::read(store).map_err(|error| out(&error))?;
+    let read = manifest::read(store).map_err(|error| store_unavailable(&error))?;
     let Some((_, manifest)) = read else {
         return Ok(Configuration::default());
     };
-    let folder = manifest::fetch(store, &manifest).map_err(|error| out(&error))?;
+    let folder = manifest::fetch(store, &manifest).map_err(|error| store_unavailable(&error))?;
     let files = manifest.files.into_iter().map(|(name, file)| {
         let content = folder.files.get(&name).cloned().unwrap_or_default();
         let file = File {
@@ -50,13 +50,14 @@
     })
 }
 
-/// Reads the last changes, the newest first.
+/// Reads the latest changes, newest first, up to `max_changes` of them.
 ///
 /// # Errors
 ///
-/// When the store gives no answer.
-pub fn history(store: &dyn Store, most: usize) -> Result<History, Error> {
-    let changes = manifest::history(store, most).map_err(|error| out(&error))?;
+/// Returns [`Kind::StoreOut`] if the history cannot be read from the store.
+pub fn history(store: &dyn Store, max_changes: usize) -> Result<History, Error> {
+    let changes =
+        manifest::history(store, max_changes).map_err(|error| store_unavailable(&error))?;
     let changes = changes.into_iter().map(|change| {
         let (put, removed): (Vec<_>, Vec<_>) = change
             .files
@@ -78,13 +79,13 @@
     })
 }
 
-/// Reads the ledger's totals.
+/// Reads the totals of the ledger.
 ///
 /// # Errors
 ///
-/// When the store gives no answer.
+/// Returns [`Kind::StoreOut`] if the ledger cannot be read from the store.
 pub fn totals(store: &dyn Store) -> Result<Ledger, Error> {
-    let totals = ledger::totals(store).map_err(|error| out(&error))?;
+    let totals = ledger::totals(store).map_err(|error| store_unavailable(&error))?;
     let mut sums = Vec::new();
     for (organisation, versions) in &totals.sums {
         for (version, sum) in versions {
--- a/crates/client/src/admin/submit.rs
+++ b/crates/client/src/admin/submit.rs
@@ -1,33 +1,34 @@
-//! Putting a proposal in force.
+//! Activation of a proposal.
 
 use fescuerack_config::change::Action;
 use fescuerack_config::{Operator, folder};
 use fescuerack_wire::admin::{Accepted, Error, Kind, Proposal};
 
 use super::draft::check_record;
-use super::{Draft, out};
+use super::{Draft, store_unavailable};
 use crate::Store;
 use crate::manifest::{self, Applied, ChangeRequest};
 
-/// Changes that are searched for a request that was sent before.
-const REMEMBERED: usize = 64;
-/// Digits of a proposal's digest in the recorded identifier.
-const DIGITS: usize = 16;
-/// Tries to put a draft in force that other operators overtake.
-const TRIES: u32 = 8;
+/// Number of latest changes that are searched for an earlier submission of the same request.
+const SEARCHED_CHANGES: usize = 64;
+/// Number of hexadecimal digits of a proposal's digest in the recorded identifier.
+const DIGEST_DIGITS: usize = 16;
+/// Maximum number of attempts to activate a proposal while other operators change the same files.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Puts a proposal in force in the name of `author`; `operator` is `None`
-/// where whoever reaches the store may change everything.
+/// Activates a proposal in the name of `author`.
 ///
-/// The same proposal under the same identifier is accepted once: its second
-/// sending finds the first in the history and gets the same revision. The
-/// recorded identifier holds the author and a digest of the proposal, so that
-/// operators cannot meet each other's identifiers, and one identifier cannot
-/// stand for two proposals.
+/// `operator` is `None` where access to the store implies permission for every change.
+///
+/// The same proposal under the same identifier is accepted only once: a second submission finds the
+/// first in the history and returns its revision. The recorded identifier contains the author and a
+/// digest of the proposal. Identifiers of different operators therefore cannot collide, and one
+/// identifier cannot denote two proposals.
 ///
 /// # Errors
 ///
-/// Why the proposal was not accepted, and whether that is sure.
+/// Returns the reason why the proposal was not accepted, or [`Kind::OutcomeUnknown`] if it may have
+/// been accepted.
 pub fn submit(
     store: &dyn Store,
     proposal: &Proposal,
@@ -36,10 +37,10 @@
 ) -> Result<Accepted, Error> {
     check_record(proposal)?;
     let request = identifier(proposal, author);
-    if let Some(accepted) = earlier(store, proposal, author, &request)? {
+    if let Some(accepted) = find_earlier(store, proposal, author, &request)? {
         return Ok(accepted);
     }
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let draft = Draft::new(store, proposal, operator)?;
         if draft.files.is_empty() {
             return Ok(Accepted {
@@ -64,18 +65,17 @@
                     effects: draft.effects,
                 });
             }
-            // Somebody changed the same file since it was read a moment ago:
-            // the draft is worked out anew, and finds a conflict only if the
-            // file differs from the one that the sender saw.
+            // Another operator has changed the same file since the draft was made. A new draft
+            // reports a conflict only if the file differs from the one that the sender read.
             Applied::Conflict { .. } => {}
-            other => return answer(other),
+            other => return accepted_or_error(other),
         }
     }
     let message = "other operators keep changing the same file; nothing was changed";
     Err(Error::new(Kind::Conflict, message))
 }
 
-fn answer(applied: Applied) -> Result<Accepted, Error> {
+fn accepted_or_error(applied: Applied) -> Result<Accepted, Error> {
     match applied {
         Applied::Accepted { revision } | Applied::Unchanged { revision } => Ok(Accepted {
             revision,
@@ -91,7 +91,9 @@
             Err(Error::new(Kind::Conflict, message))
         }
         Applied::Broken(what) => Err(Error::new(Kind::StoreOut, what)),
-        Applied::Unavailable => Err(out(&anyhow::anyhow!("no answer until the deadline"))),
+        Applied::Unavailable => Err(store_unavailable(&anyhow::anyhow!(
+            "no answer until the deadline"
+        ))),
         Applied::Unknown => Err(Error::new(
             Kind::OutcomeUnknown,
             "the store gave no answer after the change was sent: it may be in force; send the \
@@ -101,34 +103,36 @@
 }
 
 fn identifier(proposal: &Proposal, author: &str) -> String {
-    let body = serde_json::to_vec(&asked(proposal)).expect("a proposal has only plain fields");
+    let body =
+        serde_json::to_vec(&identifying_part(proposal)).expect("a proposal has only plain fields");
     let digest = folder::digest(&body);
-    format!("{author}/{}/{}", proposal.request, &digest[..DIGITS])
+    format!("{author}/{}/{}", proposal.request, &digest[..DIGEST_DIGITS])
 }
 
-/// Returns what the operator asked for, without what the sender saw.
+/// Returns the proposal without the fields that depend on the configuration that the sender read.
 ///
-/// A request that was sent again after its first sending took effect sees its
-/// own change. With that in the digest it would be taken for another proposal
-/// under a used identifier, and refused.
-fn asked(proposal: &Proposal) -> Proposal {
-    let mut asked = proposal.clone();
-    asked.seen.clear();
-    if let Some(Action::RolloutClose { stepped, .. }) = &mut asked.action {
+/// A request that is sent again after it has taken effect is based on a configuration that contains
+/// its own change. If the digest covered those fields, the request would be refused as another
+/// proposal under the same identifier.
+fn identifying_part(proposal: &Proposal) -> Proposal {
+    let mut part = proposal.clone();
+    part.seen.clear();
+    if let Some(Action::RolloutClose { stepped, .. }) = &mut part.action {
         *stepped = false;
     }
-    asked
+    part
 }
 
-/// Looks for an earlier sending of the same request.
-fn earlier(
+/// Searches the history for an earlier submission of the same request.
+fn find_earlier(
     store: &dyn Store,
     proposal: &Proposal,
     author: &str,
     request: &str,
 ) -> Result<Option<Accepted>, Error> {
     let prefix = format!("{author}/{}/", proposal.request);
-    let changes = manifest::history(store, REMEMBERED).map_err(|error| out(&error))?;
+    let changes =
+        manifest::history(store, SEARCHED_CHANGES).map_err(|error| store_unavailable(&error))?;
     let found = changes
         .iter()
         .find(|change| change.request.starts_with(&prefix));
--- a/crates/client/src/discovery.rs
+++ b/crates/client/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances.
+//! Service discovery: the platform's list of instances.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -7,65 +7,65 @@
 
 use crate::{Agent, Fault, agent};
 
-/// Lists instances; the list lags behind the truth.
+/// Lists instances. The list lags behind the actual state.
 pub trait Discovery: Send + Sync {
-    /// Returns the list.
+    /// Returns the instances that the platform lists.
     ///
     /// # Errors
     ///
-    /// When the list cannot be read.
+    /// Returns a [`Fault`] if the list cannot be read.
     fn list(&self) -> Result<Instances, Fault>;
 }
 
-/// The list over HTTP.
+/// Client of the platform's list of instances over HTTP.
 ///
-/// The list of the planned size takes 148 KB, and every instance reads it twice
-/// a second: whole, that would be 60 times what control may cost. It is
-/// therefore read under the tag of the copy at hand, and the platform answers
-/// 304 while nothing has changed. A platform that knows no tags sends the whole
-/// list, which is right and dear.
+/// At the planned size the list takes 148 KB, and every instance reads it twice a second. Full
+/// transfers would take 60 times the traffic that control messages may use. The client therefore
+/// sends the entity tag of its cached copy, and the platform answers 304 while the list is
+/// unchanged. A platform without entity tags sends the full list every time, which is correct but
+/// expensive.
 #[derive(Clone, Debug)]
 pub struct HttpDiscovery {
     agent: Agent,
     url: String,
-    held: Arc<Mutex<Option<Held>>>,
+    cached: Arc<Mutex<Option<Cached>>>,
 }
 
-/// The last list that was read, with its tag.
+/// The list that was read last, with its entity tag.
 #[derive(Clone, Debug)]
-struct Held {
+struct Cached {
     tag: String,
     list: Instances,
 }
 
-/// Status of an answer that repeats the list at hand.
+/// Status of a response that confirms the cached list.
 const NOT_MODIFIED: u16 = 304;
 
 impl HttpDiscovery {
     const TIMEOUT: Duration = Duration::from_secs(2);
 
-    /// Creates a client of the platform at `address`, as `host:port`.
+    /// Creates a client of the platform at `address`, in the form `host:port`.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
             agent: agent(1),
             url: format!("http://{address}/v1/instances"),
-            held: Arc::default(),
+            cached: Arc::default(),
         }
     }
 
-    fn held(&self) -> Option<Held> {
-        let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        held.clone()
+    fn cached(&self) -> Option<Cached> {
+        let cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        cached.clone()
     }
 }
 
 impl Discovery for HttpDiscovery {
     fn list(&self) -> Result<Instances, Fault> {
-        let held = self.held();
+        let cached = self.cached();
         let mut request = self.agent.get(&self.url);
-        if let Some(held) = &held {
-            request = request.header("if-none-match", &held.tag);
+        if let Some(cached) = &cached {
+            request = request.header("if-none-match", &cached.tag);
         }
         let mut response = request
             .config()
@@ -73,9 +73,9 @@
             .build()
             .call()
             .map_err(|error| Fault::from_client(&error))?;
-        match (response.status().as_u16(), held) {
+        match (response.status().as_u16(), cached) {
             (200, _) => {}
-            (NOT_MODIFIED, Some(held)) => return Ok(held.list),
+            (NOT_MODIFIED, Some(cached)) => return Ok(cached.list),
             (status, _) => {
                 return Err(Fault::Refused {
                     status,
@@ -89,7 +89,7 @@
             .read_json()
             .map_err(|error| Fault::Malformed(error.to_string()))?;
         let tag = tag.and_then(|tag| tag.to_str().ok().map(str::to_owned));
-        *self.held.lock().unwrap_or_else(PoisonError::into_inner) = tag.map(|tag| Held {
+        *self.cached.lock().unwrap_or_else(PoisonError::into_inner) = tag.map(|tag| Cached {
             tag,
             list: list.clone(),
         });
--- a/crates/client/src/drive.rs
+++ b/crates/client/src/drive.rs
@@ -1,21 +1,23 @@
-//! Drives the core's protocols over a [`Store`].
+//! Runs the protocols of `fescuerack_core`, which perform no I/O, over a [`Store`].
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::store::{Call, Machine, Reply, Step};
 
 use crate::{Fault, Store, Swap};
 
-/// Time as the protocols see it: the wall clock at the start of the process
-/// plus what has passed since, so that it never goes back.
+/// Clock of the protocols.
+///
+/// Its time is the wall-clock time at which the clock was created plus the time elapsed since
+/// then, so it never goes backwards.
 pub trait Timer {
-    /// Returns the time.
+    /// Returns the current time.
     fn now(&self) -> Instant;
 
     /// Sleeps until `until`.
     fn sleep(&self, until: Instant);
 }
 
-/// The process's own clock.
+/// Clock of the operating system.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
     started: std::time::Instant,
@@ -23,7 +25,7 @@
 }
 
 impl WallClock {
-    /// Starts the clock.
+    /// Creates a clock that starts at the current wall-clock time.
     #[must_use]
     pub fn new() -> Self {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
@@ -50,7 +52,7 @@
     }
 }
 
-/// Makes one call.
+/// Makes one call and returns its reply.
 pub fn call(store: &dyn Store, call: Call) -> Reply {
     match call {
         Call::Get { key } => store
@@ -76,7 +78,7 @@
     }
 }
 
-/// Runs a protocol to its end.
+/// Runs a protocol until it is done and returns its output.
 pub fn run<M: Machine>(store: &dyn Store, timer: &dyn Timer, machine: &mut M) -> M::Output {
     loop {
         match machine.step(timer.now()) {
--- a/crates/client/src/engine.rs
+++ b/crates/client/src/engine.rs
@@ -1,19 +1,18 @@
-//! Client of a model engine: one attempt, read event by event.
+//! Client of a model engine: sends an attempt and reads its answer event by event.
 //!
-//! The client blocks a thread while it waits for tokens; the process gives it
-//! one of a bounded set. What it relies on beside the usual completion API:
+//! The client blocks a thread while it waits for tokens; callers provide one from a bounded pool.
+//! Beyond the usual completion API, it relies on the following:
 //!
-//! - The engine echoes the attempt's identifier in [`header::ATTEMPT`]. An
-//!   answer without it, or with another, is **crossed**: it belongs to someone
-//!   else, and so may whatever follows on its connection. It is dropped unread,
-//!   which closes the connection.
-//! - Events may carry `id: <attempt>/<position>`. Where they do, an event of
-//!   another attempt or out of position is crossed too.
-//! - `POST /v1/attempts/<id>/resume?from=<n>` sends the events of an attempt
-//!   from position `n` on; 404 where the engine has forgotten it.
-//! - `POST /v1/attempts/<id>/cancel` ends an attempt at once. Closing the
-//!   connection would do as well, but an engine notices it only when it writes
-//!   the next token, and the thread that would close it is waiting for one.
+//! - The engine echoes the attempt's identifier in [`header::ATTEMPT`]. An answer without it, or
+//!   with another identifier, is **mismatched**: it belongs to another request, and so may any
+//!   further data on its connection. It is dropped unread, which closes the connection.
+//! - Events may carry `id: <attempt>/<position>`. If they do, an event of another attempt or with
+//!   an unexpected position is mismatched too.
+//! - `POST /v1/attempts/<id>/resume?from=<n>` sends the events of an attempt from position `n` on,
+//!   or answers 404 if the engine no longer stores the attempt.
+//! - `POST /v1/attempts/<id>/cancel` ends an attempt immediately. Closing the connection would end
+//!   it too, but an engine detects that only when it writes the next token, and the thread that
+//!   would close the connection is waiting for that token.
 
 use std::io::{BufRead as _, BufReader, Read as _};
 use std::time::Duration;
@@ -27,46 +26,46 @@
 use crate::http::json;
 use crate::{Agent, Fault};
 
-/// Longest line of a stream, in bytes; bounds the memory of an attempt whose
-/// engine never ends its line.
-const LONGEST_LINE: u64 = 1 << 20;
-/// Time within which an engine must take a cancel call.
-const CANCEL: Duration = Duration::from_secs(1);
-/// Bytes that may follow the end of an answer on its connection.
-const LONGEST_TAIL: u64 = 64;
+/// Maximum length of a line of a stream, in bytes. It bounds the memory of an attempt whose engine
+/// never ends a line.
+const MAX_LINE_BYTES: u64 = 1 << 20;
+/// Time within which an engine must answer a cancel call.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes read from a connection after the end of an answer.
+const MAX_TRAILING_BYTES: u64 = 64;
 
 /// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Address of the engine, as `host:port`.
+    /// Address of the engine, in the form `host:port`.
     pub address: String,
-    /// Path of the request, `/v1/chat/completions` or `/v1/completions`.
+    /// Path of the request: `/v1/chat/completions` or `/v1/completions`.
     pub path: &'static str,
-    /// Identifier of the attempt, which the engine echoes.
+    /// Identifier of the attempt, echoed by the engine.
     pub id: String,
-    /// Priority; a lower number goes first.
+    /// Priority; lower numbers run first.
     pub priority: u8,
-    /// Body of the request; it asks for a stream.
+    /// Body of the request, which requests a streamed answer.
     pub body: Bytes,
 }
 
-/// What the engine sends next.
+/// Event of an answer's stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A part of the answer.
     Part(Completion),
-    /// The answer has ended whole.
+    /// The answer is complete.
     End,
 }
 
-/// Why an attempt brings nothing more.
+/// Error that ends an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
-    /// What came belongs to another attempt.
-    #[error("crossed: the answer belongs to another attempt")]
+    /// The answer or event belongs to another attempt.
+    #[error("mismatched: the answer belongs to another attempt")]
     Mismatched,
-    /// The connection ended before the answer did.
-    #[error("cut: {0}")]
+    /// The connection ended before the answer was complete.
+    #[error("truncated: {0}")]
     Truncated(String),
     /// Any other failure.
     #[error(transparent)]
@@ -83,7 +82,7 @@
     }
 }
 
-/// The answer of an engine, as a stream of events.
+/// Answer of an engine, as a stream of events.
 pub struct Stream {
     reader: BufReader<ureq::BodyReader<'static>>,
     line: String,
@@ -91,11 +90,11 @@
     position: u64,
 }
 
-/// Sends an attempt and returns its answer's stream.
+/// Sends an attempt and returns the stream of its answer.
 ///
 /// # Errors
 ///
-/// A [`Failure`] that says whether the engine may have started.
+/// Returns a [`Failure`] that states whether the engine may have started the attempt.
 pub fn open(agent: &Agent, attempt: &Attempt, timeout: Duration) -> Result<Stream, Failure> {
     let request = agent
         .post(format!("http://{}{}", attempt.address, attempt.path))
@@ -104,11 +103,11 @@
     send(request, attempt, &attempt.body, 0, timeout)
 }
 
-/// Asks for the rest of an answer that was cut after `position` events.
+/// Requests the rest of an answer that was truncated after `position` events.
 ///
 /// # Errors
 ///
-/// When the engine has forgotten the attempt or cannot be reached.
+/// Returns a [`Failure`] if the engine no longer stores the attempt or cannot be reached.
 pub fn resume(
     agent: &Agent,
     attempt: &Attempt,
@@ -122,12 +121,13 @@
     send(request, attempt, &[], position, timeout)
 }
 
-/// Ends an attempt at the engine; returns whether the engine knew it. One that
-/// it does not know has ended, or the cancel call has overtaken it.
+/// Ends an attempt at the engine and returns whether the engine had it on record.
+///
+/// Otherwise the attempt has already ended, or the cancel call arrived before the attempt.
 ///
 /// # Errors
 ///
-/// When the engine did not take the call.
+/// Returns a [`Fault`] if the engine did not accept the call.
 pub fn cancel(agent: &Agent, attempt: &Attempt) -> Result<bool, Fault> {
     let response = agent
         .post(format!(
@@ -135,7 +135,7 @@
             attempt.address, attempt.id
         ))
         .config()
-        .timeout_global(Some(CANCEL))
+        .timeout_global(Some(CANCEL_TIMEOUT))
         .build()
         .send_empty()
         .map_err(|error| Fault::from_client(&error))?;
@@ -149,11 +149,11 @@
     }
 }
 
-/// Reads the load that an engine reports.
+/// Fetches the load report of an engine.
 ///
 /// # Errors
 ///
-/// A [`Fault`] when it gives none within `timeout`.
+/// Returns a [`Fault`] if the engine sends no valid report within `timeout`.
 pub fn load(agent: &Agent, address: &str, timeout: Duration) -> Result<Report, Fault> {
     let response = agent
         .get(format!("http://{address}/load"))
@@ -203,14 +203,14 @@
     ///
     /// # Errors
     ///
-    /// When the connection ends before the answer does, or when the event is
-    /// not one of this attempt.
+    /// Returns a [`Failure`] if the connection ends before the answer is complete, or if the event
+    /// is malformed or belongs to another attempt.
     pub fn next_event(&mut self) -> Result<Event, Failure> {
         loop {
             self.read_line()?;
             let line = self.line.trim_end();
             if let Some(id) = line.strip_prefix("id:") {
-                self.check(id.trim_start())?;
+                self.check_id(id.trim_start())?;
                 continue;
             }
             let Some(data) = line.strip_prefix("data:") else {
@@ -227,38 +227,43 @@
         }
     }
 
-    /// Returns the number of events that have been read, also before a cut.
+    /// Returns the number of events read so far, including those before a resumption.
     #[must_use]
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Reads what follows the end of the answer, so that its connection can
-    /// be used again; a connection on which more comes than that is closed.
+    /// Reads the bytes that follow the end of the answer, so that the connection can be reused. A
+    /// connection with more than [`MAX_TRAILING_BYTES`] left to read is closed.
     pub fn finish(self) {
-        // A failure closes the connection, which is all that it could ask for.
-        let _ = self.reader.take(LONGEST_TAIL).read_to_end(&mut Vec::new());
+        // An error closes the connection, so it needs no further handling.
+        let _ = self
+            .reader
+            .take(MAX_TRAILING_BYTES)
+            .read_to_end(&mut Vec::new());
     }
 
     fn read_line(&mut self) -> Result<(), Failure> {
         self.line.clear();
         let read = (&mut self.reader)
-            .take(LONGEST_LINE)
+            .take(MAX_LINE_BYTES)
             .read_line(&mut self.line)
             .map_err(|error| Failure::Truncated(error.to_string()))?;
         if self.line.ends_with('\n') {
             return Ok(());
         }
-        if u64::try_from(read) == Ok(LONGEST_LINE) {
-            return Err(Fault::Malformed("a line without end".to_owned()).into());
+        if u64::try_from(read) == Ok(MAX_LINE_BYTES) {
+            return Err(
+                Fault::Malformed(format!("line longer than {MAX_LINE_BYTES} bytes")).into(),
+            );
         }
         Err(Failure::Truncated(
-            "the stream ended before its answer".to_owned(),
+            "the stream ended before the answer was complete".to_owned(),
         ))
     }
 
-    /// Checks an event's identifier where the engine gives one.
-    fn check(&self, id: &str) -> Result<(), Failure> {
+    /// Checks the identifier of an event: its attempt and its position.
+    fn check_id(&self, id: &str) -> Result<(), Failure> {
         let position = id
             .strip_prefix(&self.attempt)
             .and_then(|rest| rest.strip_prefix('/'))
--- a/crates/client/src/fault.rs
+++ b/crates/client/src/fault.rs
@@ -1,25 +1,25 @@
-//! Failures of a call across an edge.
+//! Errors of calls to other processes.
 
 use thiserror::Error;
 
-/// Why a call failed, and whether it may have taken effect.
+/// Reason why a call failed, which also states whether the call may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Fault {
-    /// No byte of the request left: the call surely had no effect.
+    /// No byte of the request was sent, so the call certainly had no effect.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The request may have arrived and taken effect.
+    /// The request may have been received and may have taken effect.
     #[error("outcome unknown: {0}")]
     Unknown(String),
-    /// The other side refused the call and said that it did nothing.
+    /// The server refused the call and reported that it did nothing.
     #[error("refused with status {status}: {message}")]
     Refused {
         /// HTTP status.
         status: u16,
-        /// What it said.
+        /// Body of the response.
         message: String,
     },
-    /// The answer made no sense.
+    /// The response could not be parsed or broke the protocol.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
@@ -27,9 +27,9 @@
 impl Fault {
     /// Classifies an error of the HTTP client.
     ///
-    /// Only failures that come before the first byte is written count as not
-    /// sent. A time-out or a broken connection after that is unknown: the
-    /// other side may have done the work and its answer may be lost.
+    /// Only errors that occur before the first byte is written map to [`Fault::NotSent`]. The
+    /// outcome of a later time-out or connection error is unknown: the server may have executed
+    /// the call, and only its response was lost.
     #[must_use]
     pub fn from_client(error: &ureq::Error) -> Self {
         use ureq::Timeout;
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that all edges share.
+//! HTTP client shared by all clients of this crate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,41 +11,46 @@
 
 use crate::Fault;
 
-/// A pool of connections.
+/// HTTP client with a pool of connections.
 pub type Agent = ureq::Agent;
 
-/// Time within which a connection must be made.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time within which a connection must be established.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Buffers of one connection, in bytes. The library's own, 128 KB each, made up
-/// three quarters of the memory of an open stream; an event of a stream is some
-/// hundred bytes, and a longer body goes through in pieces.
-const BUFFER: usize = 16 << 10;
+/// Size of the input buffer and of the output buffer of a connection. The library's defaults of
+/// 128 KB each made up three quarters of the memory of an open stream. An event of a stream takes a
+/// few hundred bytes, and a longer body is transferred in pieces.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Creates a pool that keeps at most `idle` connections to one address.
+/// Creates a client that keeps at most `idle` idle connections to one address.
 ///
-/// Proxies of the environment are not used: the router talks to addresses it
-/// was given. Statuses are values, not errors.
+/// Proxies set in the environment are ignored, because the router connects directly to the
+/// addresses that it is configured with. An HTTP error status is returned as a response, not as an
+/// error.
 #[must_use]
 pub fn agent(idle: usize) -> Agent {
     let config = ureq::Agent::config_builder()
         .proxy(None)
         .max_redirects(0)
         .http_status_as_error(false)
-        .timeout_connect(Some(CONNECT))
-        .input_buffer_size(BUFFER)
-        .output_buffer_size(BUFFER)
+        .timeout_connect(Some(CONNECT_TIMEOUT))
+        .input_buffer_size(BUFFER_BYTES)
+        .output_buffer_size(BUFFER_BYTES)
         .max_idle_connections(idle * 64)
         .max_idle_connections_per_host(idle)
         .user_agent("fescuerack")
         .build();
-    ureq::Agent::with_parts(config, DefaultConnector::default(), Numbers::default())
+    ureq::Agent::with_parts(
+        config,
+        DefaultConnector::default(),
+        AddressResolver::default(),
+    )
 }
 
-/// An answer whose body has not been read.
+/// Response whose body has not been read.
 pub(crate) type Response = ureq::http::Response<ureq::Body>;
 
-/// Reads an answer that is JSON.
+/// Parses a JSON response; a status other than 200 is an error.
 pub(crate) fn json<T: serde::de::DeserializeOwned>(mut response: Response) -> Result<T, Fault> {
     if response.status() != 200 {
         return Err(refused(response));
@@ -56,7 +61,7 @@
         .map_err(|error| Fault::Malformed(error.to_string()))
 }
 
-/// Returns what an answer other than 200 says.
+/// Returns the error for a response with a status other than 200.
 pub(crate) fn refused(mut response: Response) -> Fault {
     Fault::Refused {
         status: response.status().as_u16(),
@@ -64,17 +69,17 @@
     }
 }
 
-/// Takes IP numbers as they are.
+/// Resolver that passes IP addresses through and resolves host names with the library's resolver.
 ///
-/// The library's resolver starts a thread for every request that has a
-/// timeout, also for a number and for a kept connection. That thread's turn on
-/// a busy machine cost the first token 3 ms.
+/// The library's resolver starts a thread for every request with a time-out, even if the host is
+/// an IP address or the request uses a pooled connection. On a busy machine, waiting for that
+/// thread to be scheduled delayed the first token by 3 ms.
 #[derive(Debug, Default)]
-struct Numbers {
-    names: DefaultResolver,
+struct AddressResolver {
+    default: DefaultResolver,
 }
 
-impl Resolver for Numbers {
+impl Resolver for AddressResolver {
     fn resolve(
         &self,
         uri: &Uri,
@@ -83,7 +88,7 @@
     ) -> Result<ResolvedSocketAddrs, ureq::Error> {
         let authority = uri.authority().map(Authority::as_str);
         let Some(Ok(address)) = authority.map(str::parse::<SocketAddr>) else {
-            return self.names.resolve(uri, config, timeout);
+            return self.default.resolve(uri, config, timeout);
         };
         let mut addresses = self.empty();
         addresses.push(address);
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,9 +1,8 @@
-//! The edges of the process: what it asks of the platform and of backend
-//! servers, and the HTTP clients that do so.
+//! Blocking HTTP clients of the platform's services and of backend servers.
 //!
-//! Each edge is a trait ([`Store`], [`Discovery`], [`Rater`]) so that a test
-//! can put something small in its place. Every call has a deadline and its
-//! failures say whether the call may have taken effect ([`Fault`]).
+//! The platform's services are traits ([`Store`], [`Discovery`], [`Rater`]), so that a test can
+//! substitute a small implementation. Every call has a deadline, and its error states whether the
+//! call may have taken effect ([`Fault`]).
 
 pub mod admin;
 mod discovery;
--- a/crates/client/src/limit.rs
+++ b/crates/client/src/limit.rs
@@ -1,4 +1,4 @@
-//! Rate, deadline and counts of calls to the key-value service.
+//! Rate limit, adaptive time-out and counters of calls to the key-value service.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -9,32 +9,30 @@
 
 use crate::Fault;
 
-/// Time within which a call is answered by a service in good order, with a
-/// wide margin.
-const LEAST_TIMEOUT_MS: u64 = 2_000;
-/// Longest time that a call waits. A slow service that answers after 5 s must
-/// still be usable: with a fixed time-out every call would take effect and
-/// none would ever be known to.
-const LARGEST_TIMEOUT_MS: u64 = 10_000;
-/// Longest time that a call waits for its token.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Minimum time-out of a call. A healthy service answers well within this time.
+const MIN_TIMEOUT_MS: u64 = 2_000;
+/// Maximum time-out of a call. A degraded service that answers after 5 s must remain usable: with a
+/// fixed, shorter time-out every call would take effect, but none could be confirmed.
+const MAX_TIMEOUT_MS: u64 = 10_000;
+/// Maximum time that a call waits for its token.
+const MAX_TOKEN_WAIT: Duration = Duration::from_secs(2);
 
-/// Calls that were made, by kind.
+/// Numbers of calls, by kind and result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct CallCounts {
     /// Reads, watches and leases.
     pub reads: u64,
-    /// Writes, the ledger's included.
+    /// Writes, including those of the ledger.
     pub writes: u64,
-    /// Calls that were held back for lack of a token.
+    /// Calls that were delayed or rejected for lack of a token.
     pub held_back: u64,
-    /// Calls without a usable answer.
+    /// Calls without an HTTP response.
     pub failed: u64,
 }
 
-/// What all users of one client share.
+/// State shared by all clones of one client of the service.
 #[derive(Debug)]
-pub struct Limit {
+pub struct CallLimiter {
     started: std::time::Instant,
     budget: Mutex<Option<Budget>>,
     timeout_ms: AtomicU64,
@@ -44,13 +42,13 @@
     failed: AtomicU64,
 }
 
-impl Limit {
-    /// Returns no limit of the rate: for an operator's tool.
+impl CallLimiter {
+    /// Creates a limiter without a rate limit, as operators' tools use it.
     pub fn new() -> Self {
         Self {
             started: std::time::Instant::now(),
             budget: Mutex::new(None),
-            timeout_ms: AtomicU64::new(LEAST_TIMEOUT_MS),
+            timeout_ms: AtomicU64::new(MIN_TIMEOUT_MS),
             reads: AtomicU64::new(0),
             writes: AtomicU64::new(0),
             held_back: AtomicU64::new(0),
@@ -62,7 +60,7 @@
         Instant::ORIGIN + self.started.elapsed()
     }
 
-    /// Keeps to the share of one of `nodes` instances.
+    /// Limits the rate to the share of one of `nodes` instances.
     pub fn set_node_count(&self, nodes: u32) {
         let now = self.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
@@ -71,8 +69,12 @@
             .set_node_count(nodes);
     }
 
-    /// Waits for a token.
-    pub fn enter(&self, lane: Lane) -> Result<(), Fault> {
+    /// Waits for a token and counts the call.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Fault::NotSent`] if no token becomes available within [`MAX_TOKEN_WAIT`].
+    pub fn acquire(&self, lane: Lane) -> Result<(), Fault> {
         let now = self.now();
         let at = {
             let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
@@ -81,10 +83,12 @@
                 return Ok(());
             };
             let at = budget.take(now, lane);
-            if at.since(now) > LONGEST_WAIT {
+            if at.since(now) > MAX_TOKEN_WAIT {
                 budget.give_back(lane);
                 self.held_back.fetch_add(1, Ordering::Relaxed);
-                return Err(Fault::NotSent("over the rate of this instance".to_owned()));
+                return Err(Fault::NotSent(
+                    "rate limit of this instance exceeded".to_owned(),
+                ));
             }
             at
         };
@@ -104,31 +108,34 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the time within which the next call must be answered.
+    /// Returns the time-out of the next call.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms.load(Ordering::Relaxed))
     }
 
-    /// Learns from a call that took `took`; `answered` says whether an answer
-    /// came.
-    pub fn learn(&self, took: Duration, answered: bool) {
+    /// Adapts the time-out to a call that took `elapsed`; `is_answered` is whether a response was
+    /// received.
+    ///
+    /// The time-out doubles after a call that timed out, and is halved after a call that was
+    /// answered in less than an eighth of it.
+    pub fn record_call(&self, elapsed: Duration, is_answered: bool) {
         let timeout = self.timeout_ms.load(Ordering::Relaxed);
-        let took_ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX);
-        let next = if answered && took_ms * 8 < timeout {
+        let elapsed_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
+        let next = if is_answered && elapsed_ms * 8 < timeout {
             timeout / 2
-        } else if !answered && took_ms >= timeout {
+        } else if !is_answered && elapsed_ms >= timeout {
             timeout * 2
         } else {
             timeout
         };
-        let next = next.clamp(LEAST_TIMEOUT_MS, LARGEST_TIMEOUT_MS);
+        let next = next.clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS);
         self.timeout_ms.store(next, Ordering::Relaxed);
-        if !answered {
+        if !is_answered {
             self.failed.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Returns the calls that were made.
+    /// Returns the numbers of calls so far.
     pub fn call_counts(&self) -> CallCounts {
         CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
--- a/crates/client/src/manifest.rs
+++ b/crates/client/src/manifest.rs
@@ -1,14 +1,13 @@
-//! The configuration in the store: files under their digests, and one manifest
-//! that names them.
+//! The configuration in the store: files, stored under their digests, and one manifest that names
+//! them.
 //!
-//! The manifest is swapped in one key, so all files of a change come into
-//! force together or not at all. The protocol is [`fescuerack_core::activation`];
-//! this module runs it over a [`Store`].
+//! The manifest is a single key that is replaced by compare-and-swap, so all files of a change
+//! become active together or not at all. The protocol is [`fescuerack_core::activation`]; this
+//! module runs it over a [`Store`].
 //!
-//! An operator's tool reads the manifest ([`read`]), works out what it would
-//! change ([`Plan`]), shows it, and puts it in force ([`apply`]). The manifest
-//! that the plan was made on goes with the wish: a file that somebody else has
-//! changed since then is a conflict.
+//! An operator's tool reads the manifest ([`read`]), computes the changes ([`Plan`]), shows them,
+//! and activates them ([`apply`]). The [`ChangeRequest`] contains the manifest on which the plan is
+//! based: if another operator has changed one of its files since then, the change is a conflict.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,14 +24,15 @@
 use crate::drive::{self, Timer as _, WallClock};
 use crate::{Store, Value};
 
-/// Time within which a change is put in force or given up.
-const DEADLINE: Duration = Duration::from_secs(10);
+/// Time after which an attempt to activate a change is abandoned.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads the manifest; `None` when none has ever been accepted.
+/// Reads the manifest and its version in the store, or `None` if no configuration has ever been
+/// accepted.
 ///
 /// # Errors
 ///
-/// When the store gives no answer or the manifest is malformed.
+/// Returns an error if the store does not answer or the manifest is malformed.
 pub fn read(store: &dyn Store) -> Result<Option<(u64, Manifest)>> {
     let Some(value) = store.get(KEY).context("read the manifest")? else {
         return Ok(None);
@@ -49,24 +49,28 @@
 ///
 /// # Errors
 ///
-/// When a file is missing or its content does not match its digest.
+/// Returns an error if the store does not answer, or if a file is missing or its content does not
+/// match its digest.
 pub fn fetch(store: &dyn Store, manifest: &Manifest) -> Result<Folder> {
     fetch_with(store, manifest, &Folder::new())
 }
 
-/// Reads of one file before it counts as missing.
-const FILE_READS: u32 = 3;
+/// Number of times that a file is read before it counts as missing.
+const MAX_FILE_READS: u32 = 3;
 
-/// Like [`fetch`], but reads only files that `have` does not hold.
+/// Like [`fetch`], but takes files with the right digest from `cached` instead of the store.
 ///
 /// # Errors
 ///
-/// When a file is missing or its content does not match its digest.
-pub fn fetch_with(store: &dyn Store, manifest: &Manifest, have: &Folder) -> Result<Folder> {
+/// Returns an error if the store does not answer, or if a file is missing or its content does not
+/// match its digest.
+pub fn fetch_with(store: &dyn Store, manifest: &Manifest, cached: &Folder) -> Result<Folder> {
     let mut result = Folder::new();
     for (name, file) in &manifest.files {
-        let held = have.files.get(name);
-        if let Some(content) = held.filter(|content| folder::digest(content) == file.digest) {
+        let cached_content = cached.files.get(name);
+        if let Some(content) =
+            cached_content.filter(|content| folder::digest(content) == file.digest)
+        {
             result = result.with_file(name, content.clone());
             continue;
         }
@@ -80,12 +84,11 @@
 
 /// Reads a file that a manifest names.
 ///
-/// A file is written before the manifest that names it and never goes, so one
-/// that is missing was looked for in a copy of the store that lags. Beginning
-/// again with the manifest could meet the same copies in the same order for
-/// ever; the file alone is read again.
+/// A file is written before the manifest that names it and is never deleted, so a missing file
+/// means that the read was served by a replica of the store that lags. Only the file is read again:
+/// starting over with the manifest could reach the same replicas in the same order every time.
 fn read_file(store: &dyn Store, digest: &str) -> Result<Bytes> {
-    for _ in 0..FILE_READS {
+    for _ in 0..MAX_FILE_READS {
         if let Some(value) = store.get(&blob_key(digest))? {
             return Ok(value.bytes);
         }
@@ -93,11 +96,11 @@
     bail!("it is missing in the store")
 }
 
-/// Verifies that a folder is exactly what a manifest names.
+/// Verifies that a folder contains exactly the files that a manifest names.
 ///
 /// # Errors
 ///
-/// When a file is missing, left over, or does not match its digest.
+/// Returns an error if a file is missing, does not match its digest, or is not in the manifest.
 pub fn verify(manifest: &Manifest, files: &Folder) -> Result<()> {
     for (name, file) in &manifest.files {
         let content = files.files.get(name);
@@ -107,26 +110,27 @@
         }
     }
     if files.files.len() != manifest.files.len() {
-        bail!("files are left over that the manifest does not name");
+        bail!("the folder contains files that the manifest does not name");
     }
     Ok(())
 }
 
-/// What a folder would change in a manifest.
+/// Changes that a folder would make to a manifest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Files that would be new.
+    /// Files that would be added.
     pub added: Vec<String>,
     /// Files whose content would change.
     pub changed: Vec<String>,
-    /// Files that would go.
+    /// Files that would be removed.
     pub removed: Vec<String>,
 }
 
 impl Plan {
-    /// Compares a folder with the manifest in force. Files that the folder
-    /// does not have go only when `remove` is set: a team that owns one file
-    /// brings only that one.
+    /// Compares a folder with the active manifest.
+    ///
+    /// Files that are missing from the folder are removed only if `remove` is set, because a team
+    /// that owns one file submits only that file.
     #[must_use]
     pub fn new(manifest: &Manifest, files: &Folder, remove: bool) -> Self {
         let mut plan = Self::default();
@@ -147,14 +151,14 @@
         plan
     }
 
-    /// Returns whether nothing would change.
+    /// Returns whether the plan contains no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.changed.is_empty() && self.removed.is_empty()
     }
 
-    /// Returns the wish that the plan stands for; author, reason and request
-    /// are left to be filled in.
+    /// Returns the change request for this plan, based on the manifest `base`. The caller fills in
+    /// author, reason and request.
     #[must_use]
     pub fn change_request(&self, base: Manifest, files: &Folder) -> ChangeRequest {
         let put = self.added.iter().chain(&self.changed);
@@ -169,61 +173,61 @@
     }
 }
 
-/// Returns wall-clock time in seconds since 1970.
+/// Returns the wall-clock time in seconds since the Unix epoch.
 #[must_use]
 pub fn unix_seconds() -> u64 {
     WallClock::new().now().0 / 1_000_000
 }
 
-/// Puts a wish in force. The same request may be sent again after
-/// [`Applied::Unknown`].
+/// Activates a change request. The same request may be sent again after [`Applied::Unknown`].
 pub fn apply(store: &dyn Store, change_request: ChangeRequest) -> Applied {
     let timer = WallClock::new();
     let seed = timer.now().0;
-    let mut machine = Apply::new(change_request, timer.now() + DEADLINE, seed);
+    let mut machine = Apply::new(change_request, timer.now() + APPLY_TIMEOUT, seed);
     drive::run(store, &timer, &mut machine)
 }
 
-/// Reads the last changes, the newest first, at most `most` of them.
+/// Reads the latest changes, newest first, up to `max_changes` of them.
 ///
 /// # Errors
 ///
-/// When the store gives no answer.
-pub fn history(store: &dyn Store, most: usize) -> Result<Vec<Change>> {
+/// Returns an error if the store does not answer or the history is malformed.
+pub fn history(store: &dyn Store, max_changes: usize) -> Result<Vec<Change>> {
     let Some((_, manifest)) = read(store)? else {
         return Ok(Vec::new());
     };
     let mut changes = vec![manifest.change.clone()];
     let newest = manifest.revision / CHANGES_PER_CHUNK;
     let oldest = newest.saturating_sub(CHUNK_COUNT - 1);
-    for round in (oldest..=newest).rev() {
-        if changes.len() >= most {
+    for index in (oldest..=newest).rev() {
+        if changes.len() >= max_changes {
             break;
         }
-        let Some(value) = store.get(&chunk_key(round * CHANGES_PER_CHUNK))? else {
+        let Some(value) = store.get(&chunk_key(index * CHANGES_PER_CHUNK))? else {
             continue;
         };
         let chunk: Chunk = parse(&value).context("parse the history")?;
-        let older = chunk.changes.into_iter().rev();
-        let in_round = older.filter(|change| change.revision / CHANGES_PER_CHUNK == round);
-        changes.extend(in_round.filter(|change| change.revision < manifest.revision));
+        // The ring of chunks reuses keys, so the chunk may hold revisions of another round.
+        let newest_first = chunk.changes.into_iter().rev();
+        let in_chunk = newest_first.filter(|change| change.revision / CHANGES_PER_CHUNK == index);
+        changes.extend(in_chunk.filter(|change| change.revision < manifest.revision));
     }
-    changes.truncate(most);
+    changes.truncate(max_changes);
     Ok(changes)
 }
 
-/// Puts a whole folder in force and returns its revision.
+/// Replaces the whole configuration by a folder and returns the new revision.
 ///
 /// # Errors
 ///
-/// When the change is refused, conflicts, or the store gives no answer.
+/// Returns an error if the change is refused or conflicts, or if the store does not answer.
 pub fn publish(store: &dyn Store, files: &Folder, author: &str) -> Result<u64> {
-    let (_, seen) = read(store)?.unwrap_or_default();
-    let plan = Plan::new(&seen, files, true);
+    let (_, base) = read(store)?.unwrap_or_default();
+    let plan = Plan::new(&base, files, true);
     let change_request = ChangeRequest {
         author: author.to_owned(),
         request: format!("publish-{author}-{}", WallClock::new().now().0),
-        ..plan.change_request(seen, files)
+        ..plan.change_request(base, files)
     };
     match apply(store, change_request) {
         Applied::Accepted { revision } | Applied::Unchanged { revision } => Ok(revision),
@@ -241,7 +245,7 @@
     }
 }
 
-/// Returns the digests of a manifest by file name.
+/// Returns the digest of each file of a manifest, by file name.
 #[must_use]
 pub fn digests(manifest: &Manifest) -> BTreeMap<String, String> {
     let files = manifest.files.iter();
--- a/crates/client/src/order.rs
+++ b/crates/client/src/order.rs
@@ -1,4 +1,4 @@
-//! Client of a model engine's orders.
+//! Client for orders to a model engine: loading and unloading of versions.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use crate::http::{json, refused};
 use crate::{Agent, Fault};
 
-/// Status of an order whose fencing number is too low.
+/// Status of an order that was refused because its fencing token is too low.
 pub const FENCED_STATUS: u16 = 409;
 
-/// Asks an engine what it has.
+/// Fetches the versions that an engine has loaded or is loading.
 ///
 /// # Errors
 ///
-/// When the engine gives no answer.
+/// Returns a [`Fault`] if the engine sends no valid answer.
 pub fn fetch_loaded(agent: &Agent, address: &str, timeout: Duration) -> Result<Loaded, Fault> {
     let response = agent
         .get(format!("http://{address}/v1/loaded"))
@@ -26,16 +26,16 @@
     json(response)
 }
 
-/// Gives an order, which must have ended within `timeout`.
+/// Sends an order and waits up to `timeout` for its completion.
 ///
-/// The time is counted by the client itself, also across a pause of the
-/// process, so an order whose time has passed is not written.
+/// The client measures the time-out itself, including pauses of the process, so an order is not
+/// written after its time has expired.
 ///
 /// # Errors
 ///
-/// [`Fault::Refused`] with [`FENCED_STATUS`] when the engine has seen a higher fencing
-/// number, with another status when it takes no order now;
-/// [`Fault::Unknown`] when the order may have taken effect.
+/// Returns [`Fault::Refused`] with [`FENCED_STATUS`] if the engine has received a higher fencing
+/// token, or with another status if it accepts no order at present. Returns [`Fault::Unknown`] if
+/// the order may have taken effect.
 pub fn send(agent: &Agent, address: &str, order: &Order, timeout: Duration) -> Result<(), Fault> {
     let response = agent
         .post(format!("http://{address}/v1/orders"))
--- a/crates/client/src/rating.rs
+++ b/crates/client/src/rating.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers.
+//! Client of the service that rates answers.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     ///
     /// # Errors
     ///
-    /// When the service is down, slow or turns the request away.
+    /// Returns a [`Fault`] if the service is unavailable, too slow or refuses the request.
     fn rate(&self, request: &rating::Request) -> Result<rating::Rating, Fault>;
 }
 
-/// The rating service over HTTP.
+/// Client of the rating service over HTTP.
 #[derive(Clone, Debug)]
 pub struct HttpRater {
     agent: Agent,
@@ -27,7 +27,7 @@
 impl HttpRater {
     const TIMEOUT: Duration = Duration::from_secs(2);
 
-    /// Creates a client of the service at `address`, as `host:port`.
+    /// Creates a client of the service at `address`, in the form `host:port`.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
--- a/crates/client/src/service.rs
+++ b/crates/client/src/service.rs
@@ -1,4 +1,4 @@
-//! Client of a plain service: one call, answered whole.
+//! Client of a plain service: one call with a complete, unstreamed answer.
 
 use std::time::Duration;
 
@@ -10,42 +10,42 @@
 /// One call of a plain service.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Address of the server, as `host:port`.
+    /// Address of the server, in the form `host:port`.
     pub address: String,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path below the service, without a leading slash.
+    /// Path relative to the service, without a leading slash.
     pub path: String,
-    /// Content type of the body, when there is one.
+    /// Content type of the body, if any.
     pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
-    /// Identifier of the attempt, which the server echoes.
+    /// Identifier of the attempt, echoed by the server.
     pub attempt: String,
-    /// Key of the caller, passed on so that the service can check it too.
+    /// Idempotency key of the caller, forwarded so that the service can check it too.
     pub idempotency_key: Option<String>,
 }
 
-/// The answer of a plain service.
+/// Answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Content type, when the service named one.
+    /// Content type, if the service sent one.
     pub content_type: Option<String>,
     /// Body.
     pub body: Bytes,
 }
 
-/// Header by which a server says that it did not start the call.
+/// Response header by which a server reports that it did not start the call.
 pub const NOT_STARTED: &str = "x-not-started";
 
 /// Makes a call.
 ///
 /// # Errors
 ///
-/// A [`Fault`] that says whether the service may have run the call;
-/// [`Fault::Refused`] only when the server itself said that it did not start.
+/// Returns a [`Fault`] that states whether the service may have executed the call. It is
+/// [`Fault::Refused`] only if the server itself reported that it did not start the call.
 pub fn call(agent: &Agent, call: &Call, timeout: Duration) -> Result<Answer, Fault> {
     let method = ureq::http::Method::from_bytes(call.method.as_bytes())
         .map_err(|error| Fault::NotSent(error.to_string()))?;
@@ -53,8 +53,8 @@
         .method(method)
         .uri(format!("http://{}/{}", call.address, call.path))
         .header(header::ATTEMPT, &call.attempt);
-    if let Some(kind) = &call.content_type {
-        request = request.header("content-type", kind);
+    if let Some(content_type) = &call.content_type {
+        request = request.header("content-type", content_type);
     }
     if let Some(key) = &call.idempotency_key {
         request = request.header(header::IDEMPOTENCY, key);
@@ -74,7 +74,7 @@
     let echoed = response.headers().get(header::ATTEMPT);
     if echoed.is_none_or(|echoed| echoed.as_bytes() != call.attempt.as_bytes()) {
         return Err(Fault::Malformed(
-            "answer to another attempt, or to none".to_owned(),
+            "attempt identifier missing or of another attempt".to_owned(),
         ));
     }
     let content_type = response.headers().get("content-type");
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service.
+//! Client of the platform's key-value service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,36 +8,36 @@
 use fescuerack_wire::{header, kv};
 
 use crate::http::Response;
-use crate::limit::Limit;
+use crate::limit::CallLimiter;
 use crate::{Agent, CallCounts, Fault, agent};
 
 pub use fescuerack_core::store::Value;
 
-/// Result of a compare-and-swap that was surely decided.
+/// Result of a compare-and-swap whose outcome is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swap {
     /// The value was written and has this version.
     Swapped(u64),
-    /// Somebody else's value stands, with this version.
+    /// Nothing was written: the current value has this version.
     Conflict(u64),
 }
 
-/// Compare-and-swap, leases and watches.
+/// A key-value store with compare-and-swap, leases and watches.
 pub trait Store: Send + Sync {
-    /// Reads a value.
+    /// Reads a value, or `None` if the key is absent.
     ///
     /// # Errors
     ///
-    /// When the service gives no answer.
+    /// Returns a [`Fault`] if the service does not answer.
     fn get(&self, key: &str) -> Result<Option<Value>, Fault>;
 
-    /// Writes a value if its version is `expected` (0: if it is absent), under
-    /// a lease if one is given.
+    /// Writes a value if the key's current version is `expected` (0: if the key is absent), bound
+    /// to a lease if one is given.
     ///
     /// # Errors
     ///
-    /// [`Fault::Unknown`] when the write may have taken effect: read back
-    /// before deciding.
+    /// Returns [`Fault::Unknown`] if the write may have taken effect; the caller must read the key
+    /// before it decides what to do.
     fn swap(
         &self,
         key: &str,
@@ -50,94 +50,96 @@
     ///
     /// # Errors
     ///
-    /// When the service gives no answer.
+    /// Returns a [`Fault`] if the service does not answer.
     fn keys(&self, prefix: &str) -> Result<kv::Keys, Fault>;
 
-    /// Waits until a key under `prefix` has a version above `after`, or until
-    /// `wait` has passed, and returns the latest version.
+    /// Waits until a key under `prefix` has a version above `after` or until `wait` has elapsed, and
+    /// returns the latest version.
     ///
     /// # Errors
     ///
-    /// When the service gives no answer.
+    /// Returns a [`Fault`] if the service does not answer.
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<u64, Fault>;
 
     /// Grants a lease.
     ///
     /// # Errors
     ///
-    /// When the service gives no answer; a lease that was granted all the same
-    /// lapses by itself.
+    /// Returns a [`Fault`] if the service does not answer; a lease that was granted anyway expires
+    /// by itself.
     fn grant(&self, ttl: Duration) -> Result<kv::Lease, Fault>;
 
     /// Renews a lease.
     ///
     /// # Errors
     ///
-    /// When the service gives no answer or the lease has lapsed.
+    /// Returns a [`Fault`] if the service does not answer or the lease has expired.
     fn renew(&self, lease: u64) -> Result<kv::Lease, Fault>;
 }
 
-/// The key-value service over HTTP. Clones share connections and rate.
+/// Client of the key-value service over HTTP. Clones share connections and the rate limit.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     agent: Agent,
     url: String,
-    limit: Arc<Limit>,
-    writes: Lane,
+    limiter: Arc<CallLimiter>,
+    write_lane: Lane,
 }
 
 impl HttpStore {
-    /// Idle connections that are kept.
-    const IDLE: usize = 16;
+    /// Maximum number of idle connections.
+    const MAX_IDLE_CONNECTIONS: usize = 16;
 
-    /// Creates a client of the platform at `address`, as `host:port`. Its rate
-    /// is unlimited until [`HttpStore::set_node_count`] says how many share it.
+    /// Creates a client of the platform at `address`, in the form `host:port`. Its rate is
+    /// unlimited until [`HttpStore::set_node_count`] sets how many instances share the rate of the
+    /// fleet.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
-            agent: agent(Self::IDLE),
+            agent: agent(Self::MAX_IDLE_CONNECTIONS),
             url: format!("http://{address}"),
-            limit: Arc::new(Limit::new()),
-            writes: Lane::Write,
+            limiter: Arc::new(CallLimiter::new()),
+            write_lane: Lane::Write,
         }
     }
 
-    /// Returns a client whose writes are the ledger's.
+    /// Returns a client whose writes count against the rate of the ledger.
     #[must_use]
     pub fn for_ledger(&self) -> Self {
         Self {
-            writes: Lane::Ledger,
+            write_lane: Lane::Ledger,
             ..self.clone()
         }
     }
 
-    /// Keeps to the share of one of `nodes` live instances.
+    /// Limits the rate to the share of one of `nodes` live instances.
     pub fn set_node_count(&self, nodes: u32) {
-        self.limit.set_node_count(nodes);
+        self.limiter.set_node_count(nodes);
     }
 
-    /// Returns the calls that were made.
+    /// Returns the numbers of calls so far.
     #[must_use]
     pub fn call_counts(&self) -> CallCounts {
-        self.limit.call_counts()
+        self.limiter.call_counts()
     }
 
-    /// Makes a call within the rate and the time that the service needs.
+    /// Makes a call within the rate limit and the adaptive time-out. `wait` is the time that the
+    /// service itself waits before it answers; it is added to the time-out.
     fn call(
         &self,
         lane: Lane,
         wait: Duration,
-        make: impl FnOnce(Duration) -> Result<Response, ureq::Error>,
+        send: impl FnOnce(Duration) -> Result<Response, ureq::Error>,
     ) -> Result<Response, Fault> {
-        self.limit.enter(lane)?;
+        self.limiter.acquire(lane)?;
         let start = std::time::Instant::now();
-        let result = make(self.limit.timeout() + wait);
-        let took = start.elapsed().saturating_sub(wait);
-        self.limit.learn(took, result.is_ok());
+        let result = send(self.limiter.timeout() + wait);
+        let elapsed = start.elapsed().saturating_sub(wait);
+        self.limiter.record_call(elapsed, result.is_ok());
         result.map_err(|error| Fault::from_client(&error))
     }
 
-    fn read(&self, path: &str, wait: Duration) -> Result<Response, Fault> {
+    fn send_get(&self, path: &str, wait: Duration) -> Result<Response, Fault> {
         let url = format!("{}{path}", self.url);
         self.call(Lane::Read, wait, |timeout| {
             let request = self.agent.get(url).config();
@@ -145,7 +147,7 @@
         })
     }
 
-    fn lease(&self, path: &str) -> Result<kv::Lease, Fault> {
+    fn send_lease_request(&self, path: &str) -> Result<kv::Lease, Fault> {
         let url = format!("{}{path}", self.url);
         json(self.call(Lane::Read, Duration::ZERO, |timeout| {
             let request = self.agent.post(url).config();
@@ -160,14 +162,16 @@
         .get(header::KV_VERSION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok())
-        .ok_or_else(|| Fault::Malformed("no version in the answer".to_owned()))
+        .ok_or_else(|| {
+            Fault::Malformed(format!("header {} missing or invalid", header::KV_VERSION))
+        })
 }
 
 fn refused(mut response: Response) -> Fault {
     let status = response.status().as_u16();
     let message = response.body_mut().read_to_string().unwrap_or_default();
     if status >= 500 {
-        // A failure inside the service says nothing about the write.
+        // After an internal error of the service, the write may or may not have taken effect.
         return Fault::Unknown(format!("status {status}: {message}"));
     }
     Fault::Refused { status, message }
@@ -185,7 +189,7 @@
 
 impl Store for HttpStore {
     fn get(&self, key: &str) -> Result<Option<Value>, Fault> {
-        let mut response = self.read(&format!("/v1/kv/{key}"), Duration::ZERO)?;
+        let mut response = self.send_get(&format!("/v1/kv/{key}"), Duration::ZERO)?;
         match response.status().as_u16() {
             200 => {
                 let version = version(&response)?;
@@ -219,7 +223,7 @@
         }
         let lease = lease.map_or_else(String::new, |lease| format!("&lease={lease}"));
         let url = format!("{}/v1/kv/{key}?version={expected}{lease}", self.url);
-        let response = self.call(self.writes, Duration::ZERO, |timeout| {
+        let response = self.call(self.write_lane, Duration::ZERO, |timeout| {
             let request = self.agent.put(url).config();
             request
                 .timeout_global(Some(timeout))
@@ -234,21 +238,21 @@
     }
 
     fn keys(&self, prefix: &str) -> Result<kv::Keys, Fault> {
-        json(self.read(&format!("/v1/keys?prefix={prefix}"), Duration::ZERO)?)
+        json(self.send_get(&format!("/v1/keys?prefix={prefix}"), Duration::ZERO)?)
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<u64, Fault> {
         let wait_ms = wait.as_millis();
         let path = format!("/v1/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let keys: kv::Keys = json(self.read(&path, wait)?)?;
+        let keys: kv::Keys = json(self.send_get(&path, wait)?)?;
         Ok(keys.version)
     }
 
     fn grant(&self, ttl: Duration) -> Result<kv::Lease, Fault> {
-        self.lease(&format!("/v1/leases?ttl_ms={}", ttl.as_millis()))
+        self.send_lease_request(&format!("/v1/leases?ttl_ms={}", ttl.as_millis()))
     }
 
     fn renew(&self, lease: u64) -> Result<kv::Lease, Fault> {
-        self.lease(&format!("/v1/leases/{lease}"))
+        self.send_lease_request(&format!("/v1/leases/{lease}"))
     }
 }
