--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,7 +1,7 @@
-//! Messages of the administration API on the operators' port.
+//! Messages of the administration API on the operators' port. All messages are JSON.
 //!
-//! `docs/openapi.yaml` describes the paths; a test compares it with these
-//! types and with the answers of a running process. All messages are JSON.
+//! `docs/openapi.yaml` describes the API; a test compares it with these types and with the answers
+//! of a running process.
 
 use std::collections::BTreeMap;
 
@@ -10,35 +10,34 @@
 use fescuerack_config::effect::Effect;
 use serde::{Deserialize, Serialize};
 
-/// A change that an operator proposes: files, or an action by name.
+/// A change that an operator proposes: either files or a named action.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Proposal {
-    /// Identifier chosen by the sender; sending the same proposal again under
-    /// the same identifier changes nothing more.
+    /// Identifier chosen by the sender. Sending the same proposal again under the same identifier
+    /// has no further effect.
     pub request: String,
-    /// Why the change is made; kept in the history.
+    /// Reason for the change, recorded in the history.
     pub why: String,
-    /// Text of each file to put; `null` for each to remove.
+    /// Text of each file to write, or `null` for a file to remove.
     pub files: BTreeMap<String, Option<String>>,
-    /// Digest of each file that the proposal was made on. A file that has
-    /// another digest meanwhile is a conflict. A file that is not named here
-    /// is taken as it stands.
+    /// Digest of each file on which the proposal is based. If the file has a different digest by
+    /// now, the proposal is a conflict. A file that is not listed here is not checked.
     pub seen: BTreeMap<String, String>,
-    /// Action, in place of files.
+    /// Action, used instead of files.
     pub action: Option<Action>,
 }
 
-/// What a proposal would do.
+/// Changes and effects that a proposal would have.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Revision that it was compared with.
+    /// Revision that the proposal was compared with.
     pub revision: u64,
-    /// Files that would be new.
+    /// Files that would be added.
     pub added: Vec<String>,
     /// Files whose text would change.
     pub changed: Vec<String>,
-    /// Files that would go.
+    /// Files that would be removed.
     pub removed: Vec<String>,
     /// Effects, losses first.
     pub effects: Vec<Effect>,
@@ -47,38 +46,38 @@
 /// A change that was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Revision in force.
+    /// Revision of the active configuration.
     pub revision: u64,
-    /// Whether everything stood like this already.
+    /// Whether the configuration already had the requested content.
     pub unchanged: bool,
     /// Effects, losses first.
     pub effects: Vec<Effect>,
 }
 
-/// What went wrong with an operator's request; each kind has one HTTP status.
+/// Kind of an error of an operator's request. Each kind has one HTTP status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The request is not well formed.
+    /// The request is malformed.
     InvalidRequest,
-    /// No token of an operator was presented.
+    /// The request has no valid operator token.
     Unauthorized,
     /// The change lies outside the operator's scope.
     Forbidden,
-    /// No such path.
+    /// The path does not exist.
     NotFound,
-    /// Somebody else changed a file meanwhile, or the identifier was used for
-    /// another proposal. Nothing was changed.
+    /// Another operator has changed a file in the meantime, or the identifier was used for another
+    /// proposal. Nothing was changed.
     Conflict,
     /// The body is too large.
     TooLarge,
-    /// The configuration that would come out holds problems, or the action
-    /// makes no sense for it. Nothing was changed.
+    /// The resulting configuration is invalid, or the action does not apply to the active
+    /// configuration. Nothing was changed.
     Refused,
-    /// The store gives no answer. Nothing was changed.
+    /// The store does not answer. Nothing was changed.
     StoreOut,
-    /// The store gave no answer after the change was sent. It may be in force;
-    /// sending the same proposal again tells.
+    /// The store did not answer after the change was sent. The change may be active; sending the
+    /// same proposal again determines whether it is.
     OutcomeUnknown,
 }
 
@@ -103,10 +102,10 @@
 /// An error of the administration API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
-    /// What went wrong.
+    /// Kind of the error.
     #[serde(rename = "type")]
     pub kind: Kind,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
     /// Problems with their positions.
     #[serde(default)]
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Adds problems.
+    /// Returns the error with `problems`.
     #[must_use]
     pub fn with_problems(mut self, problems: Vec<Problem>) -> Self {
         self.problems = problems;
@@ -132,129 +131,129 @@
     }
 }
 
-/// Body of an answer that is an error.
+/// Body of an error answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
     /// The error.
     pub error: Error,
 }
 
-/// One process in short.
+/// Summary of one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Name of the instance.
     pub instance: String,
     /// Availability zone.
     pub zone: String,
-    /// Name of this start of the process.
+    /// Name of the incarnation, which changes with every restart of the process.
     pub incarnation: String,
-    /// Whether it takes callers.
+    /// Whether the process accepts requests of callers.
     pub ready: bool,
-    /// Whether it refuses new requests.
+    /// Whether the process is draining and refuses new requests.
     pub draining: bool,
-    /// Revision of the configuration in force.
+    /// Revision of the active configuration.
     pub revision: u64,
 }
 
-/// Where an answer comes from.
+/// Origin of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// The store: the latest that was accepted.
+    /// The store, which holds the configuration that was accepted last.
     #[default]
     Store,
-    /// The instance's own copy: what is in force here. The store gave no
+    /// The local copy of the instance, which holds its active configuration. The store did not
     /// answer, so a later change may have been accepted.
     Instance,
 }
 
-/// The configuration.
+/// A configuration, with its origin and revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Where it comes from.
+    /// Origin of the configuration.
     pub source: Source,
     /// Revision.
     pub revision: u64,
-    /// Files by name.
+    /// Files, by name.
     pub files: BTreeMap<String, File>,
 }
 
 /// One file of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct File {
-    /// Digest of its text.
+    /// Digest of the text.
     pub digest: String,
-    /// Who changed it last.
+    /// Author of the last change.
     pub author: String,
-    /// Revision at which it was changed last.
+    /// Revision of the last change.
     pub revision: u64,
     /// Text.
     pub text: String,
 }
 
-/// The last changes, the newest first.
+/// The latest changes, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
     /// Changes.
     pub changes: Vec<Change>,
 }
 
-/// One change.
+/// One change of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision that it made.
+    /// Revision that the change made.
     pub revision: u64,
-    /// Who made it.
+    /// Author.
     pub author: String,
-    /// Why.
+    /// Reason.
     pub why: String,
-    /// When, in seconds since 1970.
+    /// Wall-clock time, in seconds since the Unix epoch.
     pub at: u64,
     /// Identifier of the operator's request.
     pub request: String,
-    /// Files that were put.
+    /// Files that were added or changed.
     pub put: Vec<String>,
     /// Files that were removed.
     pub removed: Vec<String>,
 }
 
-/// The instances of fescuerack, as the one that answers knows them.
+/// The instances of the router, as recorded by the instance that answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
-    /// Instances, by name.
+    /// Instances, ordered by name.
     pub instances: Vec<Instance>,
 }
 
-/// One instance.
+/// One instance of the router.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Name.
     pub instance: String,
     /// Availability zone.
     pub zone: String,
-    /// Revision in force there; `null` when it gave no answer.
+    /// Revision of its active configuration, or `null` if the instance did not answer.
     pub revision: Option<u64>,
-    /// Whether the platform's list shows it as leaving.
+    /// Whether the platform lists the instance as leaving.
     pub leaving: bool,
 }
 
-/// The ledger's totals.
+/// Totals of the billing ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// One sum for each organisation and version.
     pub sums: Vec<Sum>,
-    /// Entries that were dropped because their request was seen before.
+    /// Number of duplicate entries that were dropped, by request identity.
     pub doubles: u64,
 }
 
-/// What one organisation owes for one version.
+/// Amount that one organisation owes for one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sum {
     /// Organisation.
     pub organisation: String,
     /// Version, or the name of a plain service.
     pub version: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
     /// Input tokens.
     pub input_tokens: u64,
--- a/crates/wire/src/chat.rs
+++ b/crates/wire/src/chat.rs
@@ -1,44 +1,44 @@
-//! Chat completions in the shape that is usual among model APIs.
+//! Chat completions and text completions, in the format that is common among model APIs.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::{Map, Value};
 
-/// A request for a completion. Fields that the router does not need are kept
-/// and passed on to the engine.
+/// A request for a completion. Fields that the router does not interpret are preserved and forwarded
+/// to the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// A model, a `model@version`, or `auto:<class>`.
+    /// A model, `model@version` or `auto:<class>`.
     pub model: String,
-    /// Whether the answer is streamed; `null` is taken as `false`.
+    /// Whether the answer is streamed; `null` counts as `false`.
     #[serde(default, deserialize_with = "null_as_default")]
     pub stream: bool,
-    /// Everything else, `messages` or `prompt` among it.
+    /// All other fields, including `messages` or `prompt`.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
 
-/// Number of tokens that a request used.
+/// Numbers of tokens that a request used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Input tokens.
     pub prompt_tokens: u64,
     /// Output tokens.
     pub completion_tokens: u64,
-    /// Both.
+    /// Input and output tokens.
     pub total_tokens: u64,
 }
 
-/// The text of one choice, whole or a part of a stream. Fields that the router
-/// does not need, such as `tool_calls`, are kept and passed on.
+/// The text of one choice: the complete text, or one part of a stream. Fields that the router does
+/// not interpret, such as `tool_calls`, are preserved and forwarded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// Role of the speaker.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
-    /// Text; empty where an engine sends `null`.
+    /// Text; empty if the engine sends `null`.
     #[serde(default, deserialize_with = "null_as_default")]
     pub content: String,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
@@ -46,26 +46,26 @@
 /// One choice of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
-    /// Position among the choices.
+    /// Index of the choice in the answer.
     pub index: u32,
-    /// Whole text, in an answer to `/v1/chat/completions` that is not streamed.
+    /// Complete text, in an unstreamed answer of `/v1/chat/completions`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<Message>,
-    /// Part of the text, in a stream of `/v1/chat/completions`.
+    /// Part of the text, in a streamed answer of `/v1/chat/completions`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Message>,
-    /// Text or a part of it, in answers to `/v1/completions`.
+    /// Complete text or a part of it, in answers of `/v1/completions`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
-    /// Why the text ended.
+    /// Reason why the text ended.
     #[serde(default)]
     pub finish_reason: Option<String>,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
 
-/// An answer or one event of a stream.
+/// An unstreamed answer, or one event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
     /// Identifier of the request.
@@ -77,16 +77,16 @@
     /// Version that answered.
     #[serde(default)]
     pub model: String,
-    /// Choices; none in the event that carries the usage.
+    /// Choices; empty in the event that contains the usage.
     pub choices: Vec<Choice>,
-    /// Tokens used; present at the end.
+    /// Tokens used; present only at the end of an answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
-    /// Cost in micro-euro; present at the end of a stream, whose headers have
-    /// left long before.
+    /// Cost in micro-euro; present at the end of a stream, because its headers are sent before the
+    /// cost is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cost_micro_euro: Option<u64>,
-    /// Everything else.
+    /// All other fields.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
@@ -99,13 +99,13 @@
     Ok(Option::deserialize(deserializer)?.unwrap_or_default())
 }
 
-/// Last event of a stream that ended whole.
+/// Data of the last event of a complete stream.
 pub const DONE: &str = "[DONE]";
 
 /// One entry of the model list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
-    /// Name to put into `model`.
+    /// Name to use in the field `model` of a request.
     pub id: String,
     /// Always `model`.
     pub object: String,
--- a/crates/wire/src/discovery.rs
+++ b/crates/wire/src/discovery.rs
@@ -1,26 +1,28 @@
-//! The platform's list of instances: `GET /v1/instances`. It lags.
+//! Service discovery: the platform's list of instances, `GET /v1/instances`.
+//!
+//! The list lags behind the actual state.
 
 use fescuerack_core::route::State;
 use serde::{Deserialize, Serialize};
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Identifier.
     pub id: String,
-    /// Fleet: a backend of the configuration, or `fescuerack` for our own.
+    /// Fleet: a backend of the configuration, or `fescuerack` for instances of the router.
     pub fleet: String,
     /// Availability zone.
     pub zone: String,
-    /// Address of its service, as `host:port`.
+    /// Address of the service, in the form `host:port`.
     pub address: String,
-    /// Whether it takes new work.
+    /// Whether the instance accepts new work.
     pub state: State,
 }
 
-/// The list.
+/// The list of instances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
-    /// Instances in no particular order.
+    /// Instances, in no particular order.
     pub instances: Vec<Instance>,
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,34 +1,34 @@
-//! Typed errors in the bodies of answers.
+//! Typed errors in the bodies of answers to callers.
 
 use serde::{Deserialize, Serialize};
 
-/// What went wrong; each kind has one HTTP status.
+/// Kind of an error. Each kind has one HTTP status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The request is not well formed.
+    /// The request is malformed.
     InvalidRequest,
-    /// No valid key was presented.
+    /// The request has no valid API key.
     Unauthorized,
-    /// The organisation may not use what it asked for.
+    /// The organisation is not permitted to use what it requested.
     Forbidden,
-    /// No such path.
+    /// The path does not exist.
     NotFound,
-    /// The path has no such method.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The idempotency key was used with another body, or still runs.
+    /// The idempotency key was used with another body, or its request is still running.
     Conflict,
     /// The body or a header is too large.
     TooLarge,
-    /// The sender was too slow.
+    /// The caller sent the request too slowly.
     SlowSender,
-    /// Turned away because of load.
+    /// The request was refused because of overload.
     Overloaded,
-    /// No healthy version or server could take the request.
+    /// No healthy version or server can accept the request.
     Unavailable,
-    /// The request was sent and its end is not known.
+    /// The request was sent to a server, but its outcome is unknown.
     OutcomeUnknown,
-    /// The deadline passed.
+    /// The deadline has expired.
     DeadlineExceeded,
     /// The backend server failed.
     UpstreamFailed,
@@ -55,19 +55,19 @@
     }
 }
 
-/// An error as callers see it.
+/// An error in an answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
-    /// What went wrong.
+    /// Kind of the error.
     #[serde(rename = "type")]
     pub kind: Kind,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
-    /// `done`, `not-run` or `unknown`.
+    /// Outcome of the request: `done`, `not-run` or `unknown`.
     pub outcome: String,
 }
 
-/// Body of an answer that is an error.
+/// Body of an error answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Body {
     /// The error.
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -1,11 +1,11 @@
-//! The platform's key-value service.
+//! Messages of the platform's key-value service.
 //!
-//! `GET /v1/kv/<key>` answers the value with its version in a header, or 404.
-//! `PUT /v1/kv/<key>?version=<v>&lease=<id>` swaps the value if its version is
-//! still `v` (0: if absent) and answers the new version, or 409.
-//! `GET /v1/keys?prefix=<p>` lists keys. `GET /v1/watch?prefix=<p>&after=<v>`
-//! waits for a change after version `v`. `POST /v1/leases?ttl_ms=<n>` grants a
-//! lease and `POST /v1/leases/<id>` renews it.
+//! - `GET /v1/kv/<key>` returns the value, with its version in a header, or 404.
+//! - `PUT /v1/kv/<key>?version=<v>&lease=<id>` replaces the value if its version is still `v` (0: if
+//!   the key is absent) and returns the new version, or 409.
+//! - `GET /v1/keys?prefix=<p>` lists keys.
+//! - `GET /v1/watch?prefix=<p>&after=<v>` waits for a change after version `v`.
+//! - `POST /v1/leases?ttl_ms=<n>` grants a lease, and `POST /v1/leases/<id>` renews it.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
 pub struct Item {
     /// Key.
     pub key: String,
-    /// Version of the value; every write of any key takes the next number.
+    /// Version of the value. Versions are global: each write, of any key, gets the next number.
     pub version: u64,
 }
 
@@ -23,15 +23,15 @@
 pub struct Keys {
     /// Latest version of the service.
     pub version: u64,
-    /// The keys.
+    /// Keys with their versions.
     pub items: Vec<Item>,
 }
 
 /// A lease that was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Identifier; rises with every grant, so it also serves for fencing.
+    /// Identifier. It increases with every grant, so it can also serve as a fencing token.
     pub id: u64,
-    /// Milliseconds until it lapses unless renewed.
+    /// Milliseconds until the lease expires unless it is renewed.
     pub ttl_ms: u64,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,12 @@
-//! Messages of fescuerack: towards callers ([`chat`], [`error`], [`header`]),
-//! towards operators ([`admin`]), the platform ([`kv`], [`discovery`], [`rating`]) and
-//! backend servers.
+//! Messages that the router exchanges with other processes.
 //!
-//! Codecs come from serde; this crate only gives the shapes and their names.
+//! - Callers: [`chat`], [`error`], [`header`] and [`token`].
+//! - Operators: [`admin`].
+//! - Services of the platform: [`kv`], [`discovery`] and [`rating`].
+//! - Backend servers: [`chat`], [`load`] and [`order`].
+//! - Other instances of the router: [`peer`].
+//!
+//! Serialisation is left to serde; this crate defines only the types and the names on the wire.
 
 pub mod admin;
 pub mod chat;
--- a/crates/wire/src/load.rs
+++ b/crates/wire/src/load.rs
@@ -1,21 +1,23 @@
-//! The load that a model engine reports: `GET /load`. It lags.
+//! The load report of a model engine: `GET /load`.
+//!
+//! A report lags behind the actual load; [`Report::age_ms`] states by how much.
 
 use serde::{Deserialize, Serialize};
 
-/// A report of load.
+/// A load report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// Milliseconds since the report was made.
+    /// Age of the report in milliseconds.
     pub age_ms: u64,
-    /// Tokens of the requests that run and wait.
+    /// Tokens of the running and waiting requests.
     pub work: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Adapters that are loaded.
+    /// Loaded adapters.
     pub adapters: Vec<String>,
-    /// Whether the engine takes no new work.
+    /// Whether the engine is leaving and accepts no new work.
     pub leaving: bool,
 }
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -1,8 +1,8 @@
-//! Orders to model engines: `POST /v1/orders`, and `GET /v1/loaded`.
+//! Orders to model engines, `POST /v1/orders`, and the list of loaded versions, `GET /v1/loaded`.
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine is to do.
+/// Action that an order requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -12,22 +12,22 @@
     Unload,
 }
 
-/// An order.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number; an engine that fences refuses one that is lower than
-    /// the highest it has seen.
+    /// Fencing token. An engine that supports fencing refuses an order whose token is lower than
+    /// the highest one that it has received.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// What to do.
+    /// Action.
     pub action: Action,
-    /// Version, as `model@version`.
+    /// Version, in the form `model@version`.
     pub version: String,
 }
 
-/// What an engine has.
+/// Versions at an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loaded {
-    /// Versions that it has or is loading.
+    /// Versions that are loaded or being loaded.
     pub versions: Vec<String>,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,9 +1,9 @@
-//! Messages between instances, carried by JSON-RPC.
+//! Messages between instances of the router, sent by JSON-RPC.
 //!
-//! Every message is sealed with a key that all instances of a fleet share, so
-//! that nobody else can tell an instance that a peer leaves or that a roll-out
-//! was halted. The seal covers the exact text of the message; repeated
-//! messages are refused by [`fescuerack_core::member::ReplayWindow`].
+//! Every message carries a seal: an HMAC-SHA-256 of its exact text, under a key that all instances
+//! of a fleet share. Without it, any process could report to an instance that a peer is leaving or
+//! that a roll-out was halted. Messages are authenticated but not encrypted. Replayed messages are
+//! refused by [`fescuerack_core::member::ReplayWindow`].
 
 use std::collections::BTreeMap;
 
@@ -21,30 +21,30 @@
 
 /// Name of the JSON-RPC method that exchanges messages.
 pub const EXCHANGE_METHOD: &str = "exchange";
-/// Least number of characters of the shared key.
+/// Minimum length of the shared key.
 pub const MIN_KEY_BYTES: usize = 16;
 
-/// What an instance tells its peers with its messages. Each field is one
-/// slice; an instance of another version may know more or fewer.
+/// Soft state that an instance sends to its peers with each message. Each field is one slice. An
+/// instance of another release may support more or fewer slices.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Shares of organisations' limits.
+    /// Shares of the organisations' rate limits.
     pub rates: rate::Digest,
-    /// Pools that fail.
+    /// Failing pools.
     pub pools: pools::Digest,
-    /// Servers that leave.
+    /// Servers that are leaving.
     #[serde(rename = "words")]
     pub leaving_servers: leaving::Digest,
-    /// Counts of roll-outs.
+    /// Counters of roll-outs.
     pub rollouts: rollout::Digest,
-    /// Ratings.
+    /// Ratings of versions.
     pub quality: cascade::Digest,
-    /// Requests that crashed servers.
+    /// Requests that crash servers.
     pub suspects: poison::Digest,
 }
 
-/// Soft state that every instance should hold alike. Each field is one slice.
+/// Soft state that is replicated to all instances. Each field is one slice.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SharedState {
     /// Halts and steps of roll-outs, by model.
@@ -52,17 +52,17 @@
     pub rollouts: BTreeMap<String, rollout::Record>,
 }
 
-/// Returns each field of `all` by its name; a slice that has nothing to tell is
-/// left out.
+/// Returns the fields of `all` by name, without those that have their default value and so contain
+/// nothing to report.
 #[must_use]
 pub fn non_default_slices<T: Serialize + Default>(all: &T) -> BTreeMap<String, Value> {
-    let nothing = all_slices(&T::default());
+    let defaults = all_slices(&T::default());
     let mut slices = all_slices(all);
-    slices.retain(|slice, state| nothing.get(slice) != Some(state));
+    slices.retain(|slice, state| defaults.get(slice) != Some(state));
     slices
 }
 
-/// Returns each field of `all` by its name.
+/// Returns the fields of `all` by name.
 #[must_use]
 pub fn all_slices<T: Serialize>(all: &T) -> BTreeMap<String, Value> {
     match serde_json::to_value(all) {
@@ -71,33 +71,33 @@
     }
 }
 
-/// Returns what holds `slices`; a slice that is malformed or not known is left
-/// out, so that one slice of another version does not silence the rest.
+/// Returns the value whose fields are `slices`. A slice that is malformed or unknown is ignored, so
+/// that one slice of another release does not invalidate the others.
 #[must_use]
 pub fn from_slices<T: DeserializeOwned + Default>(slices: BTreeMap<String, Value>) -> T {
-    let mut known = serde_json::Map::new();
+    let mut valid = serde_json::Map::new();
     for (slice, state) in slices {
-        let alone = Value::Object(std::iter::once((slice.clone(), state.clone())).collect());
-        if serde_json::from_value::<T>(alone).is_ok() {
-            known.insert(slice, state);
+        let single = Value::Object(std::iter::once((slice.clone(), state.clone())).collect());
+        if serde_json::from_value::<T>(single).is_ok() {
+            valid.insert(slice, state);
         }
     }
-    serde_json::from_value(Value::Object(known)).unwrap_or_default()
+    serde_json::from_value(Value::Object(valid)).unwrap_or_default()
 }
 
-/// A message with the seal of the fleet's key.
+/// A message with its seal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Sealed {
-    /// Seal, in hex.
+    /// HMAC-SHA-256 of the body, in hexadecimal.
     pub seal: String,
     /// Text of the message.
     pub body: Box<RawValue>,
 }
 
-/// Why a sealed message cannot be opened.
+/// Reason why a sealed message cannot be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// The seal is not that of the fleet's key.
+    /// The seal does not match the message and the fleet's key.
     #[error("the seal is wrong")]
     Seal,
     /// The message is malformed.
@@ -106,19 +106,20 @@
 }
 
 fn mac(key: &[u8], body: &str) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("a key of any length is taken");
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
     mac.update(body.as_bytes());
     mac
 }
 
-/// Seals a message.
+/// Serialises a message and seals it.
 ///
 /// # Panics
 ///
-/// Never: a message has only fields that JSON can hold.
+/// Never: messages contain only fields that JSON can represent.
 #[must_use]
 pub fn seal(key: &[u8], message: &impl Serialize) -> Sealed {
-    let body = to_raw_value(message).expect("a message has only plain fields");
+    let body =
+        to_raw_value(message).expect("a message contains only fields that JSON can represent");
     let seal = mac(key, body.get()).finalize().into_bytes();
     Sealed {
         seal: hex::encode(seal),
@@ -126,11 +127,11 @@
     }
 }
 
-/// Opens a sealed message.
+/// Verifies a sealed message and deserialises it.
 ///
 /// # Errors
 ///
-/// When its seal is wrong or it is malformed.
+/// Returns a [`Refusal`] if the seal is wrong or the message is malformed.
 pub fn open<T: DeserializeOwned>(key: &[u8], sealed: &Sealed) -> Result<T, Refusal> {
     let seal = hex::decode(&sealed.seal).map_err(|_| Refusal::Seal)?;
     mac(key, sealed.body.get())
--- a/crates/wire/src/rating.rs
+++ b/crates/wire/src/rating.rs
@@ -1,21 +1,21 @@
-//! The service that rates answers: `POST /v1/ratings`.
+//! Messages of the service that rates answers: `POST /v1/ratings`.
 
 use serde::{Deserialize, Serialize};
 
 /// An answer to be rated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Class of work.
+    /// Class of the request.
     pub class: String,
     /// Version that answered.
     pub version: String,
-    /// The answer.
+    /// Text of the answer.
     pub answer: String,
 }
 
-/// A rating.
+/// Rating of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rating {
-    /// Quality, 0 to 1.
+    /// Quality, in the range 0 to 1.
     pub quality: f64,
 }
--- a/crates/wire/src/token.rs
+++ b/crates/wire/src/token.rs
@@ -1,20 +1,21 @@
-//! The token that a caller hands back with the next request of a session.
+//! Session token, which a caller returns with the next request of its session.
 //!
-//! It names the versions that the session keeps and is signed, so that nobody
-//! starts a new session on a closed version by writing one. It is bound to
-//! organisation and session by the key that the fleet's instances share; a token that does not fit is as good as none.
+//! The token contains the versions to which the session is pinned. It is signed with the key that
+//! the fleet's instances share; otherwise, a caller could start a new session on a closed version
+//! by forging a token. The signature covers organisation and session, so a token is valid only for
+//! them. An invalid token is treated like a missing one.
 
 use fescuerack_core::session::Pins;
 use hmac::{Hmac, KeyInit as _, Mac as _};
 use sha2::Sha256;
 
-/// Bytes of the signature that are handed out.
-const SIGNATURE: usize = 16;
+/// Length to which the signature is truncated.
+const SIGNATURE_BYTES: usize = 16;
 
 fn mac(secret: &[u8], organisation: &str, session: &str, pins: &str) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("keys of any length are taken");
-    // The key also seals the messages of instances: the first part keeps the
-    // two apart.
+    let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC accepts keys of any length");
+    // The same key seals the messages between instances. The first part separates the two domains,
+    // so that neither kind of signature is valid as the other.
     for part in ["session token", organisation, session, pins] {
         mac.update(part.as_bytes());
         mac.update(&[0]);
@@ -22,21 +23,22 @@
     mac
 }
 
-/// Returns the token of a session.
+/// Returns the signed token of a session.
 #[must_use]
 pub fn sign(secret: &[u8], organisation: &str, session: &str, pins: &Pins) -> String {
     let pins = pins.to_string();
     let signature = mac(secret, organisation, session, &pins).finalize();
-    let signature = hex::encode(&signature.into_bytes()[..SIGNATURE]);
+    let signature = hex::encode(&signature.into_bytes()[..SIGNATURE_BYTES]);
     format!("{signature}.{pins}")
 }
 
-/// Reads a token; `None` when it is malformed, forged or another session's.
+/// Returns the versions in a token, or `None` if the token is malformed, forged or issued for
+/// another session.
 #[must_use]
 pub fn verify(secret: &[u8], organisation: &str, session: &str, token: &str) -> Option<Pins> {
     let (signature, pins) = token.split_once('.')?;
     let signature = hex::decode(signature).ok()?;
-    if signature.len() != SIGNATURE {
+    if signature.len() != SIGNATURE_BYTES {
         return None;
     }
     mac(secret, organisation, session, pins)
