--- a/crates/config/src/effect/organisations.rs
+++ b/crates/config/src/effect/organisations.rs
@@ -71,8 +71,10 @@
             let count_missing = |from: &[String], to: &[String]| {
                 from.iter().filter(|key| !to.contains(key)).count()
             };
-            let removed = count_missing(&old.keys, &new.keys);
-            let added = count_missing(&new.keys, &old.keys);
+            let (removed, added) = (
+                count_missing(&old.keys, &new.keys),
+                count_missing(&new.keys, &old.keys),
+            );
             if removed > 0 {
                 let text = format!("{removed} keys are no longer accepted");
                 push(effects, Kind::Loses, &subject, text);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,8 +4,9 @@
 //! ([`merge`]), references are checked and the result is compiled into a
 //! [`Catalog`], in which every name is a small `Copy` key ([`key`]).
 //!
-//! Only [`folder::Folder::read`] performs I/O: it loads the files of a directory. Merge and compilation are pure functions, so every
-//! instance derives the same catalog from the same manifest.
+//! Only [`folder::Folder::read`] performs I/O: it loads the files of a
+//! directory. Merge and compilation are pure functions, so every instance
+//! derives the same catalog from the same manifest.
 
 mod catalog;
 pub mod change;
