--- a/crates/client/src/manifest.rs
+++ b/crates/client/src/manifest.rs
@@ -144,9 +144,9 @@
             }
         }
         if remove {
-            let gone = manifest.files.keys();
-            let gone = gone.filter(|name| !files.files.contains_key(*name));
-            plan.removed = gone.cloned().collect();
+            let missing = manifest.files.keys();
+            let missing = missing.filter(|name| !files.files.contains_key(*name));
+            plan.removed = missing.cloned().collect();
         }
         plan
     }
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -53,8 +53,8 @@
     /// Returns a [`Fault`] if the service does not answer.
     fn keys(&self, prefix: &str) -> Result<kv::Keys, Fault>;
 
-    /// Waits until a key under `prefix` has a version above `after` or until `wait` has elapsed, and
-    /// returns the latest version.
+    /// Waits until a key under `prefix` has a version above `after` or until `wait` has elapsed,
+    /// and returns the latest version.
     ///
     /// # Errors
     ///
--- a/crates/wire/src/chat.rs
+++ b/crates/wire/src/chat.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::{Map, Value};
 
-/// A request for a completion. Fields that the router does not interpret are preserved and forwarded
-/// to the engine.
+/// A request for a completion. Fields that the router does not interpret are preserved and
+/// forwarded to the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
     /// A model, `model@version` or `auto:<class>`.
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -1,8 +1,8 @@
 //! Messages of the platform's key-value service.
 //!
 //! - `GET /v1/kv/<key>` returns the value, with its version in a header, or 404.
-//! - `PUT /v1/kv/<key>?version=<v>&lease=<id>` replaces the value if its version is still `v` (0: if
-//!   the key is absent) and returns the new version, or 409.
+//! - `PUT /v1/kv/<key>?version=<v>&lease=<id>` replaces the value if its version is still `v` (0:
+//!   if the key is absent) and returns the new version, or 409.
 //! - `GET /v1/keys?prefix=<p>` lists keys.
 //! - `GET /v1/watch?prefix=<p>&after=<v>` waits for a change after version `v`.
 //! - `POST /v1/leases?ttl_ms=<n>` grants a lease, and `POST /v1/leases/<id>` renews it.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,7 +14,6 @@
 pub mod error;
 pub mod header;
 pub mod kv;
-
 pub mod load;
 pub mod order;
 pub mod peer;
--- a/crates/wire/src/rating.rs
+++ b/crates/wire/src/rating.rs
@@ -5,7 +5,7 @@
 /// An answer to be rated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Class of the request.
+    /// Class of work.
     pub class: String,
     /// Version that answered.
     pub version: String,
