--- a/crates/node/src/activation.rs
+++ b/crates/node/src/activation.rs
@@ -19,8 +19,8 @@
 use fescuerack_core::store::Backoff;
 use serde_json::json;
 
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::peer_fallback::{self, Request};
-use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Time for which one watch waits at the store.
@@ -150,7 +150,7 @@
 }
 
 /// Watches the manifest in the store until `stop` is set.
-pub fn watch(shared: &Arc<Shared>, stop: &Stop) {
+pub fn watch(shared: &Arc<NodeState>, stop: &Stop) {
     let mut backoff = Backoff::new(shared.random());
     loop {
         let version = shared.configuration.manifest_version.load(Ordering::SeqCst);
@@ -177,7 +177,7 @@
 }
 
 /// Reads the manifest whenever there is a reason to, until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     let mut backoff = Backoff::new(shared.random());
     loop {
         update_store_share(shared);
@@ -202,13 +202,13 @@
 }
 
 /// Sets this instance's share of the store's rate from the size of the fleet.
-fn update_store_share(shared: &Shared) {
+fn update_store_share(shared: &NodeState) {
     shared
         .store
         .set_node_count(peer_fallback::fleet_size(shared));
 }
 
-fn record_store_state(shared: &Shared, is_out: bool) {
+fn record_store_state(shared: &NodeState, is_out: bool) {
     let mut inner = lock(&shared.configuration.inner);
     if inner.is_store_out == is_out {
         return;
@@ -224,7 +224,7 @@
 /// Reads the manifest and activates its configuration. The next watch waits on
 /// the version that was read and not on the version of the event: if the read
 /// returned an old version, the same event must be returned again.
-fn read_manifest(shared: &Shared) -> Result<()> {
+fn read_manifest(shared: &NodeState) -> Result<()> {
     let Some((version, manifest)) = manifest::read(&shared.store)? else {
         return Ok(());
     };
@@ -240,7 +240,7 @@
 }
 
 /// Returns a random delay that spreads the reads of the fleet after a change.
-fn jitter(shared: &Shared) -> Duration {
+fn jitter(shared: &NodeState) -> Duration {
     let nodes = u64::from(peer_fallback::fleet_size(shared));
     let width_ms = nodes * CALLS_PER_CHANGE * 1000 / FLEET_CALLS_PER_SECOND;
     Duration::from_millis(shared.random() % (width_ms + 1))
@@ -248,7 +248,7 @@
 
 /// Activates a verified configuration. If it does not compile, it is refused as
 /// a whole and the previous one stays active.
-fn activate(shared: &Shared, manifest: Manifest, folder: Folder, source: &Source) {
+fn activate(shared: &NodeState, manifest: Manifest, folder: Folder, source: &Source) {
     let revision = manifest.revision;
     let active = match compile(shared, revision, &folder) {
         Ok(active) => active,
@@ -274,7 +274,7 @@
     log::info!(revision, source; "configuration activated");
 }
 
-fn refuse(shared: &Shared, revision: u64, problem: &anyhow::Error) {
+fn refuse(shared: &NodeState, revision: u64, problem: &anyhow::Error) {
     shared.metrics.count("force.refused");
     let problem = format!("{problem:#}");
     log::error!(revision, problem; "configuration refused; the old one stays");
@@ -283,7 +283,7 @@
     inner.problem = Some(problem);
 }
 
-fn compile(shared: &Shared, revision: u64, folder: &Folder) -> Result<ActiveConfiguration> {
+fn compile(shared: &NodeState, revision: u64, folder: &Folder) -> Result<ActiveConfiguration> {
     let merged = Merged::new(folder)
         .map_err(|problems| anyhow!("{}", problems[0]))
         .context("merge the configuration in force")?;
@@ -300,7 +300,7 @@
 
 /// Activates the highest revision that a peer offers and whose files verify, if
 /// this instance has no configuration or has learned of a newer revision.
-fn fetch_from_peers(shared: &Arc<Shared>) {
+fn fetch_from_peers(shared: &Arc<NodeState>) {
     let revision = lock(&shared.configuration.inner).follower.revision();
     let peer_revision = shared.configuration.peer_revision.load(Ordering::SeqCst);
     if revision > 0 && peer_revision <= revision {
@@ -329,7 +329,7 @@
 }
 
 /// Fetches the files of a manifest from a peer and verifies them.
-fn fetch_files(shared: &Shared, address: &str, manifest: &Manifest) -> Result<Folder> {
+fn fetch_files(shared: &NodeState, address: &str, manifest: &Manifest) -> Result<Folder> {
     let mut folder = Folder::new();
     for (name, file) in &manifest.files {
         let content =
--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 
 use crate::clock::Clock;
-use crate::shared::lock;
+use crate::node_state::lock;
 
 type Decision = Result<Grant, Refusal>;
 
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -10,7 +10,7 @@
 use super::reply::Refusal;
 use super::request::Call;
 use crate::admission::Permit;
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 
 /// Priority of a request that names no class of work.
 const DEFAULT_PRIORITY: u8 = 5;
@@ -21,7 +21,7 @@
 ///
 /// When it is refused; nothing was run.
 pub async fn admit(
-    shared: &Shared,
+    shared: &NodeState,
     call: &Call,
     class: Option<key::Class>,
 ) -> Result<Permit, Refusal> {
@@ -34,7 +34,7 @@
     })
 }
 
-fn admission_request(shared: &Shared, call: &Call, class: Option<key::Class>) -> Request {
+fn admission_request(shared: &NodeState, call: &Call, class: Option<key::Class>) -> Request {
     let active = shared.active_configuration();
     let organisation = active.catalog.organisations.get(call.organisation);
     let entry = class.and_then(|class| active.catalog.classes.get(class));
@@ -61,7 +61,7 @@
 }
 
 /// Takes a request from the organisation's rate limit, if it has one.
-fn check_rate(shared: &Shared, call: &Call) -> Result<(), Refusal> {
+fn check_rate(shared: &NodeState, call: &Call) -> Result<(), Refusal> {
     let active = shared.active_configuration();
     let organisation = active.catalog.organisations.get(call.organisation);
     let Some(rate) = organisation.and_then(|organisation| organisation.rate) else {
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -16,7 +16,7 @@
 use super::upstream::{self, Events};
 use crate::admission::Meter;
 use crate::in_flight::LEAVING_MESSAGE;
-use crate::shared::{ActiveConfiguration, Shared, lock};
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::versions::suspects;
 
 /// Maximum number of attempts of one request, hedges included.
@@ -60,7 +60,7 @@
 
 /// Runs the attempts of one completion.
 pub struct AttemptRunner {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     active: Arc<ActiveConfiguration>,
     attempts: Attempts,
     spec: AttemptSpec,
@@ -77,7 +77,11 @@
 
 impl AttemptRunner {
     /// Prepares the attempts of `spec`; none is made yet.
-    pub fn new(shared: Arc<Shared>, active: Arc<ActiveConfiguration>, spec: AttemptSpec) -> Self {
+    pub fn new(
+        shared: Arc<NodeState>,
+        active: Arc<ActiveConfiguration>,
+        spec: AttemptSpec,
+    ) -> Self {
         Self {
             attempts: Attempts::new(true, spec.deadline, MAX_ATTEMPTS),
             prompt: Prompt::new(&spec.body),
--- a/crates/node/src/callers/billing.rs
+++ b/crates/node/src/callers/billing.rs
@@ -9,7 +9,7 @@
 use fescuerack_wire::chat::Usage;
 
 use super::request::Call;
-use crate::shared::{ActiveConfiguration, Shared};
+use crate::node_state::{ActiveConfiguration, NodeState};
 
 /// Tokens and cost of the steps of one request, which one ledger entry bills.
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,7 +39,7 @@
 /// Called before the end of the answer is sent: the caller waits a few
 /// milliseconds until the entry is durable.
 pub async fn completion(
-    shared: &Arc<Shared>,
+    shared: &Arc<NodeState>,
     active: &ActiveConfiguration,
     call: &Call,
     version: key::Version,
@@ -62,7 +62,7 @@
 
 /// Bills an answered call of a plain service under the identity `billing_id`.
 pub async fn call(
-    shared: &Arc<Shared>,
+    shared: &Arc<NodeState>,
     active: &ActiveConfiguration,
     call: &Call,
     service: &str,
@@ -97,7 +97,7 @@
 }
 
 /// Waits until an entry is durable, up to `ledger_wait_ms`.
-async fn wait_until_durable(shared: &Arc<Shared>, ticket: Ticket) {
+async fn wait_until_durable(shared: &Arc<NodeState>, ticket: Ticket) {
     let start = shared.now();
     let wait = Duration::from_millis(shared.settings.limits.ledger_wait_ms);
     if !shared.ledger.wait_durable(ticket, wait).await {
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -9,7 +9,7 @@
 
 use super::reply::{Refusal, Reply, with_header};
 use super::request::Call;
-use crate::shared::{ActiveConfiguration, Shared, lock};
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 
 /// Priority of a request that names no class of work.
 const DEFAULT_PRIORITY: u8 = 5;
@@ -57,7 +57,7 @@
 /// organisation may not use get the same refusal, which reveals nothing about
 /// the models of other organisations.
 pub fn choose(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     call: &Call,
     chat_request: &chat::Request,
@@ -139,7 +139,7 @@
 
 /// Returns the pinned versions in the caller's token; none if the token is not
 /// valid for this session.
-fn pins(shared: &Shared, active: &ActiveConfiguration, call: &Call) -> Pins {
+fn pins(shared: &NodeState, active: &ActiveConfiguration, call: &Call) -> Pins {
     let (Some(session), Some(token)) = (&call.session, &call.session_token) else {
         return Pins::new();
     };
@@ -150,7 +150,7 @@
 
 /// Returns the session headers after the placement of this request.
 fn updated_session(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     call: &Call,
     model: &str,
--- a/crates/node/src/callers/collect.rs
+++ b/crates/node/src/callers/collect.rs
@@ -9,7 +9,7 @@
 
 use super::attempts::{StartedAnswer, outcome_of};
 use super::format::{Endpoint, UsageCounter};
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Fields that have their full value in every part; the texts of all other
 /// fields are pieces to be joined.
@@ -32,7 +32,7 @@
     ///
     /// The outcome of the attempt when the answer is incomplete.
     pub async fn read(
-        shared: &Shared,
+        shared: &NodeState,
         body: &[u8],
         started: StartedAnswer,
     ) -> Result<Self, AttemptOutcome> {
--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -20,11 +20,11 @@
 use super::stream::{self, Stream};
 use super::{admit, billing};
 use crate::admission::Permit;
-use crate::shared::{ActiveConfiguration, Shared};
+use crate::node_state::{ActiveConfiguration, NodeState};
 
 /// A request that has been admitted.
 struct Job {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     active: Arc<ActiveConfiguration>,
     start: Instant,
     call: Call,
@@ -34,7 +34,7 @@
 }
 
 /// Answers a completion request.
-pub async fn answer(shared: Arc<Shared>, call: Call) -> Reply {
+pub async fn answer(shared: Arc<NodeState>, call: Call) -> Reply {
     let chat_request: chat::Request = match serde_json::from_slice(&call.body) {
         Ok(chat_request) => chat_request,
         Err(error) => return not_run_error(Kind::InvalidRequest, &format!("body: {error}")),
--- a/crates/node/src/callers/connection.rs
+++ b/crates/node/src/callers/connection.rs
@@ -37,7 +37,7 @@
 use super::reply::{Reply, error_body, outcome_name};
 use super::serve;
 use super::write_timeout::Socket;
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Time for which bytes that arrive on a closed connection are read and dropped:
 /// several round trips to a client in the region, short compared with a
@@ -53,7 +53,7 @@
 type ReplyFuture = Pin<Box<dyn Future<Output = Result<Reply, Infallible>> + Send>>;
 
 /// Serves a connection until either side ends it.
-pub async fn run(shared: Arc<Shared>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
+pub async fn run(shared: Arc<NodeState>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
     // With Nagle's algorithm a token would wait for the acknowledgement of the
     // one before it.
     let _ = stream.set_nodelay(true);
@@ -109,7 +109,7 @@
 }
 
 fn answer(
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     close_announced: Arc<AtomicBool>,
     request: hyper::Request<Incoming>,
 ) -> ReplyFuture {
--- a/crates/node/src/callers/format.rs
+++ b/crates/node/src/callers/format.rs
@@ -6,7 +6,7 @@
 
 use super::prompt::Prompt;
 use super::reply::Refusal;
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Endpoint of a completion; decides the format of request and answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -144,14 +144,14 @@
     }
 
     /// Returns the usage if any part was received.
-    pub fn usage_if_any(&self, shared: &Shared, body: &[u8]) -> Option<Usage> {
+    pub fn usage_if_any(&self, shared: &NodeState, body: &[u8]) -> Option<Usage> {
         (self.parts > 0).then(|| self.usage(shared, body))
     }
 
     /// Returns the usage that the engine reported, or an estimate from the number
     /// of parts and the length of the request. Without the estimate, an answer
     /// whose caller disconnects before its end would not be billed.
-    pub fn usage(&self, shared: &Shared, body: &[u8]) -> Usage {
+    pub fn usage(&self, shared: &NodeState, body: &[u8]) -> Usage {
         self.reported.unwrap_or_else(|| {
             shared.metrics.count("callers.usage_estimated");
             let prompt_tokens = u64::from(Prompt::new(body).tokens);
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -34,14 +34,14 @@
 use hyper::Method;
 use hyper::body::Incoming;
 
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 pub use port::Port;
 use reply::{ErrorSummary, Refusal, Reply, buffered_reply, with_header};
 use request::Call;
 use route::Route;
 
 /// Answers a request and counts the reply if it is a typed error.
-async fn serve(shared: Arc<Shared>, request: hyper::Request<Incoming>) -> Reply {
+async fn serve(shared: Arc<NodeState>, request: hyper::Request<Incoming>) -> Reply {
     shared.metrics.count("callers.requests");
     let reply = answer(&shared, request).await;
     let reply = reply.unwrap_or_else(Reply::from);
@@ -54,7 +54,10 @@
     reply
 }
 
-async fn answer(shared: &Arc<Shared>, request: hyper::Request<Incoming>) -> Result<Reply, Refusal> {
+async fn answer(
+    shared: &Arc<NodeState>,
+    request: hyper::Request<Incoming>,
+) -> Result<Reply, Refusal> {
     if shared.draining.load(Ordering::SeqCst) {
         let message = "this instance is shutting down; not run";
         return Err(Refusal::new(Kind::Unavailable, message));
--- a/crates/node/src/callers/models.rs
+++ b/crates/node/src/callers/models.rs
@@ -6,10 +6,10 @@
 
 use super::reply::{Reply, json_reply};
 use super::request::Call;
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Lists the models, versions and classes of work that the caller may name.
-pub fn answer(shared: &Shared, call: &Call) -> Reply {
+pub fn answer(shared: &NodeState, call: &Call) -> Reply {
     let active = shared.active_configuration();
     let mut ids = BTreeSet::new();
     if let Some(organisation) = active.catalog.organisations.get(call.organisation) {
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -10,12 +10,12 @@
 use fescuerack_wire::chat::{Completion, Usage};
 
 use super::collect::Answer;
-use crate::shared::{ActiveConfiguration, Shared, lock};
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::versions::ratings;
 
 /// Observes the answer of one version while it is received.
 pub struct Observer {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     active: Arc<ActiveConfiguration>,
     version: key::Version,
     class: Option<key::Class>,
@@ -27,7 +27,7 @@
     /// Starts to observe an answer. One that the cascade rates (`is_rated`) is
     /// not sampled for another rating.
     pub fn new(
-        shared: &Arc<Shared>,
+        shared: &Arc<NodeState>,
         active: &Arc<ActiveConfiguration>,
         version: key::Version,
         class: Option<key::Class>,
--- a/crates/node/src/callers/plan_runner.rs
+++ b/crates/node/src/callers/plan_runner.rs
@@ -27,7 +27,7 @@
 use super::observer::Observer;
 use super::request::Call;
 use crate::admission::Meter;
-use crate::shared::{ActiveConfiguration, Shared};
+use crate::node_state::{ActiveConfiguration, NodeState};
 use crate::versions::ratings;
 
 /// Milliseconds for which a request waits when no plan's pool has a server.
@@ -40,7 +40,7 @@
 /// Runs the plans of one request.
 pub struct PlanRunner<'a> {
     /// State of the process.
-    pub shared: &'a Arc<Shared>,
+    pub shared: &'a Arc<NodeState>,
     /// Configuration under which the request runs.
     pub active: &'a Arc<ActiveConfiguration>,
     /// The request.
--- a/crates/node/src/callers/port.rs
+++ b/crates/node/src/callers/port.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 
 use super::connection;
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Time within which callers refused during the shutdown may read their
 /// refusals.
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// When the address cannot be bound.
-    pub async fn new(shared: Arc<Shared>) -> Result<Self> {
+    pub async fn new(shared: Arc<NodeState>) -> Result<Self> {
         let listen = shared.settings.listen.callers.clone();
         let listener = TcpListener::bind(&listen)
             .await
@@ -101,7 +101,7 @@
 }
 
 struct Acceptor {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     listener: TcpListener,
     phase: watch::Receiver<Phase>,
     open: Arc<Semaphore>,
--- a/crates/node/src/callers/request.rs
+++ b/crates/node/src/callers/request.rs
@@ -13,7 +13,7 @@
 use hyper::http::request::Parts;
 
 use super::reply::Refusal;
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Deadline in milliseconds of a request whose caller sets none.
 const DEFAULT_DEADLINE_MS: u64 = 120_000;
@@ -83,7 +83,7 @@
 /// # Errors
 ///
 /// The typed error to answer with; nothing was run.
-pub fn head(shared: &Shared, parts: &Parts) -> Result<Head, Refusal> {
+pub fn head(shared: &NodeState, parts: &Parts) -> Result<Head, Refusal> {
     let headers = &parts.headers;
     let organisation = authorise(shared, headers)?;
     let deadline = shared.now().plus_millis(deadline_ms(headers)?);
@@ -126,7 +126,7 @@
     Ok(value.map(str::to_owned))
 }
 
-fn authorise(shared: &Shared, headers: &HeaderMap) -> Result<key::Organisation, Refusal> {
+fn authorise(shared: &NodeState, headers: &HeaderMap) -> Result<key::Organisation, Refusal> {
     let presented = text(headers, "authorization")?
         .and_then(|value| value.strip_prefix("Bearer "))
         .ok_or_else(|| {
@@ -165,7 +165,7 @@
 /// # Errors
 ///
 /// The typed error to answer with; nothing was run.
-pub async fn body(shared: &Shared, body: Incoming) -> Result<Bytes, Refusal> {
+pub async fn body(shared: &NodeState, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = &shared.settings.limits;
     let timeout = Duration::from_millis(limits.body_timeout_ms);
     let limited = Limited::new(body, limits.body_bytes).collect();
--- a/crates/node/src/callers/service.rs
+++ b/crates/node/src/callers/service.rs
@@ -14,7 +14,7 @@
 use super::request::Call;
 use super::{admit, billing};
 use crate::claims;
-use crate::shared::{ActiveConfiguration, Shared};
+use crate::node_state::{ActiveConfiguration, NodeState};
 
 /// Maximum number of attempts of one call. Only an idempotent call, or one that
 /// certainly has not run, is attempted again.
@@ -25,7 +25,7 @@
 
 /// A call of a service that has been admitted.
 struct Job {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     active: Arc<ActiveConfiguration>,
     call: Call,
     service: Service,
@@ -40,7 +40,7 @@
 }
 
 /// Answers a call; `rest` is `<service>/<path>`.
-pub async fn answer(shared: Arc<Shared>, call: Call, rest: &str) -> Reply {
+pub async fn answer(shared: Arc<NodeState>, call: Call, rest: &str) -> Reply {
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let active = shared.active_configuration();
     let allowed = active
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -20,12 +20,12 @@
 use super::stream_body::{Sender, StreamBody};
 use super::upstream::Events;
 use crate::admission::Permit;
-use crate::shared::{ActiveConfiguration, Shared};
+use crate::node_state::{ActiveConfiguration, NodeState};
 
 /// An answer that is streamed to the caller.
 pub struct Stream {
     /// State of the process.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<NodeState>,
     /// Configuration under which the request runs.
     pub active: Arc<ActiveConfiguration>,
     /// The request.
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -23,7 +23,7 @@
 use super::attempts::AttemptSpec;
 use crate::admission::Meter;
 use crate::in_flight::InFlight;
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 use crate::versions::suspects;
 
 /// Number of events that are buffered for a slow reader before the engine's
@@ -55,13 +55,18 @@
 
 /// Cancels an attempt at its engine.
 struct Cancel {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     runtime: Handle,
     attempt: Attempt,
 }
 
 /// Starts an attempt.
-pub fn start(shared: &Arc<Shared>, running: InFlight, spec: AttemptSpec, meter: Meter) -> Events {
+pub fn start(
+    shared: &Arc<NodeState>,
+    running: InFlight,
+    spec: AttemptSpec,
+    meter: Meter,
+) -> Events {
     let (sender, receiver) = mpsc::channel(BUFFERED_EVENTS);
     let attempt = Attempt {
         address: running.address.clone(),
@@ -163,7 +168,7 @@
 
 /// Reads the events of one attempt.
 struct Reader {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     attempt: Attempt,
     deadline: Instant,
     sender: mpsc::Sender<Result<Event, Fault>>,
--- a/crates/node/src/callers/write_timeout.rs
+++ b/crates/node/src/callers/write_timeout.rs
@@ -15,19 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// A socket with a limit on writes that make no progress.
 pub struct Socket {
     stream: TcpStream,
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     limit: Duration,
     waiting: Option<Pin<Box<Sleep>>>,
 }
 
 impl Socket {
     /// Wraps `stream`; the limit is `write_timeout_ms` of the settings.
-    pub fn new(shared: Arc<Shared>, stream: TcpStream) -> Self {
+    pub fn new(shared: Arc<NodeState>, stream: TcpStream) -> Self {
         let limit = Duration::from_millis(shared.settings.limits.write_timeout_ms);
         Self {
             stream,
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -15,7 +15,7 @@
 use fescuerack_core::claim::{Claim, Claiming, Name, Outcome, RETENTION_MS, Recording, State};
 use fescuerack_core::clock::Instant;
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 use crate::stop::Stop;
 
 /// Milliseconds for which new claims share a lease. Then a new one is granted,
@@ -88,7 +88,7 @@
         lock(&self.backlog).len()
     }
 
-    fn push(&self, shared: &Shared, until: Instant, job: Job) {
+    fn push(&self, shared: &NodeState, until: Instant, job: Job) {
         let mut backlog = lock(&self.backlog);
         let bytes: usize = backlog.iter().map(|(_, job)| job.size()).sum();
         if bytes + job.size() > MAX_BACKLOG_BYTES {
@@ -114,7 +114,7 @@
 }
 
 /// Returns the lease that removes a new claim after its retention.
-fn lease(shared: &Shared) -> Option<u64> {
+fn lease(shared: &NodeState) -> Option<u64> {
     let now = shared.wall.now();
     let mut current = lock(&shared.claims.lease);
     if let Some((id, until)) = *current
@@ -134,7 +134,7 @@
 }
 
 /// Claims `name`; while the store is unavailable, tries until `deadline`.
-pub fn claim(shared: &Shared, name: &Name, deadline: Instant) -> Outcome {
+pub fn claim(shared: &NodeState, name: &Name, deadline: Instant) -> Outcome {
     let max_waiting = (shared.settings.limits.concurrency / PLACES_PER_WAITING_CLAIM).max(1);
     let waiting = shared.claims.waiting.fetch_add(1, Ordering::SeqCst);
     let outcome = if waiting < max_waiting {
@@ -147,7 +147,7 @@
     outcome
 }
 
-fn try_claim(shared: &Shared, name: &Name, deadline: Instant) -> Outcome {
+fn try_claim(shared: &NodeState, name: &Name, deadline: Instant) -> Outcome {
     let remaining = deadline.since(shared.now());
     let until = shared.wall.now() + remaining;
     let nonce = shared.random();
@@ -169,13 +169,13 @@
 /// Returns whether a claimed call may still be sent: its deadline has not
 /// passed. A process that was paused between claim and send must not send a call
 /// whose outcome other instances already report as unknown.
-pub fn may_send(shared: &Shared, claim: &Claim) -> bool {
+pub fn may_send(shared: &NodeState, claim: &Claim) -> bool {
     shared.wall.now() < claim.record.deadline
 }
 
 /// Records the outcome of a claimed call. Returns after [`RECORD_TIMEOUT_MS`] at
 /// the latest and leaves a record that was not written to the backlog.
-pub fn record(shared: &Shared, claim: &Claim, state: State) {
+pub fn record(shared: &NodeState, claim: &Claim, state: State) {
     let now = shared.wall.now();
     let mut machine = Recording::new(claim, state.clone(), now.plus_millis(RECORD_TIMEOUT_MS));
     if !drive::run(&shared.store, &shared.wall, &mut machine) {
@@ -189,7 +189,7 @@
 }
 
 /// Writes the records of the backlog until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
         record_next(shared, Duration::from_millis(BACKLOG_ATTEMPT_MS));
     }
@@ -197,7 +197,7 @@
 
 /// Tries to write the first record of the backlog, waiting up to `wait` for one;
 /// returns whether the backlog is empty.
-pub fn record_next(shared: &Shared, wait: Duration) -> bool {
+pub fn record_next(shared: &NodeState, wait: Duration) -> bool {
     let Some((until, job)) = shared.claims.pop(wait) else {
         return true;
     };
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -11,14 +11,14 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_core::route::{Outcome, Request};
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 
 /// Message with which a server that shuts down refuses a request.
 pub const LEAVING_MESSAGE: &str = "leaving";
 
 /// An attempt in flight on a backend server. Dropping it records its end.
 pub struct InFlight {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     /// The server.
     pub server: key::Server,
     /// Its fleet.
@@ -32,7 +32,7 @@
     outcome: Outcome,
 }
 
-impl Shared {
+impl NodeState {
     /// Chooses a backend server for a call of a plain service and starts an
     /// attempt on it. Returns `None` when no server is available.
     #[must_use]
@@ -137,7 +137,7 @@
     }
 }
 
-impl Shared {
+impl NodeState {
     /// Takes a retry from the budget of a pool; returns whether the budget
     /// allowed it.
     #[must_use]
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -16,8 +16,8 @@
 use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket};
 use tokio::sync::{Notify, watch};
 
+use crate::node_state::{NodeState, lock};
 use crate::peer_fallback::{self, MAX_BATCH_BYTES, Peer, Request};
-use crate::shared::{Shared, lock};
 use crate::stop::Stop;
 
 /// Time that the store has to store an entry before it is copied to a peer.
@@ -112,7 +112,7 @@
     }
 
     /// Holds copies of a peer's entries; returns whether there was room.
-    pub fn hold(&self, shared: &Shared, request: Hold) -> bool {
+    pub fn hold(&self, shared: &NodeState, request: Hold) -> bool {
         let now = shared.wall.now();
         let is_held = lock(&self.peer_copies).hold(now, request);
         if !is_held {
@@ -146,7 +146,7 @@
 }
 
 /// Writes entries to the store until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
         shared.ledger.wait(IDLE_INTERVAL);
         take_orphans(shared);
@@ -157,7 +157,7 @@
 }
 
 /// Takes over the copies whose owner has sent no message for too long.
-fn take_orphans(shared: &Shared) {
+fn take_orphans(shared: &NodeState) {
     let orphans = lock(&shared.ledger.peer_copies).take_orphans(shared.wall.now());
     if orphans.is_empty() {
         return;
@@ -173,7 +173,7 @@
 
 /// Writes all entries that the store does not hold yet; returns whether it
 /// succeeded.
-pub fn flush(shared: &Shared) -> bool {
+pub fn flush(shared: &NodeState) -> bool {
     while let Some(segment) = next_segment(shared) {
         let start = shared.now();
         let written = ledger::write(&shared.ledger_store, &shared.writer(), &segment);
@@ -192,12 +192,12 @@
     true
 }
 
-fn next_segment(shared: &Shared) -> Option<Segment> {
+fn next_segment(shared: &NodeState) -> Option<Segment> {
     lock(&shared.ledger.buffer).segment().cloned()
 }
 
 /// Copies entries to a peer that the store did not store in time.
-pub async fn run_copies(shared: Arc<Shared>) {
+pub async fn run_copies(shared: Arc<NodeState>) {
     let ledger = &shared.ledger;
     loop {
         let waited = tokio::time::timeout(IDLE_INTERVAL, ledger.copy_wanted.notified()).await;
@@ -213,7 +213,7 @@
 
 /// Sends a batch of copies to the peer that holds the copies, with a report of
 /// which entries are stored; returns whether there may be more to send.
-async fn send_copies(shared: &Arc<Shared>) -> bool {
+async fn send_copies(shared: &Arc<NodeState>) -> bool {
     let ledger = &shared.ledger;
     let holder = lock(&ledger.copy_holder).clone();
     let (copies, stored_until) = {
@@ -260,7 +260,7 @@
 /// Writes out the ledger of a process that shuts down. Entries that the store
 /// does not accept are handed to a peer; entries that no peer accepts before
 /// the deadline are written to the log as a last resort.
-pub fn finish(shared: &Arc<Shared>, deadline: fescuerack_core::clock::Instant) {
+pub fn finish(shared: &Arc<NodeState>, deadline: fescuerack_core::clock::Instant) {
     let held = lock(&shared.ledger.peer_copies).drain();
     for entry in held {
         lock(&shared.ledger.buffer).add_shared(entry);
@@ -277,7 +277,7 @@
 }
 
 /// Hands all entries to a peer; returns whether the peer accepted them.
-fn hand_off(shared: &Arc<Shared>) -> bool {
+fn hand_off(shared: &Arc<NodeState>) -> bool {
     let entries = lock(&shared.ledger.buffer).entries();
     let count = entries.len();
     let Some(address) = peer_fallback::copy_holder(shared) else {
@@ -312,14 +312,14 @@
     batches
 }
 
-fn log_entries(shared: &Shared) {
+fn log_entries(shared: &NodeState) {
     for entry in lock(&shared.ledger.buffer).entries() {
         let entry = serde_json::to_string(&entry).unwrap_or_default();
         log::error!(entry; "a ledger entry is kept nowhere else");
     }
 }
 
-impl Shared {
+impl NodeState {
     /// Returns the writer of this process's segments.
     pub fn writer(&self) -> Writer {
         Writer {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -20,13 +20,13 @@
 mod loads;
 mod metrics;
 mod node;
+mod node_state;
 mod operators;
 mod orders;
 mod peer_fallback;
 mod peers;
 mod servers;
 mod settings;
-mod shared;
 mod stop;
 mod versions;
 
--- a/crates/node/src/loads.rs
+++ b/crates/node/src/loads.rs
@@ -20,7 +20,7 @@
 use fescuerack_core::route::{self, score};
 use fescuerack_wire::load;
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 use crate::stop::Stop;
 
 /// Interval between two reads.
@@ -29,7 +29,7 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Reads load reports until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     let mut last = None;
     while !stop.wait(READ_INTERVAL) {
         let Some((server, address)) = next_engine(shared, last) else {
@@ -48,7 +48,7 @@
 
 /// Returns the engine after `last` in the order of keys, and its address; starts
 /// over after the last engine.
-fn next_engine(shared: &Shared, last: Option<key::Server>) -> Option<(key::Server, String)> {
+fn next_engine(shared: &NodeState, last: Option<key::Server>) -> Option<(key::Server, String)> {
     let active = shared.active_configuration();
     let fleets = active.catalog.fleets.iter();
     let engines = fleets.filter(|(_, fleet)| fleet.kind == Kind::Engine);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -10,10 +10,10 @@
 use tokio::runtime::Runtime;
 
 use crate::callers;
+use crate::node_state::NodeState;
 use crate::operators;
 use crate::peers;
 use crate::settings::Settings;
-use crate::shared::Shared;
 use crate::stop::Stop;
 use crate::{activation, claims, ledger, loads, orders, servers, versions};
 
@@ -27,7 +27,7 @@
 
 /// A running process.
 pub struct Node {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     runtime: Runtime,
     callers: callers::Port,
     operators: operators::Port,
@@ -51,7 +51,7 @@
             .enable_all()
             .build()
             .context("start the runtime")?;
-        let shared = Arc::new(Shared::new(settings, runtime.handle().clone())?);
+        let shared = Arc::new(NodeState::new(settings, runtime.handle().clone())?);
         let callers = runtime.block_on(callers::Port::new(Arc::clone(&shared)))?;
         let operators = operators::Port::new(&shared, runtime.handle())?;
         let (peers, peers_handle) = runtime.block_on(peers::serve(Arc::clone(&shared)))?;
@@ -107,7 +107,7 @@
     /// Returns the number of known instances, including this one.
     #[must_use]
     pub fn fleet_size(&self) -> usize {
-        crate::shared::lock(&self.shared.member).view.size()
+        crate::node_state::lock(&self.shared.member).view.size()
     }
 
     /// Shuts the process down gracefully.
@@ -122,7 +122,7 @@
         let deadline = self.shared.now().plus_millis(limits.drain_deadline_ms);
         self.shared.leaving.store(true, Ordering::SeqCst);
         log::info!("shutting down");
-        crate::shared::lock(&self.shared.member).leave();
+        crate::node_state::lock(&self.shared.member).leave();
         self.shared.wake.notify_one();
         std::thread::sleep(Duration::from_millis(limits.drain_lag_ms));
         self.shared.draining.store(true, Ordering::SeqCst);
@@ -149,9 +149,9 @@
 
 fn spawn(
     name: &str,
-    shared: &Arc<Shared>,
+    shared: &Arc<NodeState>,
     stop: &Stop,
-    body: fn(&Arc<Shared>, &Stop),
+    body: fn(&Arc<NodeState>, &Stop),
 ) -> Result<JoinHandle<()>> {
     let shared = Arc::clone(shared);
     let stop = stop.clone();
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/node_state.rs
@@ -34,7 +34,7 @@
 }
 
 /// State of one process, shared by its threads and tasks.
-pub struct Shared {
+pub struct NodeState {
     /// Settings.
     pub settings: Settings,
     /// Identifier of this start of the process, new at every restart.
@@ -68,7 +68,7 @@
     /// State of the versions: roll-outs, quality, sessions, and requests
     /// suspected of crashing servers.
     pub versions: Versions,
-    /// Names; changed only through [`Shared::names`].
+    /// Names; changed only through [`NodeState::names`].
     names: Mutex<Names>,
     /// Ledger entries that are not yet stored.
     pub ledger: ledger::Ledger,
@@ -101,7 +101,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Shared {
+impl NodeState {
     /// Maximum number of idle connections to one backend server.
     const MAX_IDLE_CONNECTIONS: usize = 32;
 
--- a/crates/node/src/operators/changes.rs
+++ b/crates/node/src/operators/changes.rs
@@ -8,7 +8,7 @@
 use fescuerack_wire::admin::{Accepted, Error, Kind, Plan, Proposal};
 use rouille::Request;
 
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Largest size of a body: several files of the largest size that the store
 /// accepts.
@@ -19,7 +19,7 @@
 /// # Errors
 ///
 /// Returns the reason why the proposal would not be accepted.
-pub fn plan(shared: &Shared, request: &Request, operator: &Operator) -> Result<Plan, Error> {
+pub fn plan(shared: &NodeState, request: &Request, operator: &Operator) -> Result<Plan, Error> {
     let proposal = read(request)?;
     admin::Draft::new(&shared.store, &proposal, Some(operator)).map(|draft| draft.plan())
 }
@@ -30,7 +30,11 @@
 ///
 /// Returns the reason why the proposal was not accepted, or reports that the
 /// outcome is unknown.
-pub fn submit(shared: &Shared, request: &Request, operator: &Operator) -> Result<Accepted, Error> {
+pub fn submit(
+    shared: &NodeState,
+    request: &Request,
+    operator: &Operator,
+) -> Result<Accepted, Error> {
     let proposal = read(request)?;
     let accepted = admin::submit(&shared.store, &proposal, &operator.name, Some(operator))?;
     shared.metrics.count("operators.changes");
--- a/crates/node/src/operators/configuration.rs
+++ b/crates/node/src/operators/configuration.rs
@@ -5,7 +5,7 @@
 use fescuerack_wire::admin::{self, Configuration, Error, History, Kind, Ledger, Source};
 use rouille::Request;
 
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Number of changes that are returned if the request has no `?most=`.
 const DEFAULT_HISTORY: usize = 20;
@@ -19,7 +19,7 @@
 ///
 /// Returns an error if the store does not answer and this instance has no active
 /// configuration.
-pub fn read(shared: &Shared) -> Result<Configuration, Error> {
+pub fn read(shared: &NodeState) -> Result<Configuration, Error> {
     let error = match store::configuration(&shared.store) {
         Ok(configuration) => return Ok(configuration),
         Err(error) => error,
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Returns an error if `most` is invalid or the store does not answer.
-pub fn history(shared: &Shared, request: &Request) -> Result<History, Error> {
+pub fn history(shared: &NodeState, request: &Request) -> Result<History, Error> {
     let parameter = request.get_param("most");
     let count = parameter.map_or(Ok(DEFAULT_HISTORY), |text| text.parse());
     let Some(count) = count.ok().filter(|count| (1..=MAX_HISTORY).contains(count)) else {
@@ -69,6 +69,6 @@
 /// # Errors
 ///
 /// Returns an error if the store does not answer.
-pub fn ledger(shared: &Shared) -> Result<Ledger, Error> {
+pub fn ledger(shared: &NodeState) -> Result<Ledger, Error> {
     store::totals(&shared.store)
 }
--- a/crates/node/src/operators/instances.rs
+++ b/crates/node/src/operators/instances.rs
@@ -7,11 +7,11 @@
 use fescuerack_wire::admin::{Instance, Instances, Status};
 
 use super::Context;
+use crate::node_state::{NodeState, lock};
 use crate::peers;
-use crate::shared::{Shared, lock};
 
 /// Returns the status of the process.
-pub fn status(shared: &Shared) -> Status {
+pub fn status(shared: &NodeState) -> Status {
     Status {
         instance: shared.settings.instance.clone(),
         zone: shared.settings.zone.clone(),
--- a/crates/node/src/operators/mod.rs
+++ b/crates/node/src/operators/mod.rs
@@ -24,7 +24,7 @@
 use rouille::{Request, Response};
 use tokio::runtime::Handle;
 
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// A running operators' port.
 pub struct Port {
@@ -36,7 +36,7 @@
 
 /// Data from which requests are answered.
 struct Context {
-    shared: Arc<Shared>,
+    shared: Arc<NodeState>,
     runtime: Handle,
 }
 
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// Returns an error if the address cannot be bound.
-    pub fn new(shared: &Arc<Shared>, runtime: &Handle) -> Result<Self> {
+    pub fn new(shared: &Arc<NodeState>, runtime: &Handle) -> Result<Self> {
         let listen = shared.settings.listen.operators.clone();
         let context = Context {
             shared: Arc::clone(shared),
@@ -97,7 +97,7 @@
     }
 }
 
-fn write(shared: &Shared, request: &Request, path: &str) -> Result<Response, Error> {
+fn write(shared: &NodeState, request: &Request, path: &str) -> Result<Response, Error> {
     let operator = token::operator(shared, request)?;
     match path {
         "/v1/plans" => changes::plan(shared, request, &operator).map(|plan| reply::json(&plan)),
--- a/crates/node/src/operators/state.rs
+++ b/crates/node/src/operators/state.rs
@@ -8,11 +8,11 @@
 
 use serde_json::json;
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 use crate::versions;
 
 /// Returns the state of the process.
-pub fn dump(shared: &Shared) -> serde_json::Value {
+pub fn dump(shared: &NodeState) -> serde_json::Value {
     let admission = shared.gate.summary();
     let servers: Vec<_> = lock(&shared.routes)
         .iter()
@@ -48,7 +48,7 @@
     })
 }
 
-fn member(shared: &Shared) -> serde_json::Value {
+fn member(shared: &NodeState) -> serde_json::Value {
     let now = shared.now();
     let member = lock(&shared.member);
     let instances: Vec<_> = member
@@ -73,7 +73,7 @@
     })
 }
 
-fn orders(shared: &Shared) -> BTreeMap<String, crate::orders::Summary> {
+fn orders(shared: &NodeState) -> BTreeMap<String, crate::orders::Summary> {
     let active = shared.active_configuration();
     let orders = lock(&shared.orders);
     let named = orders.iter().map(|(fleet, summary)| {
--- a/crates/node/src/operators/token.rs
+++ b/crates/node/src/operators/token.rs
@@ -12,14 +12,14 @@
 use fescuerack_wire::admin::{Error, Kind};
 use rouille::Request;
 
-use crate::shared::Shared;
+use crate::node_state::NodeState;
 
 /// Returns the operator who sent a request.
 ///
 /// # Errors
 ///
 /// Returns an error if the request has no operator's token.
-pub fn operator(shared: &Shared, request: &Request) -> Result<Arc<Operator>, Error> {
+pub fn operator(shared: &NodeState, request: &Request) -> Result<Arc<Operator>, Error> {
     let refuse = |message: &str| {
         shared.metrics.count("operators.refused");
         Err(Error::new(Kind::Unauthorized, message))
@@ -46,7 +46,7 @@
 ///
 /// Returns an error if the request has no operator's token and the settings do
 /// not allow reads without one.
-pub fn reader(shared: &Shared, request: &Request) -> Result<(), Error> {
+pub fn reader(shared: &NodeState, request: &Request) -> Result<(), Error> {
     if shared.settings.operators.open_reads {
         return Ok(());
     }
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -19,7 +19,7 @@
 use fescuerack_core::route::State;
 use fescuerack_wire::order::{Action, Order};
 
-use crate::shared::{ActiveConfiguration, Shared, lock};
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::stop::Stop;
 
 /// Time between two rounds.
@@ -51,7 +51,7 @@
 }
 
 /// Sends orders until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     let mut all_orders: BTreeMap<key::Fleet, FleetOrders> = BTreeMap::new();
     while !stop.wait(ROUND_INTERVAL) {
         let active = shared.active_configuration();
@@ -77,7 +77,7 @@
     loaded: BTreeMap<String, usize>,
 }
 
-fn summary(shared: &Shared, active: &ActiveConfiguration, orders: &FleetOrders) -> Summary {
+fn summary(shared: &NodeState, active: &ActiveConfiguration, orders: &FleetOrders) -> Summary {
     let mut loaded = BTreeMap::new();
     for version in orders.loaded.values().flatten() {
         let name = active.names.versions.name(*version).to_string();
@@ -92,7 +92,7 @@
 
 /// Acquires or renews the lease; returns whether it is held.
 fn ensure_lease(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     fleet: key::Fleet,
     orders: &mut FleetOrders,
@@ -123,7 +123,7 @@
     orders.holder.is_held(shared.now())
 }
 
-fn acquire_lease(shared: &Shared, fleet: &str, orders: &mut FleetOrders) -> Result<(), Fault> {
+fn acquire_lease(shared: &NodeState, fleet: &str, orders: &mut FleetOrders) -> Result<(), Fault> {
     let sent_at = shared.now();
     let lease = shared
         .store
@@ -144,7 +144,7 @@
 
 /// Polls some engines and sends the orders that are due.
 fn run_round(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     fleet: key::Fleet,
     orders: &mut FleetOrders,
@@ -190,7 +190,7 @@
     (limit / engines.max(1)).max(1)
 }
 
-fn targets(shared: &Shared, fleet: key::Fleet) -> Vec<Target> {
+fn targets(shared: &NodeState, fleet: key::Fleet) -> Vec<Target> {
     let routes = lock(&shared.routes);
     let mut targets: Vec<Target> = routes
         .iter()
@@ -206,7 +206,7 @@
 
 /// Polls the next [`MAX_POLLED_ENGINES`] engines for their loaded versions.
 fn poll_engines(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     targets: &[Target],
     orders: &mut FleetOrders,
@@ -232,7 +232,7 @@
 }
 
 fn send_order(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     targets: &[Target],
     permit: Permit,
--- a/crates/node/src/peer_fallback.rs
+++ b/crates/node/src/peer_fallback.rs
@@ -22,7 +22,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 
 /// Largest size of an answer: one file of the configuration, as JSON text.
 pub const MAX_ANSWER_BYTES: u32 = 4 << 20;
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// Returns an error if the method is already registered.
-pub fn register(module: &mut RpcModule<Arc<Shared>>) -> Result<()> {
+pub fn register(module: &mut RpcModule<Arc<NodeState>>) -> Result<()> {
     module.register_method(METHOD, |params, shared, _| {
         let sealed: Sealed = params.one()?;
         let key = shared.settings.peer_key.as_bytes();
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-fn answer(shared: &Shared, request: Request) -> Sealed {
+fn answer(shared: &NodeState, request: Request) -> Sealed {
     let key = shared.settings.peer_key.as_bytes();
     match request {
         Request::Manifest => peer::seal(key, &shared.configuration.manifest()),
@@ -109,7 +109,11 @@
     ///
     /// Returns an error if no usable answer arrives. The peer may nevertheless
     /// have executed the request.
-    pub async fn call<R: DeserializeOwned>(&self, shared: &Shared, request: &Request) -> Result<R> {
+    pub async fn call<R: DeserializeOwned>(
+        &self,
+        shared: &NodeState,
+        request: &Request,
+    ) -> Result<R> {
         let key = shared.settings.peer_key.as_bytes();
         let parameters = rpc_params![peer::seal(key, request)];
         let sealed: Sealed = self.client.request(METHOD, parameters).await?;
@@ -124,7 +128,7 @@
 /// Returns an error if no usable answer arrives. The peer may nevertheless have
 /// executed the request.
 pub async fn call<R: DeserializeOwned>(
-    shared: &Shared,
+    shared: &NodeState,
     address: &str,
     request: &Request,
 ) -> Result<R> {
@@ -132,7 +136,7 @@
 }
 
 /// Returns the addresses of up to `max_count` random live peers.
-pub fn random_peers(shared: &Shared, max_count: usize) -> Vec<String> {
+pub fn random_peers(shared: &NodeState, max_count: usize) -> Vec<String> {
     let mut peers = live_peers(shared);
     peers.sort_by_cached_key(|_| shared.random());
     let addresses = peers.into_iter().map(|(_, address)| address);
@@ -141,7 +145,7 @@
 
 /// Chooses a random live peer to hold copies of the ledger, in another
 /// availability zone if there is one; returns its address.
-pub fn copy_holder(shared: &Shared) -> Option<String> {
+pub fn copy_holder(shared: &NodeState) -> Option<String> {
     let local_zone = &shared.settings.zone;
     let mut peers = live_peers(shared);
     peers.sort_by_cached_key(|(zone, _)| (zone == local_zone, shared.random()));
@@ -149,7 +153,7 @@
 }
 
 /// Returns the availability zone and the address of every live peer.
-fn live_peers(shared: &Shared) -> Vec<(String, String)> {
+fn live_peers(shared: &NodeState) -> Vec<(String, String)> {
     let now = shared.now();
     let member = lock(&shared.member);
     let view = &member.view;
@@ -159,7 +163,7 @@
 }
 
 /// Returns the number of instances that share the store's request rate.
-pub fn fleet_size(shared: &Shared) -> u32 {
+pub fn fleet_size(shared: &NodeState) -> u32 {
     let size = lock(&shared.member).view.size();
     u32::try_from(size).unwrap_or(u32::MAX)
 }
@@ -170,7 +174,7 @@
 ///
 /// Returns an error if the peer does not return the file, or if the file is
 /// larger than a value in the store may be.
-pub async fn fetch_file(shared: &Shared, address: &str, digest: &str) -> Result<String> {
+pub async fn fetch_file(shared: &NodeState, address: &str, digest: &str) -> Result<String> {
     let file: Option<String> = call(shared, address, &Request::File(digest.to_owned())).await?;
     let file = file.context("the peer does not have the file")?;
     if file.len() > MAX_VALUE_BYTES {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -21,8 +21,8 @@
 use jsonrpsee::{RpcModule, rpc_params};
 
 use crate::clock;
+use crate::node_state::{NodeState, lock};
 use crate::peer_fallback;
-use crate::shared::{Shared, lock};
 use crate::versions;
 
 /// Time-out of an exchange with a peer.
@@ -39,7 +39,7 @@
 /// # Errors
 ///
 /// Returns an error if the address cannot be bound.
-pub async fn serve(shared: Arc<Shared>) -> Result<(SocketAddr, ServerHandle)> {
+pub async fn serve(shared: Arc<NodeState>) -> Result<(SocketAddr, ServerHandle)> {
     let listen = shared.settings.listen.peers.clone();
     let config = jsonrpsee::server::ServerConfig::builder()
         .max_request_body_size(MAX_MESSAGE_BYTES)
@@ -64,7 +64,7 @@
 }
 
 /// Starts an exchange in every period, and immediately after an urgent change.
-pub async fn run(shared: Arc<Shared>) {
+pub async fn run(shared: Arc<NodeState>) {
     let period = Duration::from_millis(Exchange::PERIOD_MS);
     loop {
         let woken = tokio::time::timeout(period, shared.wake.notified()).await;
@@ -81,7 +81,7 @@
 }
 
 /// Applies the platform's list of the instances of the fleet.
-pub fn observe(shared: &Shared, instances: &[Instance]) {
+pub fn observe(shared: &NodeState, instances: &[Instance]) {
     let mut member = lock(&shared.member);
     let list = instances.iter().map(|instance| {
         let state = match instance.state {
@@ -99,7 +99,7 @@
 
 /// Publishes the local state to the exchange; wakes the exchange if replicated
 /// state has changed or a backend server has begun to leave.
-pub fn publish(shared: &Shared) {
+pub fn publish(shared: &NodeState) {
     // Empty slices are included. Without them a peer could not detect that this
     // process lacks state that the peer has.
     let states = peer::all_slices(&shared_state(shared));
@@ -124,7 +124,7 @@
 
 /// Records the backend servers that leave as announced; returns whether one of
 /// them is new.
-fn update_announced_leaving(shared: &Shared, digest: &Digest) -> bool {
+fn update_announced_leaving(shared: &NodeState, digest: &Digest) -> bool {
     let leaving: BTreeSet<String> = digest.leaving_servers.leaving.keys().cloned().collect();
     let mut announced = lock(&shared.announced_leaving);
     let has_new = !leaving.is_subset(&announced);
@@ -133,14 +133,14 @@
 }
 
 /// Collects the state that is replicated on all instances.
-fn shared_state(shared: &Shared) -> peer::SharedState {
+fn shared_state(shared: &NodeState) -> peer::SharedState {
     peer::SharedState {
         rollouts: lock(&shared.versions.rollouts).records(),
     }
 }
 
 /// Collects the local state that is reported to peers.
-fn digest(shared: &Shared) -> Digest {
+fn digest(shared: &NodeState) -> Digest {
     let active = shared.active_configuration();
     let now = shared.now();
     Digest {
@@ -153,7 +153,7 @@
     }
 }
 
-fn merge(shared: &Shared, from: &str, digest: &Digest) {
+fn merge(shared: &NodeState, from: &str, digest: &Digest) {
     let active = shared.active_configuration();
     let now = shared.now();
     lock(&shared.rates).merge(&active.names, now, from, &digest.rates);
@@ -163,7 +163,7 @@
 }
 
 /// Merges a peer's message into the local state.
-fn apply(shared: &Shared, input: Payload) {
+fn apply(shared: &NodeState, input: Payload) {
     shared.configuration.record_peer_revision(input.revision);
     let states: peer::SharedState = peer::from_slices(input.states);
     versions::merge_rollout_records(shared, &states.rollouts);
@@ -172,14 +172,14 @@
     publish(shared);
 }
 
-fn time(shared: &Shared) -> Time {
+fn time(shared: &NodeState) -> Time {
     Time {
         now: shared.now(),
         wall: clock::wall(),
     }
 }
 
-fn answer(shared: &Shared, sealed: &Sealed) -> Result<Sealed, String> {
+fn answer(shared: &NodeState, sealed: &Sealed) -> Result<Sealed, String> {
     let key = shared.settings.peer_key.as_bytes();
     let request: member::Message =
         peer::open(key, sealed).map_err(|refusal| refusal.to_string())?;
@@ -195,7 +195,7 @@
     Ok(peer::seal(key, &message))
 }
 
-async fn exchange(shared: &Arc<Shared>) {
+async fn exchange(shared: &Arc<NodeState>) {
     let revision = shared.active_configuration().catalog.revision;
     let started = shared.with_rng(|rng| lock(&shared.member).begin(time(shared), revision, rng));
     let Some((partner, message)) = started else {
@@ -219,7 +219,7 @@
     receive_answer(shared, sequence, answer);
 }
 
-fn receive_answer(shared: &Shared, sequence: u64, answer: member::Message) {
+fn receive_answer(shared: &NodeState, sequence: u64, answer: member::Message) {
     let input = lock(&shared.member).receive_answer(time(shared), sequence, answer);
     match input {
         Ok(input) => {
@@ -232,7 +232,7 @@
 
 /// Sends a message to a peer and returns the peer's answer.
 async fn send(
-    shared: &Shared,
+    shared: &NodeState,
     address: &str,
     message: &member::Message,
 ) -> Result<member::Message> {
@@ -249,7 +249,7 @@
 /// Queries the active revision of each peer; `None` for a peer that does not
 /// answer. At most [`MAX_CONCURRENT_QUERIES`] peers are queried at a time, so
 /// that an operator's request causes no burst of messages.
-pub async fn revisions(shared: &Arc<Shared>, addresses: &[String]) -> Vec<Option<u64>> {
+pub async fn revisions(shared: &Arc<NodeState>, addresses: &[String]) -> Vec<Option<u64>> {
     let mut revisions = vec![None; addresses.len()];
     for (round, chunk) in addresses.chunks(MAX_CONCURRENT_QUERIES).enumerate() {
         let mut queries = tokio::task::JoinSet::new();
@@ -266,7 +266,7 @@
     revisions
 }
 
-async fn revision(shared: &Shared, address: &str) -> Option<u64> {
+async fn revision(shared: &NodeState, address: &str) -> Option<u64> {
     let local_revision = shared.active_configuration().catalog.revision;
     let message = lock(&shared.member).begin_with(time(shared), local_revision);
     let sequence = message.sequence;
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -14,8 +14,8 @@
 use fescuerack_wire::discovery::{Instance, Instances};
 
 use crate::admission;
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::peers;
-use crate::shared::{ActiveConfiguration, Shared, lock};
 use crate::stop::Stop;
 
 /// Interval between two reads of the list.
@@ -24,7 +24,7 @@
 pub const ROUTER_FLEET: &str = "fescuerack";
 
 /// Polls the list until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     loop {
         match shared.discovery.list() {
             Ok(list) => apply(shared, list),
@@ -39,7 +39,7 @@
     }
 }
 
-fn apply(shared: &Shared, list: Instances) {
+fn apply(shared: &NodeState, list: Instances) {
     let active = shared.active_configuration();
     let mut listed = Vec::new();
     let mut peers = Vec::new();
@@ -68,7 +68,7 @@
 
 /// Returns the position of this process among all instances, in the order of
 /// their names, so that all instances compute the same positions.
-fn position(shared: &Shared, active: &ActiveConfiguration, peers: &[Instance]) -> Position {
+fn position(shared: &NodeState, active: &ActiveConfiguration, peers: &[Instance]) -> Position {
     let local = &shared.settings.instance;
     let before = peers.iter().filter(|peer| peer.id < *local);
     Position {
@@ -97,7 +97,7 @@
 
 /// Updates admission, rate limits, retry budgets and routes with the present
 /// time and configuration.
-fn update_thresholds(shared: &Shared) {
+fn update_thresholds(shared: &NodeState) {
     let active = shared.active_configuration();
     let catalog = &active.catalog;
     let now = shared.now();
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -17,7 +17,7 @@
 use fescuerack_core::{cascade, rollout};
 use serde_json::json;
 
-use crate::shared::{ActiveConfiguration, Shared, lock};
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 
 /// State from which versions are chosen.
 pub struct Versions {
@@ -85,13 +85,13 @@
 
 /// Returns the number of instances that share the limits of the whole fleet.
 #[must_use]
-pub fn instance_count(shared: &Shared) -> u32 {
+pub fn instance_count(shared: &NodeState) -> u32 {
     let size = lock(&shared.member).view.size();
     u32::try_from(size.max(1)).unwrap_or(u32::MAX)
 }
 
 /// Merges the halts and steps that a peer has recorded.
-pub fn merge_rollout_records(shared: &Shared, records: &BTreeMap<String, rollout::Record>) {
+pub fn merge_rollout_records(shared: &NodeState, records: &BTreeMap<String, rollout::Record>) {
     let now = shared.now();
     let mut has_changed = false;
     let mut registry = lock(&shared.versions.rollouts);
@@ -108,7 +108,7 @@
 
 /// Merges the counts, quality and suspicions of a peer's digest.
 pub fn merge_digest(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
     digest: &fescuerack_wire::peer::Digest,
 ) {
@@ -120,7 +120,7 @@
 }
 
 /// Returns the part of the state dump about versions.
-pub fn state(shared: &Shared) -> serde_json::Value {
+pub fn state(shared: &NodeState) -> serde_json::Value {
     let active = shared.active_configuration();
     let versions = &shared.versions;
     let now = shared.now();
@@ -157,7 +157,7 @@
 /// Returns, by class and version, the mean, lower bound and weight of the
 /// quality estimate.
 fn quality(
-    shared: &Shared,
+    shared: &NodeState,
     active: &ActiveConfiguration,
 ) -> BTreeMap<String, BTreeMap<String, [f64; 3]>> {
     let learner = lock(&shared.versions.learner);
--- a/crates/node/src/versions/ratings.rs
+++ b/crates/node/src/versions/ratings.rs
@@ -11,7 +11,7 @@
 use fescuerack_core::rollout::Event;
 use fescuerack_wire::rating;
 
-use crate::shared::{ActiveConfiguration, Shared, lock};
+use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::stop::Stop;
 
 /// Maximum number of answers that wait to be rated; further ones are dropped.
@@ -85,7 +85,7 @@
 
 /// Takes a rating for `purpose` from this instance's share of the rate limit;
 /// returns whether one was left.
-pub fn try_acquire(shared: &Shared, active: &ActiveConfiguration, purpose: Purpose) -> bool {
+pub fn try_acquire(shared: &NodeState, active: &ActiveConfiguration, purpose: Purpose) -> bool {
     let rate = active.catalog.limit(RATE_LIMIT) / f64::from(super::instance_count(shared));
     let now = shared.now();
     lock(&shared.versions.ratings.bucket).take(now, rate, purpose)
@@ -93,14 +93,14 @@
 
 /// Queues an answer to be rated in the background; drops it when the queue is
 /// full.
-pub fn submit(shared: &Shared, answer: Answer) {
+pub fn submit(shared: &NodeState, answer: Answer) {
     if !shared.versions.ratings.push(answer) {
         shared.metrics.count("ratings.dropped");
     }
 }
 
 /// Rates queued answers until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     while !stop.wait(Duration::ZERO) {
         if let Some(answer) = shared.versions.ratings.pop() {
             rate(shared, &answer);
@@ -110,7 +110,7 @@
 
 /// Requests the rating of an answer and records it; blocks the thread. Returns
 /// `None` when the service fails or its rating is outside 0 to 1.
-pub fn rate(shared: &Shared, answer: &Answer) -> Option<f64> {
+pub fn rate(shared: &NodeState, answer: &Answer) -> Option<f64> {
     let active = shared.active_configuration();
     let request = rating::Request {
         class: active.names.classes.name(answer.class).to_string(),
--- a/crates/node/src/versions/rollouts.rs
+++ b/crates/node/src/versions/rollouts.rs
@@ -11,7 +11,7 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_core::rollout::{Record, Step, StoreWrite, record};
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 use crate::stop::Stop;
 
 /// Interval between two evaluations of the roll-outs.
@@ -31,7 +31,7 @@
 }
 
 /// Evaluates the roll-outs until `stop` is set.
-pub fn run(shared: &Arc<Shared>, stop: &Stop) {
+pub fn run(shared: &Arc<NodeState>, stop: &Stop) {
     let mut reads = StoreReads::default();
     while !stop.wait(EVALUATION_INTERVAL) {
         let active = shared.active_configuration();
@@ -60,7 +60,7 @@
 }
 
 /// Reads the records that have changed since the last read.
-fn read_changed(shared: &Shared, reads: &mut StoreReads) -> Result<()> {
+fn read_changed(shared: &NodeState, reads: &mut StoreReads) -> Result<()> {
     let keys = shared.store.keys(record::PREFIX)?;
     for item in keys.items {
         if reads.versions.get(&item.key) == Some(&item.version) {
@@ -77,7 +77,7 @@
 }
 
 /// Reads and merges one record; returns it with its version in the store.
-fn read_record(shared: &Shared, model: &str) -> Result<(u64, Record)> {
+fn read_record(shared: &NodeState, model: &str) -> Result<(u64, Record)> {
     let value = shared.store.get(&record::key(model))?;
     let Some(value) = value else {
         return Ok((0, Record::default()));
@@ -88,7 +88,7 @@
 }
 
 /// Merges a record that stands in the store into the registry.
-fn merge(shared: &Shared, model: &str, found: &Record) {
+fn merge(shared: &NodeState, model: &str, found: &Record) {
     let now = shared.now();
     let mut registry = lock(&shared.versions.rollouts);
     registry.set_stored_record(model, found);
@@ -102,7 +102,7 @@
     }
 }
 
-fn perform(shared: &Shared, store_write: &StoreWrite) -> Result<()> {
+fn perform(shared: &NodeState, store_write: &StoreWrite) -> Result<()> {
     match store_write {
         StoreWrite::Halts(model) => {
             shared.metrics.count("rollouts.halts_to_keep");
@@ -123,7 +123,7 @@
 /// Swaps the local record of a model, and a step if given, into the store. A
 /// lost answer does no harm: the record is read again, and both halts and steps
 /// only ever increase.
-fn write(shared: &Shared, model: &str, step: Option<(&String, Step)>) -> Result<()> {
+fn write(shared: &NodeState, model: &str, step: Option<(&String, Step)>) -> Result<()> {
     let (version, mut merged) = read_record(shared, model)?;
     merged.merge(&lock(&shared.versions.rollouts).record(model));
     if let Some((candidate, step)) = step {
--- a/crates/node/src/versions/suspects.rs
+++ b/crates/node/src/versions/suspects.rs
@@ -13,7 +13,7 @@
 use fescuerack_core::poison::{Fingerprint, Record, Verdict};
 use fescuerack_core::rollout::Event;
 
-use crate::shared::{Shared, lock};
+use crate::node_state::{NodeState, lock};
 
 /// Time within which a running server accepts a connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -44,7 +44,7 @@
 
 /// Returns whether a request may run; blocks on the store if it needs a permit.
 /// When the store gives no answer, it may.
-fn may_run(shared: &Shared, fingerprint: Fingerprint) -> bool {
+fn may_run(shared: &NodeState, fingerprint: Fingerprint) -> bool {
     let now = shared.now();
     let verdict = lock(&shared.versions.suspects).verdict(now, fingerprint);
     let is_allowed = match verdict {
@@ -64,7 +64,7 @@
 /// # Errors
 ///
 /// When the store gives no answer or its record cannot be parsed.
-fn take_permit(shared: &Shared, fingerprint: Fingerprint) -> Result<bool> {
+fn take_permit(shared: &NodeState, fingerprint: Fingerprint) -> Result<bool> {
     let key = fingerprint.key();
     let holder = &shared.incarnation;
     let lost = lock(&shared.versions.suspects).lost(fingerprint);
@@ -91,14 +91,14 @@
 }
 
 /// Triggers an immediate exchange with all peers.
-fn notify_peers(shared: &Shared) {
+fn notify_peers(shared: &NodeState) {
     lock(&shared.member).mark_urgent();
     shared.wake.notify_one();
 }
 
 /// Records that a server crashed while it ran a request; returns whether the
 /// request is refused from now on.
-fn record_crash(shared: &Shared, fingerprint: Fingerprint, server: &str) -> bool {
+fn record_crash(shared: &NodeState, fingerprint: Fingerprint, server: &str) -> bool {
     let now = shared.now();
     let mut suspects = lock(&shared.versions.suspects);
     suspects.record_crash(now, fingerprint, server);
@@ -126,7 +126,7 @@
 
 /// Records how an attempt ended; blocks for the probes of its server if the
 /// connection broke.
-pub fn record_end(shared: &Shared, attempt: &Attempt, result: Result<(), &Fault>) {
+pub fn record_end(shared: &NodeState, attempt: &Attempt, result: Result<(), &Fault>) {
     let crashed = matches!(result, Err(Fault::Unknown(_))) && has_crashed(&attempt.address);
     let now = shared.now();
     lock(&shared.versions.suspects).release(attempt.fingerprint);
@@ -158,13 +158,13 @@
 }
 
 /// Records that an attempt was given up before its end.
-pub fn record_abandoned(shared: &Shared, attempt: &Attempt) {
+pub fn record_abandoned(shared: &NodeState, attempt: &Attempt) {
     lock(&shared.versions.suspects).release(attempt.fingerprint);
 }
 
 /// Returns whether a request may run; what blocks runs outside the async
 /// threads.
-pub async fn admit(shared: &Arc<Shared>, fingerprint: Fingerprint) -> bool {
+pub async fn admit(shared: &Arc<NodeState>, fingerprint: Fingerprint) -> bool {
     let verdict = lock(&shared.versions.suspects).verdict(shared.now(), fingerprint);
     if verdict == Verdict::Run {
         return true;
@@ -177,7 +177,7 @@
 /// Returns the servers that a request must avoid: those it has tried and, for a
 /// suspect, those that run another suspect.
 pub fn avoid(
-    shared: &Shared,
+    shared: &NodeState,
     fingerprint: Fingerprint,
     tried: &BTreeSet<key::Server>,
 ) -> BTreeSet<key::Server> {
@@ -192,13 +192,13 @@
 /// Records that a request is about to run on a server; returns `false` when it
 /// may not, because another crash was reported in the meantime.
 #[must_use]
-pub fn start(shared: &Shared, fingerprint: Fingerprint, server: key::Server) -> bool {
+pub fn start(shared: &NodeState, fingerprint: Fingerprint, server: key::Server) -> bool {
     let now = shared.now();
     lock(&shared.versions.suspects).start(now, fingerprint, server)
 }
 
 /// Returns whether a request is suspected of crashing servers.
-pub fn is_suspected(shared: &Shared, fingerprint: Fingerprint) -> bool {
+pub fn is_suspected(shared: &NodeState, fingerprint: Fingerprint) -> bool {
     let suspects = lock(&shared.versions.suspects);
     suspects.verdict(shared.now(), fingerprint) != Verdict::Run
 }
