--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -24,7 +24,7 @@
 /// After a late write the copy is sent without this delay, because the store is
 /// slow or unavailable, or this instance's share of its rate is used up.
 const COPY_DELAY: Duration = Duration::from_millis(2);
-/// Duration of a write, the wait for its rate token included, above which the
+/// Duration of a write, including the wait for the rate limiter, above which the
 /// store counts as late. It is twice the usual duration.
 const LATE_WRITE: Duration = Duration::from_millis(5);
 /// Time between two checks without new entries, and between two reports to the
@@ -196,7 +196,7 @@
     lock(&shared.ledger.buffer).segment().cloned()
 }
 
-/// Copies entries to a peer that the store did not store in time.
+/// Copies the entries that the store did not store in time to a peer.
 pub async fn run_copies(shared: Arc<NodeState>) {
     let ledger = &shared.ledger;
     loop {
