--- a/crates/client/src/engine.rs
+++ b/crates/client/src/engine.rs
@@ -234,7 +234,7 @@
     }
 
     /// Reads the bytes that follow the end of the answer, so that the connection can be reused. A
-    /// connection with more than [`MAX_TRAILING_BYTES`] left to read is closed.
+    /// connection with more than `MAX_TRAILING_BYTES` left to read is closed.
     pub fn finish(self) {
         // An error closes the connection, so it needs no further handling.
         let _ = self
--- a/crates/client/src/limit.rs
+++ b/crates/client/src/limit.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Fault::NotSent`] if no token becomes available within [`MAX_TOKEN_WAIT`].
+    /// Returns [`Fault::NotSent`] if no token becomes available within `MAX_TOKEN_WAIT`.
     pub fn acquire(&self, lane: Lane) -> Result<(), Fault> {
         let now = self.now();
         let at = {
