--- a/crates/client/src/engine.rs
+++ b/crates/client/src/engine.rs
@@ -253,9 +253,7 @@
             return Ok(());
         }
         if u64::try_from(read) == Ok(MAX_LINE_BYTES) {
-            return Err(
-                Fault::Malformed(format!("line longer than {MAX_LINE_BYTES} bytes")).into(),
-            );
+            return Err(Fault::Malformed("line exceeds the maximum length".to_owned()).into());
         }
         Err(Failure::Truncated(
             "the stream ended before the answer was complete".to_owned(),
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -162,9 +162,7 @@
         .get(header::KV_VERSION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok())
-        .ok_or_else(|| {
-            Fault::Malformed(format!("header {} missing or invalid", header::KV_VERSION))
-        })
+        .ok_or_else(|| Fault::Malformed("version header missing or invalid".to_owned()))
 }
 
 fn refused(mut response: Response) -> Fault {
