--- a/crates/client/src/engine.rs
+++ b/crates/client/src/engine.rs
@@ -234,7 +234,7 @@
     }
 
     /// Reads the bytes that follow the end of the answer, so that the connection can be reused. A
-    /// connection with more than [`MAX_TRAILING_BYTES`] left to read is closed.
+    /// connection with more than `MAX_TRAILING_BYTES` left to read is closed.
     pub fn finish(self) {
         // An error closes the connection, so it needs no further handling.
         let _ = self
@@ -253,9 +253,7 @@
             return Ok(());
         }
         if u64::try_from(read) == Ok(MAX_LINE_BYTES) {
-            return Err(
-                Fault::Malformed(format!("line longer than {MAX_LINE_BYTES} bytes")).into(),
-            );
+            return Err(Fault::Malformed("line exceeds the maximum length".to_owned()).into());
         }
         Err(Failure::Truncated(
             "the stream ended before the answer was complete".to_owned(),
