--- a/crates/cli/src/access.rs
+++ b/crates/cli/src/access.rs
@@ -18,9 +18,9 @@
 
 /// Time within which an instance must answer. An instance itself gives the
 /// Path of the changes.
-const CHANGES: &str = "/v1/changes";
+const CHANGES_PATH: &str = "/v1/changes";
 /// store ten seconds for a change.
-const TIMEOUT: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Where a subcommand goes.
 #[derive(Clone, Debug, Args)]
@@ -47,7 +47,7 @@
 const STORE_AUTHOR: &str = "store";
 
 /// A way to reach the configuration.
-pub enum Reach {
+pub enum Client {
     /// Instances, in the order in which they are asked.
     Nodes {
         /// Connections.
@@ -68,15 +68,15 @@
     ///
     /// When neither an instance nor a store is named, or the token's file
     /// cannot be read.
-    pub fn reach(&self) -> Result<Reach> {
+    pub fn client(&self) -> Result<Client> {
         if let Some(address) = &self.store {
-            return Ok(Reach::Store(HttpStore::new(address)));
+            return Ok(Client::Store(HttpStore::new(address)));
         }
         if self.nodes.is_empty() {
             let message = "name an instance by --node or FESCUERACK_NODE, or the store by --store";
             return Err(Failed::usage(message).into());
         }
-        Ok(Reach::Nodes {
+        Ok(Client::Nodes {
             agent: agent(2),
             addresses: self.addresses(),
             token: self.token()?,
@@ -85,11 +85,11 @@
 
     /// Returns the instances that were named.
     pub fn addresses(&self) -> Vec<String> {
-        let plain = |node: &String| {
+        let host_and_port = |node: &String| {
             let node = node.strip_prefix("http://").unwrap_or(node);
             node.trim_end_matches('/').to_owned()
         };
-        self.nodes.iter().map(plain).collect()
+        self.nodes.iter().map(host_and_port).collect()
     }
 
     fn token(&self) -> Result<Option<String>> {
@@ -102,7 +102,7 @@
     }
 }
 
-impl Reach {
+impl Client {
     /// Reads the configuration.
     ///
     /// # Errors
@@ -110,8 +110,8 @@
     /// When nobody answers.
     pub fn configuration(&self) -> Result<Configuration> {
         match self {
-            Self::Nodes { .. } => self.get("/v1/configuration"),
-            Self::Store(store) => told(admin::configuration(store)),
+            Self::Nodes { .. } => self.get_parsed("/v1/configuration"),
+            Self::Store(store) => map_api_error(admin::configuration(store)),
         }
     }
 
@@ -120,10 +120,10 @@
     /// # Errors
     ///
     /// When nobody answers.
-    pub fn history(&self, most: usize) -> Result<History> {
+    pub fn history(&self, max_changes: usize) -> Result<History> {
         match self {
-            Self::Nodes { .. } => self.get(&format!("/v1/history?most={most}")),
-            Self::Store(store) => told(admin::history(store, most)),
+            Self::Nodes { .. } => self.get_parsed(&format!("/v1/history?most={max_changes}")),
+            Self::Store(store) => map_api_error(admin::history(store, max_changes)),
         }
     }
 
@@ -134,8 +134,8 @@
     /// When nobody answers.
     pub fn ledger(&self) -> Result<Ledger> {
         match self {
-            Self::Nodes { .. } => self.get("/v1/ledger"),
-            Self::Store(store) => told(admin::totals(store)),
+            Self::Nodes { .. } => self.get_parsed("/v1/ledger"),
+            Self::Store(store) => map_api_error(admin::totals(store)),
         }
     }
 
@@ -146,7 +146,7 @@
     /// When no instance answers, or none was named.
     pub fn instances(&self) -> Result<Instances> {
         match self {
-            Self::Nodes { .. } => self.get("/v1/instances"),
+            Self::Nodes { .. } => self.get_parsed("/v1/instances"),
             Self::Store(_) => Err(anyhow!(
                 "the store does not know what instances have in force; name one by --node"
             )),
@@ -160,9 +160,9 @@
     /// Why it would not be accepted.
     pub fn plan(&self, proposal: &Proposal) -> Result<Plan> {
         match self {
-            Self::Nodes { .. } => self.post("/v1/plans", proposal),
+            Self::Nodes { .. } => self.post_proposal("/v1/plans", proposal),
             Self::Store(store) => {
-                let draft = told(admin::Draft::new(store, proposal, None))?;
+                let draft = map_api_error(admin::Draft::new(store, proposal, None))?;
                 Ok(draft.plan())
             }
         }
@@ -175,8 +175,8 @@
     /// Why it was not accepted.
     pub fn submit(&self, proposal: &Proposal) -> Result<Accepted> {
         match self {
-            Self::Nodes { .. } => self.post(CHANGES, proposal),
-            Self::Store(store) => told(admin::submit(store, proposal, STORE_AUTHOR, None)),
+            Self::Nodes { .. } => self.post_proposal(CHANGES_PATH, proposal),
+            Self::Store(store) => map_api_error(admin::submit(store, proposal, STORE_AUTHOR, None)),
         }
     }
 
@@ -197,18 +197,18 @@
         })
     }
 
-    fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
-        self.ask(false, |agent, address, token| {
+    fn get_parsed<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
+        self.send_to_first(false, |agent, address, token| {
             get(agent, address, token, path)
         })
     }
 
-    fn post<T: DeserializeOwned>(&self, path: &str, proposal: &Proposal) -> Result<T> {
-        self.ask(path == CHANGES, |agent, address, token| {
+    fn post_proposal<T: DeserializeOwned>(&self, path: &str, proposal: &Proposal) -> Result<T> {
+        self.send_to_first(path == CHANGES_PATH, |agent, address, token| {
             let mut request = agent
                 .post(format!("http://{address}{path}"))
                 .config()
-                .timeout_global(Some(TIMEOUT))
+                .timeout_global(Some(ANSWER_TIMEOUT))
                 .build();
             if let Some(token) = token {
                 request = request.header("authorization", format!("Bearer {token}"));
@@ -225,9 +225,9 @@
     /// Where the request `changes` something, an instance that gave no answer
     /// may still carry it out. The refusal of another then only says that this
     /// other one changed nothing, so the outcome stays unknown.
-    fn ask<T: DeserializeOwned>(
+    fn send_to_first<T: DeserializeOwned>(
         &self,
-        changes: bool,
+        is_change: bool,
         send: impl Fn(&Agent, &str, Option<&str>) -> Result<Response, Fault>,
     ) -> Result<T> {
         let Self::Nodes {
@@ -239,13 +239,13 @@
             return Err(anyhow!("no instance was named"));
         };
         let mut failures = Vec::new();
-        let mut maybe_taken = false;
+        let mut may_be_applied = false;
         for address in addresses {
             match send(agent, address, token.as_deref()) {
                 Ok(response) => {
-                    let answer = read(address, response);
+                    let answer = parse_response(address, response);
                     return match answer {
-                        Err(error) if changes && maybe_taken => {
+                        Err(error) if is_change && may_be_applied => {
                             let message = format!("{}; {error:#}", failures.join("; "));
                             Err(Failed::unknown(message).into())
                         }
@@ -253,13 +253,13 @@
                     };
                 }
                 Err(fault) => {
-                    maybe_taken |= !matches!(fault, Fault::NotSent(_));
+                    may_be_applied |= !matches!(fault, Fault::NotSent(_));
                     failures.push(format!("{address}: {fault}"));
                 }
             }
         }
         let message = format!("no instance answers: {}", failures.join("; "));
-        if maybe_taken {
+        if may_be_applied {
             return Err(Failed::unknown(message).into());
         }
         Err(Failed::unreachable(message).into())
@@ -282,7 +282,7 @@
     let mut request = agent
         .get(format!("http://{address}{path}"))
         .config()
-        .timeout_global(Some(TIMEOUT))
+        .timeout_global(Some(ANSWER_TIMEOUT))
         .build();
     if let Some(token) = token {
         request = request.header("authorization", format!("Bearer {token}"));
@@ -295,7 +295,7 @@
 /// # Errors
 ///
 /// What the instance refused, or that the answer is malformed.
-pub fn read<T: DeserializeOwned>(address: &str, mut response: Response) -> Result<T> {
+pub fn parse_response<T: DeserializeOwned>(address: &str, mut response: Response) -> Result<T> {
     let status = response.status().as_u16();
     let text = response
         .body_mut()
@@ -311,7 +311,7 @@
     }
 }
 
-fn told<T>(result: Result<T, Error>) -> Result<T> {
+fn map_api_error<T>(result: Result<T, Error>) -> Result<T> {
     result.map_err(|error| Failed::from(error).into())
 }
 
@@ -320,18 +320,18 @@
 /// # Errors
 ///
 /// When the token's file cannot be read.
-pub fn states(access: &Access) -> Result<Vec<(String, Result<serde_json::Value>)>> {
+pub fn read_states(access: &Access) -> Result<Vec<(String, Result<serde_json::Value>)>> {
     let token = access.token()?;
     let agent = agent(2);
-    let one = |address: String| {
+    let read_state = |address: String| {
         let response = get(&agent, &address, token.as_deref(), "/state");
         let state = match response {
-            Ok(response) => read(&address, response),
+            Ok(response) => parse_response(&address, response),
             Err(fault) => Err(Failed::unreachable(format!("no answer: {fault}")).into()),
         };
         (address, state)
     };
-    Ok(access.addresses().into_iter().map(one).collect())
+    Ok(access.addresses().into_iter().map(read_state).collect())
 }
 
 /// Returns the merge of a configuration that was read.
@@ -339,7 +339,7 @@
 /// # Errors
 ///
 /// When it holds problems, which one that was accepted does not.
-pub fn merged(configuration: Configuration) -> Result<Merged> {
+pub fn merge(configuration: Configuration) -> Result<Merged> {
     let files = configuration.files.into_iter();
     let folder = files.fold(Folder::new(), |folder, (name, file)| {
         folder.with_file(&name, file.text)
--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -8,14 +8,14 @@
 use fescuerack_wire::admin::{Accepted, Instance, Proposal};
 use serde::Serialize;
 
-use crate::access::{Access, Reach};
+use crate::access::{Access, Client};
 use crate::exit::Failed;
 use crate::print::{self, Output};
 
 /// Time between two looks at what instances have in force.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Tries to learn the outcome of a change whose answer was lost.
-const TRIES: u32 = 3;
+const MAX_SENDS: u32 = 3;
 
 /// What is recorded with a change, and how long to wait for it.
 #[derive(Clone, Debug, Args)]
@@ -48,10 +48,15 @@
 /// # Errors
 ///
 /// Why it was not accepted, or that it is not in force everywhere.
-pub fn act(access: &Access, output: Output, record: &Record, action: Action) -> Result<()> {
-    let reach = access.reach()?;
-    let proposal = reach.proposal(action)?;
-    submit(&reach, output, record, proposal)
+pub fn submit_action(
+    access: &Access,
+    output: Output,
+    record: &Record,
+    action: Action,
+) -> Result<()> {
+    let client = access.client()?;
+    let proposal = client.proposal(action)?;
+    submit(&client, output, record, proposal)
 }
 
 /// Puts a proposal in force and waits.
@@ -60,14 +65,14 @@
 ///
 /// Why it was not accepted, or that it is not in force everywhere.
 pub fn submit(
-    reach: &Reach,
+    client: &Client,
     output: Output,
     record: &Record,
     mut proposal: Proposal,
 ) -> Result<()> {
     proposal.why.clone_from(&record.why);
-    proposal.request = record.request.clone().unwrap_or_else(new_request);
-    let accepted = send(reach, &proposal)?;
+    proposal.request = record.request.clone().unwrap_or_else(new_request_id);
+    let accepted = send(client, &proposal)?;
     if output == Output::Table {
         let state = if accepted.unchanged {
             "nothing to change; in force is"
@@ -78,7 +83,7 @@
         let effects = print::effects(&accepted.effects);
         print::line(format!("{state} revision {revision}\n{effects}").trim_end())?;
     }
-    let instances = wait(reach, output, record.within, accepted.revision);
+    let instances = wait_until_active(client, output, record.within, accepted.revision);
     let behind: Vec<_> = instances
         .iter()
         .filter(|instance| is_behind(instance, accepted.revision))
@@ -112,17 +117,17 @@
 /// Once an outcome is not known only an acceptance settles it. A later try that
 /// meets a silent store, or another operator's change, says that *it* changed
 /// nothing; the first may have taken effect all the same.
-fn send(reach: &Reach, proposal: &Proposal) -> Result<Accepted> {
-    let unknown = match reach.submit(proposal) {
+fn send(client: &Client, proposal: &Proposal) -> Result<Accepted> {
+    let unknown_outcome = match client.submit(proposal) {
         Err(error) if is_unknown(&error) => error,
-        settled => return settled,
+        known => return known,
     };
-    for _ in 1..TRIES {
-        if let Ok(accepted) = reach.submit(proposal) {
+    for _ in 1..MAX_SENDS {
+        if let Ok(accepted) = client.submit(proposal) {
             return Ok(accepted);
         }
     }
-    Err(unknown.context(format!("request {}", proposal.request)))
+    Err(unknown_outcome.context(format!("request {}", proposal.request)))
 }
 
 fn is_unknown(error: &anyhow::Error) -> bool {
@@ -132,20 +137,20 @@
 }
 
 fn is_behind(instance: &Instance, revision: u64) -> bool {
-    !instance.leaving && instance.revision.is_none_or(|known| known < revision)
+    !instance.leaving && instance.revision.is_none_or(|active| active < revision)
 }
 
 /// Waits until every instance has a revision in force; returns what they had
 /// in the end. Empty when nobody could be asked.
-fn wait(reach: &Reach, output: Output, within: u64, revision: u64) -> Vec<Instance> {
+fn wait_until_active(client: &Client, output: Output, within: u64, revision: u64) -> Vec<Instance> {
     if within == 0 {
         return Vec::new();
     }
     let started = Instant::now();
     let deadline = started + Duration::from_secs(within);
-    let mut shown = usize::MAX;
+    let mut last_behind = usize::MAX;
     loop {
-        let instances = match reach.instances() {
+        let instances = match client.instances() {
             Ok(instances) => instances.instances,
             Err(error) => {
                 eprintln!("cannot tell where it is in force: {error:#}");
@@ -156,26 +161,26 @@
             .iter()
             .filter(|instance| is_behind(instance, revision))
             .count();
-        let all = instances.len();
-        if output == Output::Table && behind != shown {
+        let total = instances.len();
+        if output == Output::Table && behind != last_behind {
             let elapsed = started.elapsed().as_secs_f64();
-            let ahead = all - behind;
+            let active = total - behind;
             // A reader who has gone does not end the wait.
             let _ = print::line(&format!(
-                "in force on {ahead} of {all} instances after {elapsed:.1} s"
+                "in force on {active} of {total} instances after {elapsed:.1} s"
             ));
-            shown = behind;
+            last_behind = behind;
         }
         if behind == 0 || Instant::now() >= deadline {
             return instances;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Returns an identifier that no other request of this operator has: the time
 /// and the process.
-fn new_request() -> String {
+fn new_request_id() -> String {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let nanos = since.map_or(0, |since| since.as_nanos());
     format!("{nanos:x}-{:x}", std::process::id())
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -9,13 +9,13 @@
 use fescuerack_config::folder::digest;
 use fescuerack_wire::admin::Proposal;
 
-use crate::access::{Access, Reach};
+use crate::access::{Access, Client};
 use crate::change::{self, Record};
 use crate::print::Output;
 
 /// File that `show --into` leaves in a folder: digests of the files that it
 /// wrote. A file that somebody else changed since then is a conflict.
-pub const SEEN: &str = ".fescuerack-seen.json";
+pub const SEEN_FILE: &str = ".fescuerack-seen.json";
 
 /// Puts a folder in force and waits until every instance has it.
 #[derive(Debug, Args)]
@@ -39,12 +39,12 @@
     ///
     /// Why it was not accepted, or that it is not in force everywhere.
     pub fn execute(self, output: Output) -> Result<()> {
-        let reach = self.access.reach()?;
-        let proposal = proposal(&reach, &self.folder, self.remove)?;
-        change::submit(&reach, output, &self.record, proposal)?;
-        if self.folder.join(SEEN).exists() {
+        let client = self.access.client()?;
+        let proposal = proposal(&client, &self.folder, self.remove)?;
+        change::submit(&client, output, &self.record, proposal)?;
+        if self.folder.join(SEEN_FILE).exists() {
             // From now on the folder is what is in force.
-            remember(&self.folder, &Folder::read(&self.folder)?)?;
+            write_seen(&self.folder, &Folder::read(&self.folder)?)?;
         }
         Ok(())
     }
@@ -55,17 +55,17 @@
 /// # Errors
 ///
 /// When the folder or the configuration in force cannot be read.
-pub fn proposal(reach: &Reach, path: &Path, remove: bool) -> Result<Proposal> {
+pub fn proposal(client: &Client, path: &Path, remove: bool) -> Result<Proposal> {
     let folder = Folder::read(path).with_context(|| format!("read {}", path.display()))?;
     ensure!(
         !folder.files.is_empty(),
         "{} holds no .yaml file",
         path.display()
     );
-    let stands = reach.configuration()?;
+    let current = client.configuration()?;
     let mut proposal = Proposal {
-        seen: seen(path)?.unwrap_or_else(|| {
-            let files = stands.files.iter();
+        seen: read_seen(path)?.unwrap_or_else(|| {
+            let files = current.files.iter();
             files
                 .map(|(name, file)| (name.clone(), file.digest.clone()))
                 .collect()
@@ -73,7 +73,7 @@
         ..Proposal::default()
     };
     for (name, content) in &folder.files {
-        let known = stands.files.get(name);
+        let known = current.files.get(name);
         if known.is_some_and(|known| known.digest == digest(content)) {
             continue;
         }
@@ -82,7 +82,7 @@
         proposal.files.insert(name.clone(), Some(text.to_owned()));
     }
     if remove {
-        for name in stands.files.keys() {
+        for name in current.files.keys() {
             if !folder.files.contains_key(name) {
                 proposal.files.insert(name.clone(), None);
             }
@@ -91,8 +91,8 @@
     Ok(proposal)
 }
 
-fn seen(path: &Path) -> Result<Option<BTreeMap<String, String>>> {
-    let path = path.join(SEEN);
+fn read_seen(path: &Path) -> Result<Option<BTreeMap<String, String>>> {
+    let path = path.join(SEEN_FILE);
     if !path.exists() {
         return Ok(None);
     }
@@ -107,12 +107,12 @@
 /// # Errors
 ///
 /// When the note cannot be written.
-pub fn remember(path: &Path, folder: &Folder) -> Result<()> {
+pub fn write_seen(path: &Path, folder: &Folder) -> Result<()> {
     let files = folder.files.iter();
     let seen: BTreeMap<_, _> = files
         .map(|(name, content)| (name, digest(content)))
         .collect();
-    let path = path.join(SEEN);
+    let path = path.join(SEEN_FILE);
     std::fs::write(&path, serde_json::to_vec_pretty(&seen)?)
         .with_context(|| format!("write {}", path.display()))
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -43,7 +43,7 @@
             .with_context(|| format!("read {}", self.folder.display()))?;
         let shown = self.folder.display();
         ensure!(!folder.files.is_empty(), "{shown} holds no .yaml file");
-        match compile(&folder) {
+        match compile_folder(&folder) {
             Ok(catalog) => output.print(&Report::new(&catalog), |report| {
                 format!(
                     "ok: {} organisations, {} versions, {} targets, {} backends",
@@ -77,7 +77,7 @@
     }
 }
 
-fn compile(folder: &Folder) -> Result<Catalog, Vec<Problem>> {
+fn compile_folder(folder: &Folder) -> Result<Catalog, Vec<Problem>> {
     let merged = Merged::new(folder)?;
     Catalog::new(0, &merged, &mut Names::new())
 }
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -9,7 +9,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::demo::{Scene, once};
+use crate::demo::{Deployment, once};
 
 /// Starts stand-ins of the platform and of backend servers, and instances of
 /// the real router, in one process on loopback.
@@ -50,20 +50,20 @@
             .start()
             .context("start the logger")?;
         let mut signals = Signals::new([SIGTERM, SIGINT]).context("register signals")?;
-        let scene = Scene::new(&self.config, self.instances, &self.listen)?;
+        let deployment = Deployment::new(&self.config, self.instances, &self.listen)?;
         let result = if self.once {
-            once::run(scene.ready())
+            once::run(deployment.ready())
         } else {
             if let Some(path) = &self.env {
-                std::fs::write(path, scene.ready().variables())
+                std::fs::write(path, deployment.ready().variables())
                     .with_context(|| format!("write {}", path.display()))?;
             }
-            println!("{}", serde_json::to_string(scene.ready())?);
+            println!("{}", serde_json::to_string(deployment.ready())?);
             std::io::stdout().flush()?;
             signals.forever().next();
             Ok(())
         };
-        scene.shutdown();
+        deployment.shutdown();
         result
     }
 }
--- a/crates/cli/src/commands/digest.rs
+++ b/crates/cli/src/commands/digest.rs
@@ -10,9 +10,9 @@
 use fescuerack_config::folder::digest;
 
 /// Bytes of randomness in a new key or token.
-const RANDOM: usize = 32;
+const RANDOM_BYTES: usize = 32;
 /// Mode of a file that only its owner reads.
-const OWNER_ONLY: u32 = 0o600;
+const OWNER_ONLY_MODE: u32 = 0o600;
 
 /// Prints the digest of a key or a token, which is what the configuration
 /// holds. The text is read from standard input, so that it stands neither on
@@ -33,7 +33,7 @@
     /// When nothing is given or the file cannot be written.
     pub fn execute(self) -> Result<()> {
         let text = if let Some(path) = &self.new {
-            make(path)?
+            generate(path)?
         } else {
             let mut text = String::new();
             std::io::stdin().read_to_string(&mut text)?;
@@ -49,8 +49,8 @@
     }
 }
 
-fn make(path: &Path) -> Result<String> {
-    let mut random = [0; RANDOM];
+fn generate(path: &Path) -> Result<String> {
+    let mut random = [0; RANDOM_BYTES];
     File::open("/dev/urandom")
         .and_then(|mut file| file.read_exact(&mut random))
         .context("read the system's randomness")?;
@@ -58,7 +58,7 @@
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(OWNER_ONLY)
+        .mode(OWNER_ONLY_MODE)
         .open(path)
         .with_context(|| format!("create {}", path.display()))?;
     writeln!(file, "{text}")?;
--- a/crates/cli/src/commands/dump.rs
+++ b/crates/cli/src/commands/dump.rs
@@ -3,7 +3,7 @@
 use anyhow::Result;
 use clap::Args;
 
-use crate::access::{Access, states};
+use crate::access::{Access, read_states};
 use crate::exit::Failed;
 use crate::print;
 
@@ -22,18 +22,18 @@
     ///
     /// When a process gives no answer.
     pub fn execute(self) -> Result<()> {
-        let mut found = Vec::new();
+        let mut states = Vec::new();
         let mut failure = None;
-        for (address, state) in states(&self.access)? {
+        for (address, state) in read_states(&self.access)? {
             match state {
-                Ok(state) => found.push(state),
+                Ok(state) => states.push(state),
                 Err(error) => {
                     eprintln!("{address}: {error:#}");
                     failure = Some(error);
                 }
             }
         }
-        match found.as_slice() {
+        match states.as_slice() {
             [] if failure.is_none() => {
                 return Err(Failed::usage("name an instance by --node").into());
             }
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context as _, Result, bail};
 use clap::Args;
 
-use crate::story::{self, Line};
+use crate::timeline::{self, Line};
 
 /// Tells the story of one request from the log lines of instances.
 ///
@@ -31,23 +31,23 @@
     pub fn execute(&self) -> Result<()> {
         let mut lines = Vec::new();
         if self.files.is_empty() {
-            read("", std::io::stdin(), &mut lines)?;
+            read_lines("", std::io::stdin(), &mut lines)?;
         }
         for path in &self.files {
             let file = std::fs::File::open(path);
             let file = file.with_context(|| format!("open {}", path.display()))?;
             let source = path.file_stem().unwrap_or_default().to_string_lossy();
-            read(&source, file, &mut lines)?;
+            read_lines(&source, file, &mut lines)?;
         }
-        let Some(story) = story::tell(&self.id, &lines) else {
+        let Some(timeline) = timeline::render(&self.id, &lines) else {
             bail!("no line speaks of the request {}", self.id);
         };
-        print!("{story}");
+        print!("{timeline}");
         Ok(())
     }
 }
 
-fn read(source: &str, input: impl Read, lines: &mut Vec<Line>) -> Result<()> {
+fn read_lines(source: &str, input: impl Read, lines: &mut Vec<Line>) -> Result<()> {
     for text in BufReader::new(input).lines() {
         let text = text.context("read log lines")?;
         lines.extend(Line::new(source, &text));
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -24,12 +24,12 @@
     ///
     /// When nobody answers.
     pub fn execute(self, output: Output) -> Result<()> {
-        let history = self.access.reach()?.history(self.most)?;
-        output.print(&history, words)
+        let history = self.access.client()?.history(self.most)?;
+        output.print(&history, format_table)
     }
 }
 
-fn words(history: &admin::History) -> String {
+fn format_table(history: &admin::History) -> String {
     let rows = history.changes.iter().map(|change| {
         let mut files = change.put.clone();
         files.extend(change.removed.iter().map(|name| format!("-{name}")));
--- a/crates/cli/src/commands/ledger.rs
+++ b/crates/cli/src/commands/ledger.rs
@@ -29,7 +29,7 @@
     ///
     /// When nobody answers.
     pub fn execute(self, output: Output) -> Result<()> {
-        let mut ledger = self.access.reach()?.ledger()?;
+        let mut ledger = self.access.client()?.ledger()?;
         if let Some(name) = &self.organisation {
             ledger.sums.retain(|sum| sum.organisation == *name);
         }
@@ -40,7 +40,7 @@
             }
             return Ok(());
         }
-        output.print(&ledger, words)
+        output.print(&ledger, format_table)
     }
 }
 
@@ -55,7 +55,7 @@
     ]
 }
 
-fn words(ledger: &admin::Ledger) -> String {
+fn format_table(ledger: &admin::Ledger) -> String {
     let mut totals: BTreeMap<&str, admin::Sum> = BTreeMap::new();
     for sum in &ledger.sums {
         let total = totals.entry(&sum.organisation).or_default();
@@ -66,9 +66,9 @@
     }
     let mut rows = Vec::new();
     for (organisation, total) in totals {
-        let own = ledger.sums.iter();
+        let sums = ledger.sums.iter();
         rows.extend(
-            own.filter(|sum| sum.organisation == organisation)
+            sums.filter(|sum| sum.organisation == organisation)
                 .map(cells),
         );
         let total = admin::Sum {
--- a/crates/cli/src/commands/organisation.rs
+++ b/crates/cli/src/commands/organisation.rs
@@ -4,7 +4,7 @@
 use clap::{Args, Subcommand};
 use fescuerack_config::change::{Action, Fields};
 
-use crate::access::{Access, merged};
+use crate::access::{Access, merge};
 use crate::change::{self, Record};
 use crate::print::{self, Output};
 
@@ -90,13 +90,13 @@
                         keys: set.keys,
                     },
                 };
-                change::act(&set.access, output, &set.record, action)
+                change::submit_action(&set.access, output, &set.record, action)
             }
             Verb::Remove(remove) => {
                 let action = Action::OrganisationRemove {
                     organisation: remove.organisation,
                 };
-                change::act(&remove.access, output, &remove.record, action)
+                change::submit_action(&remove.access, output, &remove.record, action)
             }
             Verb::List(list) => list.execute(output),
         }
@@ -105,8 +105,8 @@
 
 impl List {
     fn execute(self, output: Output) -> Result<()> {
-        let configuration = self.access.reach()?.configuration()?;
-        let merged = merged(configuration)?;
+        let configuration = self.access.client()?.configuration()?;
+        let merged = merge(configuration)?;
         output.print(&merged.file.organisations, |organisations| {
             let rows = organisations.iter().map(|(name, entry)| {
                 [
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -32,14 +32,14 @@
     ///
     /// Why the folder would not be accepted.
     pub fn execute(self, output: Output) -> Result<()> {
-        let reach = self.access.reach()?;
-        let proposal = apply::proposal(&reach, &self.folder, self.remove)?;
-        let plan = reach.plan(&proposal)?;
-        output.print(&plan, words)
+        let client = self.access.client()?;
+        let proposal = apply::proposal(&client, &self.folder, self.remove)?;
+        let plan = client.plan(&proposal)?;
+        output.print(&plan, format_table)
     }
 }
 
-fn words(plan: &admin::Plan) -> String {
+fn format_table(plan: &admin::Plan) -> String {
     let mut text = format!("compared with revision {}:\n", plan.revision);
     let files = [
         ("new file", &plan.added),
--- a/crates/cli/src/commands/rollout.rs
+++ b/crates/cli/src/commands/rollout.rs
@@ -5,7 +5,7 @@
 use fescuerack_config::change::Action;
 use serde::Serialize;
 
-use crate::access::{Access, merged, states};
+use crate::access::{Access, merge, read_states};
 use crate::change::{self, Record};
 use crate::exit::Failed;
 use crate::live;
@@ -23,11 +23,11 @@
     /// Starts to roll out a version.
     Open(Open),
     /// Raises the share of new sessions by one stage.
-    Step(OfModel),
+    Step(ModelArgs),
     /// Keeps the share where it is.
-    Pause(OfModel),
+    Pause(ModelArgs),
     /// Lets the roll-out advance again.
-    Resume(OfModel),
+    Resume(ModelArgs),
     /// Ends a roll-out: the candidate becomes the version of today.
     Close(Close),
     /// Withdraws a version: no new work at all, from this change on.
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug, Args)]
-struct OfModel {
+struct ModelArgs {
     /// Model.
     model: String,
     #[command(flatten)]
@@ -119,40 +119,40 @@
     pub fn execute(self, output: Output) -> Result<()> {
         match self.verb {
             Verb::Open(open) => open.execute(output),
-            Verb::Step(of) => of.act(output, |model| Action::RolloutStep { model }),
-            Verb::Pause(of) => of.act(output, |model| Action::RolloutPause { model }),
-            Verb::Resume(of) => of.act(output, |model| Action::RolloutResume { model }),
+            Verb::Step(args) => args.submit(output, |model| Action::RolloutStep { model }),
+            Verb::Pause(args) => args.submit(output, |model| Action::RolloutPause { model }),
+            Verb::Resume(args) => args.submit(output, |model| Action::RolloutResume { model }),
             Verb::Close(close) => {
-                let live = live::rollouts(&states(&close.access)?);
+                let live = live::rollouts(&read_states(&close.access)?);
                 let live = live.iter().find(|live| live.model == close.model);
                 let action = Action::RolloutClose {
                     model: close.model,
                     keep_current: close.keep_current,
-                    stepped: live.is_some_and(live::Rollout::is_whole),
+                    stepped: live.is_some_and(live::Rollout::is_at_full_share),
                 };
-                change::act(&close.access, output, &close.record, action)
+                change::submit_action(&close.access, output, &close.record, action)
             }
             Verb::Withdraw(withdraw) => {
                 let action = Action::VersionWithdraw {
                     version: withdraw.version,
                     replacement: withdraw.replacement,
                 };
-                change::act(&withdraw.access, output, &withdraw.record, action)
+                change::submit_action(&withdraw.access, output, &withdraw.record, action)
             }
             Verb::Reopen(reopen) => {
                 let action = Action::VersionOpen {
                     version: reopen.version,
                 };
-                change::act(&reopen.access, output, &reopen.record, action)
+                change::submit_action(&reopen.access, output, &reopen.record, action)
             }
             Verb::Status(status) => status.execute(output),
         }
     }
 }
 
-impl OfModel {
-    fn act(self, output: Output, action: impl FnOnce(String) -> Action) -> Result<()> {
-        change::act(&self.access, output, &self.record, action(self.model))
+impl ModelArgs {
+    fn submit(self, output: Output, action: impl FnOnce(String) -> Action) -> Result<()> {
+        change::submit_action(&self.access, output, &self.record, action(self.model))
     }
 }
 
@@ -169,7 +169,7 @@
             stages: self.stages,
             exposure: self.exposure,
         };
-        change::act(&self.access, output, &self.record, action)
+        change::submit_action(&self.access, output, &self.record, action)
     }
 }
 
@@ -195,16 +195,16 @@
     }
 }
 
-fn take(live: &mut Vec<live::Rollout>, model: &str) -> Option<live::Rollout> {
-    let at = live.iter().position(|rollout| rollout.model == model)?;
-    Some(live.swap_remove(at))
+fn take_rollout(live: &mut Vec<live::Rollout>, model: &str) -> Option<live::Rollout> {
+    let index = live.iter().position(|rollout| rollout.model == model)?;
+    Some(live.swap_remove(index))
 }
 
 impl Status {
     fn execute(self, output: Output) -> Result<()> {
-        let configuration = self.access.reach()?.configuration()?;
-        let mut live = live::rollouts(&states(&self.access)?);
-        let merged = merged(configuration)?;
+        let configuration = self.access.client()?.configuration()?;
+        let mut live = live::rollouts(&read_states(&self.access)?);
+        let merged = merge(configuration)?;
         let rows: Vec<_> = merged
             .file
             .rollouts
@@ -212,7 +212,7 @@
             .map(|(model, rollout)| Row {
                 // Without a candidate nothing is rolled out, whatever an
                 // instance still remembers of the last one.
-                live: take(&mut live, &model).filter(|_| rollout.candidate.is_some()),
+                live: take_rollout(&mut live, &model).filter(|_| rollout.candidate.is_some()),
                 model,
                 share: match rollout.candidate {
                     Some(_) => rollout.stages.get(rollout.stage).copied().unwrap_or(0.0),
--- a/crates/cli/src/commands/server.rs
+++ b/crates/cli/src/commands/server.rs
@@ -5,7 +5,7 @@
 use fescuerack_config::change::Action;
 use serde_json::Value;
 
-use crate::access::{Access, states};
+use crate::access::{Access, read_states};
 use crate::change::{self, Record};
 use crate::print::{self, Output};
 
@@ -56,12 +56,12 @@
             Verb::Add(named) => {
                 let Named { fleet, server, .. } = named;
                 let action = Action::ServerAdd { fleet, server };
-                change::act(&named.access, output, &named.record, action)
+                change::submit_action(&named.access, output, &named.record, action)
             }
             Verb::Retire(named) => {
                 let Named { fleet, server, .. } = named;
                 let action = Action::ServerRetire { fleet, server };
-                change::act(&named.access, output, &named.record, action)
+                change::submit_action(&named.access, output, &named.record, action)
             }
             Verb::Status(status) => status.execute(output),
         }
@@ -70,38 +70,38 @@
 
 impl Status {
     fn execute(self, output: Output) -> Result<()> {
-        let mut seen = Vec::new();
+        let mut states = Vec::new();
         let mut failure = None;
-        for (address, state) in states(&self.access)? {
+        for (address, state) in read_states(&self.access)? {
             match state {
-                Ok(state) => seen.push(state),
+                Ok(state) => states.push(state),
                 Err(error) => {
                     eprintln!("{address}: {error:#}");
                     failure = Some(error);
                 }
             }
         }
-        if let (true, Some(error)) = (seen.is_empty(), failure) {
+        if let (true, Some(error)) = (states.is_empty(), failure) {
             return Err(error);
         }
         let mut rows = Vec::new();
-        for state in &seen {
+        for state in &states {
             let servers = state["route"]["servers"].as_array();
             let servers = servers.context("the state holds no route.servers")?;
             rows.extend(
                 servers
                     .iter()
-                    .map(|server| (text(&state["instance"]), server)),
+                    .map(|server| (cell_text(&state["instance"]), server)),
             );
         }
         output.print(&rows, |rows| {
             let rows = rows.iter().map(|(instance, server)| {
                 [
-                    text(&server["id"]),
-                    text(&server["zone"]),
-                    text(&server["address"]),
-                    text(&server["state"]),
-                    text(&server["in_flight"]),
+                    cell_text(&server["id"]),
+                    cell_text(&server["zone"]),
+                    cell_text(&server["address"]),
+                    cell_text(&server["state"]),
+                    cell_text(&server["in_flight"]),
                     instance.clone(),
                 ]
             });
@@ -111,7 +111,7 @@
     }
 }
 
-fn text(value: &Value) -> String {
+fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => String::new(),
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -33,7 +33,7 @@
     ///
     /// When nobody answers or the folder cannot be written.
     pub fn execute(self, output: Output) -> Result<()> {
-        let configuration = self.access.reach()?.configuration()?;
+        let configuration = self.access.client()?.configuration()?;
         if configuration.source == Source::Instance {
             eprintln!(
                 "the store gives no answer: this is what is in force on the instance that was \
@@ -46,13 +46,13 @@
             return print::line(file.text.trim_end_matches('\n'));
         }
         if let Some(path) = &self.into {
-            return write(path, &configuration);
+            return write_folder(path, &configuration);
         }
-        output.print(&configuration, words)
+        output.print(&configuration, format_table)
     }
 }
 
-fn write(path: &Path, configuration: &Configuration) -> Result<()> {
+fn write_folder(path: &Path, configuration: &Configuration) -> Result<()> {
     std::fs::create_dir_all(path).with_context(|| format!("create {}", path.display()))?;
     let mut folder = Folder::new();
     for (name, file) in &configuration.files {
@@ -61,7 +61,7 @@
             .with_context(|| format!("write {}", target.display()))?;
         folder = folder.with_file(name, Bytes::from(file.text.clone()));
     }
-    apply::remember(path, &folder)?;
+    apply::write_seen(path, &folder)?;
     print::line(&format!(
         "revision {}: {} files in {}",
         configuration.revision,
@@ -70,15 +70,15 @@
     ))
 }
 
-fn words(configuration: &Configuration) -> String {
-    const DIGITS: usize = 12;
+fn format_table(configuration: &Configuration) -> String {
+    const DIGEST_PREFIX_CHARS: usize = 12;
     let rows = configuration.files.iter().map(|(name, file)| {
         [
             name.clone(),
             file.revision.to_string(),
             file.author.clone(),
             file.text.lines().count().to_string(),
-            file.digest.chars().take(DIGITS).collect(),
+            file.digest.chars().take(DIGEST_PREFIX_CHARS).collect(),
         ]
     });
     let header = ["file", "changed in", "by", "lines", "digest"];
--- a/crates/cli/src/commands/top.rs
+++ b/crates/cli/src/commands/top.rs
@@ -9,15 +9,15 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::access::{Access, states};
+use crate::access::{Access, read_states};
 use crate::exit::Failed;
 use crate::live;
 use crate::print::{self, Output};
 
 /// Clears the screen and goes to its first line.
-const CLEAR: &str = "\x1b[2J\x1b[H";
+const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 /// Counters that are shown at most.
-const MOST_COUNTERS: usize = 24;
+const MAX_SHOWN_COUNTERS: usize = 24;
 
 /// Shows load, refusals and revisions of the named instances, again and again.
 #[derive(Debug, Args)]
@@ -34,7 +34,7 @@
 
 /// What one look found.
 #[derive(Debug, Serialize)]
-struct Look {
+struct Sample {
     instances: Vec<Row>,
     /// Roll-outs as the first instance that answers sees them.
     rollouts: Vec<live::Rollout>,
@@ -69,23 +69,25 @@
         let mut before: Option<(Instant, BTreeMap<String, u64>)> = None;
         let mut round = 0;
         loop {
-            let seen = states(&self.access)?;
+            let states = read_states(&self.access)?;
             let now = Instant::now();
             if round == 0 {
-                check(&seen)?;
+                require_one_answer(&states)?;
             }
-            let counters = sum(&seen);
+            let counters = sum_counters(&states);
             let rates = before.map_or_else(BTreeMap::new, |(then, old)| {
                 rates(&old, &counters, now.duration_since(then))
             });
-            let rollouts = live::rollouts(&seen);
-            let instances = seen.into_iter().map(|(address, state)| row(address, state));
-            let look = Look {
+            let rollouts = live::rollouts(&states);
+            let instances = states
+                .into_iter()
+                .map(|(address, state)| row(address, state));
+            let sample = Sample {
                 instances: instances.collect(),
                 rollouts,
                 rates,
             };
-            show(output, &look)?;
+            print_sample(output, &sample)?;
             before = Some((now, counters));
             round += 1;
             if self.rounds.is_some_and(|rounds| round >= rounds) {
@@ -97,10 +99,10 @@
 }
 
 /// Fails like the first instance when none gives an answer.
-fn check(seen: &[(String, Result<Value>)]) -> Result<()> {
-    let mut failures = seen.iter().filter_map(|(_, state)| state.as_ref().err());
+fn require_one_answer(states: &[(String, Result<Value>)]) -> Result<()> {
+    let mut failures = states.iter().filter_map(|(_, state)| state.as_ref().err());
     match failures.next() {
-        Some(first) if failures.count() + 1 == seen.len() => {
+        Some(first) if failures.count() + 1 == states.len() => {
             let failed = first.downcast_ref::<Failed>().cloned();
             Err(failed.map_or_else(|| anyhow!("{first:#}"), Into::into))
         }
@@ -108,24 +110,24 @@
     }
 }
 
-fn show(output: Output, look: &Look) -> Result<()> {
+fn print_sample(output: Output, sample: &Sample) -> Result<()> {
     match output {
         // One document a line, so that a program can read look after look.
-        Output::Json => print::line(&serde_json::to_string(look)?),
+        Output::Json => print::line(&serde_json::to_string(sample)?),
         Output::Table => {
             let clear = if std::io::stdout().is_terminal() {
-                CLEAR
+                CLEAR_SCREEN
             } else {
                 ""
             };
-            print::line(&format!("{clear}{}", words(look)))
+            print::line(&format!("{clear}{}", format_table(sample)))
         }
     }
 }
 
-fn sum(seen: &[(String, Result<Value>)]) -> BTreeMap<String, u64> {
+fn sum_counters(states: &[(String, Result<Value>)]) -> BTreeMap<String, u64> {
     let mut counters = BTreeMap::new();
-    for state in seen.iter().filter_map(|(_, state)| state.as_ref().ok()) {
+    for state in states.iter().filter_map(|(_, state)| state.as_ref().ok()) {
         for (name, value) in state["counters"].as_object().into_iter().flatten() {
             *counters.entry(name.clone()).or_insert(0) += value.as_u64().unwrap_or(0);
         }
@@ -141,9 +143,9 @@
     let seconds = elapsed.as_secs_f64().max(f64::EPSILON);
     let changed = new.iter().filter_map(|(name, value)| {
         // An instance that was restarted counts from 0 again.
-        let grown = value.saturating_sub(old.get(name).copied().unwrap_or(0));
-        let grown = u32::try_from(grown).unwrap_or(u32::MAX);
-        (grown > 0).then(|| (name.clone(), f64::from(grown) / seconds))
+        let increase = value.saturating_sub(old.get(name).copied().unwrap_or(0));
+        let increase = u32::try_from(increase).unwrap_or(u32::MAX);
+        (increase > 0).then(|| (name.clone(), f64::from(increase) / seconds))
     });
     changed.collect()
 }
@@ -168,8 +170,8 @@
     }
 }
 
-fn words(look: &Look) -> String {
-    let rows = look.instances.iter().map(|row| {
+fn format_table(sample: &Sample) -> String {
+    let rows = sample.instances.iter().map(|row| {
         let state = match (&row.error, row.ready) {
             (Some(_), _) => "no answer",
             (None, true) => "ready",
@@ -190,8 +192,8 @@
         "address", "instance", "zone", "state", "revision", "running", "waiting", "to bill",
     ];
     let mut text = print::table(header, rows.collect());
-    if !look.rollouts.is_empty() {
-        let rows = look.rollouts.iter().map(|rollout| {
+    if !sample.rollouts.is_empty() {
+        let rows = sample.rollouts.iter().map(|rollout| {
             let share = format!("{:.1}%", rollout.share * 100.0);
             [rollout.model.clone(), share, rollout.verdict.clone()]
         });
@@ -199,9 +201,9 @@
         text.push('\n');
         text.push_str(&print::table(header, rows.collect()));
     }
-    let mut rates: Vec<_> = look.rates.iter().collect();
+    let mut rates: Vec<_> = sample.rates.iter().collect();
     rates.sort_by(|a, b| b.1.total_cmp(a.1));
-    let rows = rates.into_iter().take(MOST_COUNTERS);
+    let rows = rates.into_iter().take(MAX_SHOWN_COUNTERS);
     let rows: Vec<_> = rows
         .map(|(name, rate)| [name.clone(), format!("{rate:.1}")])
         .collect();
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -18,18 +18,18 @@
 use tokio::runtime::Runtime;
 
 /// Servers of one engine fleet.
-const ENGINES: usize = 12;
+const SERVERS_PER_ENGINE_FLEET: usize = 12;
 /// Servers of one fleet of a plain service.
-const SERVICES: usize = 4;
+const SERVERS_PER_SERVICE_FLEET: usize = 4;
 /// Pace of the stand-in engines.
-const PACE: Pace = Pace {
+const ENGINE_PACE: Pace = Pace {
     first_ms: 30,
     token_ms: 10,
 };
 /// Time that a plain service takes.
 const SERVICE_DELAY: Duration = Duration::from_millis(20);
 /// Time within which every instance must be ready.
-const READY: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Availability zone of servers whose fleet names none.
 const DEFAULT_ZONE: &str = "local";
 
@@ -55,7 +55,7 @@
     pub services: Vec<String>,
     /// Key of the organisation that may use most.
     #[serde(skip)]
-    pub widest: Option<String>,
+    pub default_key: Option<String>,
 }
 
 impl Ready {
@@ -66,7 +66,7 @@
         let nodes: Vec<_> = nodes.map(|url| url.trim_start_matches("http://")).collect();
         let callers = self.callers.first().map_or("", String::as_str);
         let token = self.operator_token.as_deref().unwrap_or("");
-        let key = self.widest.as_deref().unwrap_or("");
+        let key = self.default_key.as_deref().unwrap_or("");
         format!(
             "export CALLERS={callers}\nexport KEY={key}\nexport FESCUERACK_NODE={}\n\
              export FESCUERACK_TOKEN={token}\nexport STORE={}\n",
@@ -77,7 +77,7 @@
 }
 
 /// Everything that runs.
-pub struct Scene {
+pub struct Deployment {
     runtime: Runtime,
     platform: Platform,
     engines: Vec<Engine>,
@@ -86,7 +86,7 @@
     ready: Ready,
 }
 
-impl Scene {
+impl Deployment {
     /// Starts everything and waits until it is ready.
     ///
     /// # Errors
@@ -105,16 +105,16 @@
         let any_port = format!("{listen}:0");
         let platform = Platform::new(runtime.handle(), &any_port)?;
         manifest::publish(&HttpStore::new(&platform.address()), &files, "demo")?;
-        let mut scene = Self {
+        let mut deployment = Self {
             ready: Ready {
                 callers: Vec::new(),
                 operators: Vec::new(),
                 operator_token: operator_token(&merged),
                 store: platform.address(),
-                keys: keys(&merged),
+                keys: demo_keys(&merged),
                 models: models(&merged),
                 services: services(&merged),
-                widest: widest(&merged),
+                default_key: default_key(&merged),
             },
             runtime,
             platform,
@@ -124,17 +124,17 @@
         };
         for (name, version) in &merged.file.versions {
             let quality = version.quality.get("default").copied().unwrap_or(0.5);
-            scene.platform.rate(name, quality);
+            deployment.platform.rate(name, quality);
         }
         for (fleet, backend) in &merged.file.backends {
-            scene.start_fleet(fleet, backend, &any_port)?;
+            deployment.start_fleet(fleet, backend, &any_port)?;
         }
         let zones = zones(&merged);
         for index in 0..instances {
-            scene.start_node(index, &zones[index % zones.len()], listen)?;
+            deployment.start_node(index, &zones[index % zones.len()], listen)?;
         }
-        scene.wait_until_ready()?;
-        Ok(scene)
+        deployment.wait_until_ready()?;
+        Ok(deployment)
     }
 
     /// Returns what the demo prints when it is ready.
@@ -154,13 +154,13 @@
 
     fn start_fleet(&mut self, fleet: &str, backend: &Backend, listen: &str) -> Result<()> {
         let count = match backend.kind {
-            Kind::Engine => ENGINES,
-            Kind::Service => SERVICES,
+            Kind::Engine => SERVERS_PER_ENGINE_FLEET,
+            Kind::Service => SERVERS_PER_SERVICE_FLEET,
         };
         for index in 0..count {
             let address = match backend.kind {
                 Kind::Engine => {
-                    let engine = Engine::new(self.runtime.handle(), listen, PACE)?;
+                    let engine = Engine::new(self.runtime.handle(), listen, ENGINE_PACE)?;
                     let address = engine.address();
                     self.engines.push(engine);
                     address
@@ -206,9 +206,9 @@
     }
 
     fn wait_until_ready(&self) -> Result<()> {
-        let deadline = Instant::now() + READY;
-        let complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
-        while !self.nodes.iter().all(complete) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
+        while !self.nodes.iter().all(is_complete) {
             ensure!(
                 Instant::now() < deadline,
                 "the instances did not become ready"
@@ -235,7 +235,7 @@
 }
 
 /// Returns the keys that the examples' digests were made from.
-fn keys(merged: &Merged) -> BTreeMap<String, String> {
+fn demo_keys(merged: &Merged) -> BTreeMap<String, String> {
     let mut keys = BTreeMap::new();
     for (name, organisation) in &merged.file.organisations {
         let key = format!("demo-{name}");
@@ -257,8 +257,8 @@
         .map(|(token, _)| token)
 }
 
-fn widest(merged: &Merged) -> Option<String> {
-    let keys = keys(merged);
+fn default_key(merged: &Merged) -> Option<String> {
+    let keys = demo_keys(merged);
     let organisations = merged.file.organisations.iter();
     organisations
         .filter(|(name, _)| keys.contains_key(*name))
--- a/crates/cli/src/demo/once.rs
+++ b/crates/cli/src/demo/once.rs
@@ -12,7 +12,7 @@
 use super::Ready;
 
 /// Tokens of the long answer.
-const LONG_TOKENS: u64 = 120;
+const LONG_ANSWER_TOKENS: u64 = 120;
 
 /// What came of one request.
 struct Row {
@@ -22,7 +22,7 @@
     first_token: Option<Duration>,
     total: Duration,
     cost: String,
-    right: bool,
+    is_correct: bool,
 }
 
 /// Sends one request of each kind and prints what came of them.
@@ -34,12 +34,12 @@
     let client = Client::new(ready)?;
     let booking = json!({"family": "virtanen", "evening": "2026-12-02"});
     let rows = [
-        client.chat("chat, streamed", true, None)?,
-        client.chat("chat, whole", false, None)?,
-        client.chat("long dossier, streamed", true, Some(LONG_TOKENS))?,
-        client.book("booking", 0, &booking, false)?,
-        client.book("booking, sent again", 1, &booking, true)?,
-        client.forbidden("model not allowed")?,
+        client.send_chat("chat, streamed", true, None)?,
+        client.send_chat("chat, whole", false, None)?,
+        client.send_chat("long dossier, streamed", true, Some(LONG_ANSWER_TOKENS))?,
+        client.send_booking("booking", 0, &booking, false)?,
+        client.send_booking("booking, sent again", 1, &booking, true)?,
+        client.send_forbidden("model not allowed")?,
     ];
     let mut table = Table::new();
     table.set_header([
@@ -55,7 +55,7 @@
         table.add_row(row.cells());
     }
     println!("{table}");
-    let wrong = rows.iter().filter(|row| !row.right).count();
+    let wrong = rows.iter().filter(|row| !row.is_correct).count();
     if wrong > 0 {
         bail!("{wrong} of {} outcomes are wrong", rows.len());
     }
@@ -72,7 +72,7 @@
             self.first_token.map(millis).unwrap_or_default(),
             millis(self.total),
             self.cost.clone(),
-            if self.right { "yes" } else { "NO" }.to_owned(),
+            if self.is_correct { "yes" } else { "NO" }.to_owned(),
         ]
     }
 }
@@ -84,12 +84,12 @@
     /// Class of work that the key's organisation may use.
     model: String,
     /// Key of an organisation and a model that it may not use.
-    barred: (&'a str, String),
+    forbidden: (&'a str, String),
 }
 
 type Response = ureq::http::Response<ureq::Body>;
 
-fn text(response: &Response, name: &str) -> String {
+fn header_text(response: &Response, name: &str) -> String {
     let value = response.headers().get(name);
     let value = value.and_then(|value| value.to_str().ok());
     value.unwrap_or_default().to_owned()
@@ -102,16 +102,16 @@
             "the configuration has no plain service"
         );
         let agent = agent(4);
-        let key = ready.widest.as_deref();
+        let key = ready.default_key.as_deref();
         let key = key.context("no organisation has a key that the demo knows")?;
-        let usable = usable_models(&agent, ready, key)?;
-        let model = usable.iter().find(|model| model.starts_with("auto:"));
+        let allowed = allowed_models(&agent, ready, key)?;
+        let model = allowed.iter().find(|model| model.starts_with("auto:"));
         let model = model.context("the configuration has no class of work")?;
-        let mut barred = None;
+        let mut forbidden = None;
         for key in ready.keys.values() {
-            let usable = usable_models(&agent, ready, key)?;
-            if let Some(model) = ready.models.iter().find(|model| !usable.contains(model)) {
-                barred = Some((key.as_str(), model.clone()));
+            let allowed = allowed_models(&agent, ready, key)?;
+            if let Some(model) = ready.models.iter().find(|model| !allowed.contains(model)) {
+                forbidden = Some((key.as_str(), model.clone()));
             }
         }
         let unknown = || (key, "a-model-of-nobody".to_owned());
@@ -120,7 +120,7 @@
             ready,
             key,
             model: model.clone(),
-            barred: barred.unwrap_or_else(unknown),
+            forbidden: forbidden.unwrap_or_else(unknown),
         })
     }
 
@@ -137,7 +137,7 @@
             .header("authorization", format!("Bearer {key}"))
     }
 
-    fn chat(&self, kind: &'static str, stream: bool, tokens: Option<u64>) -> Result<Row> {
+    fn send_chat(&self, kind: &'static str, stream: bool, tokens: Option<u64>) -> Result<Row> {
         let mut body = json!({
             "model": self.model,
             "stream": stream,
@@ -152,13 +152,13 @@
             .post(self.key, 0, "/v1/chat/completions")
             .send_json(&body)
             .with_context(|| format!("send {kind}"))?;
-        let version = text(&response, header::VERSION);
-        let cost = text(&response, header::COST);
+        let version = header_text(&response, header::VERSION);
+        let cost = header_text(&response, header::COST);
         if stream {
             return read_stream(kind, start, version, response);
         }
-        let outcome = text(&response, header::OUTCOME);
-        let right = response.status() == 200 && outcome == "done";
+        let outcome = header_text(&response, header::OUTCOME);
+        let is_correct = response.status() == 200 && outcome == "done";
         Ok(Row {
             kind,
             outcome,
@@ -166,11 +166,11 @@
             first_token: None,
             total: start.elapsed(),
             cost,
-            right,
+            is_correct,
         })
     }
 
-    fn book(
+    fn send_booking(
         &self,
         kind: &'static str,
         instance: usize,
@@ -184,11 +184,11 @@
             .header(header::IDEMPOTENCY, "demo-booking")
             .send_json(body)
             .with_context(|| format!("send {kind}"))?;
-        let outcome = text(&response, header::OUTCOME);
-        let was_replayed = text(&response, header::REPLAYED) == "true";
+        let outcome = header_text(&response, header::OUTCOME);
+        let was_replayed = header_text(&response, header::REPLAYED) == "true";
         Ok(Row {
             kind,
-            right: outcome == "done" && was_replayed == replayed,
+            is_correct: outcome == "done" && was_replayed == replayed,
             outcome: if was_replayed {
                 format!("{outcome}, replayed")
             } else {
@@ -197,12 +197,12 @@
             version: self.ready.services[0].clone(),
             first_token: None,
             total: start.elapsed(),
-            cost: text(&response, header::COST),
+            cost: header_text(&response, header::COST),
         })
     }
 
-    fn forbidden(&self, kind: &'static str) -> Result<Row> {
-        let (key, model) = &self.barred;
+    fn send_forbidden(&self, kind: &'static str) -> Result<Row> {
+        let (key, model) = &self.forbidden;
         let body = json!({"model": model, "messages": []});
         let start = Instant::now();
         let mut response = self
@@ -210,7 +210,7 @@
             .send_json(&body)
             .with_context(|| format!("send {kind}"))?;
         let status = response.status();
-        let outcome = text(&response, header::OUTCOME);
+        let outcome = header_text(&response, header::OUTCOME);
         let answer: Value = response.body_mut().read_json()?;
         let error = answer["error"]["type"]
             .as_str()
@@ -218,7 +218,7 @@
             .to_owned();
         Ok(Row {
             kind,
-            right: status == 403 && outcome == "not-run",
+            is_correct: status == 403 && outcome == "not-run",
             outcome: format!("{error}, {outcome}"),
             version: String::new(),
             first_token: None,
@@ -229,7 +229,7 @@
 }
 
 /// Returns what an organisation may put into `model`.
-fn usable_models(agent: &Agent, ready: &Ready, key: &str) -> Result<Vec<String>> {
+fn allowed_models(agent: &Agent, ready: &Ready, key: &str) -> Result<Vec<String>> {
     let mut response = agent
         .get(format!("{}/v1/models", ready.callers[0]))
         .header("authorization", format!("Bearer {key}"))
@@ -264,14 +264,14 @@
             cost = value.to_string();
         }
     }
-    let right = status == 200 && ended;
+    let is_correct = status == 200 && ended;
     Ok(Row {
         kind,
-        outcome: if right { "done" } else { "cut" }.to_owned(),
+        outcome: if is_correct { "done" } else { "cut" }.to_owned(),
         version,
         first_token,
         total: start.elapsed(),
         cost,
-        right,
+        is_correct,
     })
 }
--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -21,7 +21,7 @@
 
 impl Rollout {
     /// Returns whether every new session starts on the candidate.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_at_full_share(&self) -> bool {
         self.share >= 1.0
     }
 }
@@ -39,28 +39,28 @@
         .map(|(model, rollout)| Rollout {
             model: model.clone(),
             share: rollout["share_of_new_sessions"].as_f64().unwrap_or(0.0),
-            verdict: verdict(rollout),
+            verdict: describe_verdict(rollout),
         });
     rollouts.collect()
 }
 
-fn verdict(rollout: &Value) -> String {
+fn describe_verdict(rollout: &Value) -> String {
     let halted = &rollout["trial"]["halted"];
     if !halted.is_null() {
-        return format!("halted: {}", words(halted));
+        return format!("halted: {}", plain_text(halted));
     }
-    words(&rollout["verdict"])
+    plain_text(&rollout["verdict"])
 }
 
 /// Returns a value without the signs of JSON.
-fn words(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::Null => "none".to_owned(),
         Value::String(text) => text.clone(),
         Value::Object(fields) => {
             let fields = fields.iter();
             let fields: Vec<_> = fields
-                .map(|(name, value)| format!("{name}: {}", words(value)))
+                .map(|(name, value)| format!("{name}: {}", plain_text(value)))
                 .collect();
             fields.join(", ")
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,7 +11,7 @@
 mod exit;
 mod live;
 mod print;
-mod story;
+mod timeline;
 
 use std::process::ExitCode;
 
@@ -21,7 +21,7 @@
     match commands::Arguments::parse().execute() {
         Ok(()) => ExitCode::SUCCESS,
         // Whoever read the output has seen enough.
-        Err(error) if is_closed(&error) => ExitCode::SUCCESS,
+        Err(error) if is_broken_pipe(&error) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fescuerack: {error:#}");
             exit::code(&error)
@@ -29,7 +29,7 @@
     }
 }
 
-fn is_closed(error: &anyhow::Error) -> bool {
+fn is_broken_pipe(error: &anyhow::Error) -> bool {
     let cause = error.downcast_ref::<std::io::Error>();
     cause.is_some_and(|cause| cause.kind() == std::io::ErrorKind::BrokenPipe)
 }
--- a/crates/cli/src/story.rs
+++ b/crates/cli/src/timeline.rs
@@ -5,9 +5,9 @@
 use serde_json::{Map, Value};
 
 /// Fields that every line has, or that the story shows by itself.
-const SHOWN: &[&str] = &["timestamp", "level", "event", "id"];
+const HIDDEN_FIELDS: &[&str] = &["timestamp", "level", "event", "id"];
 /// Lines about no request that may explain one.
-const CONTEXT: &[&str] = &[
+const CONTEXT_EVENTS: &[&str] = &[
     "configuration",
     "history-gone",
     "learned-from-peer",
@@ -42,9 +42,9 @@
     pub fn new(source: &str, text: &str) -> Option<Self> {
         let (before, json) = text.split_at(text.find('{')?);
         let fields = serde_json::from_str(json).ok()?;
-        let word = before.split_whitespace().last().unwrap_or(source);
+        let source = before.split_whitespace().last().unwrap_or(source);
         Some(Self {
-            source: word.to_owned(),
+            source: source.to_owned(),
             fields,
         })
     }
@@ -58,11 +58,11 @@
 
     /// Time of day with milliseconds.
     fn time(&self) -> &str {
-        let stamp = self.text("timestamp");
-        stamp.get(11..23).unwrap_or(stamp)
+        let timestamp = self.text("timestamp");
+        timestamp.get(11..23).unwrap_or(timestamp)
     }
 
-    fn describe(&self) -> String {
+    fn format(&self) -> String {
         let mut text = format!(
             "{}  {:<16} {}",
             self.time(),
@@ -70,7 +70,7 @@
             self.text("event")
         );
         for (name, value) in &self.fields {
-            if SHOWN.contains(&name.as_str()) {
+            if HIDDEN_FIELDS.contains(&name.as_str()) {
                 continue;
             }
             let value = match value {
@@ -90,57 +90,65 @@
 
 /// Tells the story of the request `id`; `None` if no line speaks of it.
 #[must_use]
-pub fn tell(id: &str, lines: &[Line]) -> Option<String> {
-    let mut own: Vec<&Line> = lines.iter().filter(|line| line.text("id") == id).collect();
-    own.sort_by_key(|line| line.text("timestamp").to_owned());
-    let (first, last) = (own.first()?, own.last()?);
-    let mut story = String::new();
-    for line in &own {
-        let _ = writeln!(story, "{}", line.describe());
+pub fn render(id: &str, lines: &[Line]) -> Option<String> {
+    let mut request_lines: Vec<&Line> = lines.iter().filter(|line| line.text("id") == id).collect();
+    request_lines.sort_by_key(|line| line.text("timestamp").to_owned());
+    let (first, last) = (request_lines.first()?, request_lines.last()?);
+    let mut timeline = String::new();
+    for line in &request_lines {
+        let _ = writeln!(timeline, "{}", line.format());
     }
-    let sources: Vec<&str> = own.iter().map(|line| line.source.as_str()).collect();
-    let (from, to) = (start(first), last.text("timestamp"));
+    let sources: Vec<&str> = request_lines
+        .iter()
+        .map(|line| line.source.as_str())
+        .collect();
+    let (from, to) = (context_start(first), last.text("timestamp"));
     let mut context: Vec<&Line> = lines
         .iter()
-        .filter(|line| CONTEXT.contains(&line.text("event")))
+        .filter(|line| CONTEXT_EVENTS.contains(&line.text("event")))
         .filter(|line| sources.contains(&line.source.as_str()))
         .filter(|line| (from.as_str()..=to).contains(&line.text("timestamp")))
         .collect();
     context.sort_by_key(|line| line.text("timestamp").to_owned());
     if !context.is_empty() {
-        story.push_str("\nmeanwhile, and in the minute before:\n");
+        timeline.push_str("\nmeanwhile, and in the minute before:\n");
         for line in context {
-            let _ = writeln!(story, "{}", line.describe());
+            let _ = writeln!(timeline, "{}", line.format());
         }
     }
-    let _ = writeln!(story, "\noutcome: {}", outcome(&own));
-    Some(story)
+    let _ = writeln!(timeline, "\noutcome: {}", outcome(&request_lines));
+    Some(timeline)
 }
 
 /// The minute of the line's time stamp, so that a little of what came before is told.
-fn start(line: &Line) -> String {
-    let stamp = line.text("timestamp");
-    stamp.get(..17).unwrap_or(stamp).to_owned()
+fn context_start(line: &Line) -> String {
+    let timestamp = line.text("timestamp");
+    timestamp.get(..17).unwrap_or(timestamp).to_owned()
 }
 
 /// What became of the request, and the line that decided it.
-fn outcome(own: &[&Line]) -> String {
-    let last = |event: &str| own.iter().rev().find(|line| line.text("event") == event);
-    let end = last("stream").or(last("request"));
-    let Some(end) = end else {
+fn outcome(request_lines: &[&Line]) -> String {
+    let last_with = |event: &str| {
+        request_lines
+            .iter()
+            .rev()
+            .find(|line| line.text("event") == event)
+    };
+    let last_line = last_with("stream").or(last_with("request"));
+    let Some(last_line) = last_line else {
         return "not known: the instance ended, or left its last line out".to_owned();
     };
-    let word = end.text("outcome");
-    let decided = match word {
+    let outcome = last_line.text("outcome");
+    let decisive = match outcome {
         "whole" | "answered" => None,
-        "not-ready" | "no-route" | "no-key" | "too-large" | "no-body" => Some(end),
-        "cut" => last("stream-broken"),
-        _ => last("crashing-request")
-            .or(last("no-server"))
-            .or(last("attempt")),
+        "not-ready" | "no-route" | "no-key" | "too-large" | "no-body" => Some(last_line),
+        "cut" => last_with("stream-broken"),
+        _ => last_with("crashing-request")
+            .or(last_with("no-server"))
+            .or(last_with("attempt")),
     };
-    match decided {
-        Some(line) => format!("{word}, decided by\n  {}", line.describe()),
-        None => word.to_owned(),
+    match decisive {
+        Some(line) => format!("{outcome}, decided by\n  {}", line.format()),
+        None => outcome.to_owned(),
     }
 }
