--- a/crates/cli/src/access.rs
+++ b/crates/cli/src/access.rs
@@ -1,5 +1,5 @@
-//! How a subcommand reaches the configuration: through an instance, or
-//! straight at the store.
+//! Client for the configuration: through an instance's administration API, or
+//! directly in the platform's store.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 
 use crate::exit::Failed;
 
-/// Time within which an instance must answer. An instance itself gives the
-/// Path of the changes.
+/// Path to which changes are submitted.
 const CHANGES_PATH: &str = "/v1/changes";
-/// store ten seconds for a change.
+/// Time within which an instance must answer. It is longer than the ten seconds
+/// that an instance itself waits for the store to make a change.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where a subcommand goes.
+/// Options that name the instances or the store.
 #[derive(Clone, Debug, Args)]
 pub struct Access {
     /// Operators' ports of instances, as `host:port`; the next is asked when
@@ -43,30 +43,30 @@
     store: Option<String>,
 }
 
-/// Name under which a change through `--store` is recorded.
+/// Author that is recorded with a change made through `--store`.
 const STORE_AUTHOR: &str = "store";
 
-/// A way to reach the configuration.
+/// Client for the configuration.
 pub enum Client {
-    /// Instances, in the order in which they are asked.
+    /// Instances, in the order in which they are tried.
     Nodes {
-        /// Connections.
+        /// HTTP client.
         agent: Agent,
-        /// Addresses.
+        /// Addresses of the operators' ports, as `host:port`.
         addresses: Vec<String>,
-        /// The operator's token.
+        /// Operator's token.
         token: Option<String>,
     },
-    /// The store itself.
+    /// The platform's store.
     Store(HttpStore),
 }
 
 impl Access {
-    /// Chooses the way.
+    /// Creates a client for the store if one is named, otherwise for the instances.
     ///
     /// # Errors
     ///
-    /// When neither an instance nor a store is named, or the token's file
+    /// Fails when neither an instance nor a store is named, or the token file
     /// cannot be read.
     pub fn client(&self) -> Result<Client> {
         if let Some(address) = &self.store {
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Returns the instances that were named.
+    /// Returns the addresses of the named instances, as `host:port`.
     pub fn addresses(&self) -> Vec<String> {
         let host_and_port = |node: &String| {
             let node = node.strip_prefix("http://").unwrap_or(node);
@@ -92,6 +92,7 @@
         self.nodes.iter().map(host_and_port).collect()
     }
 
+    /// Returns the operator's token: from the file, or else from `FESCUERACK_TOKEN`.
     fn token(&self) -> Result<Option<String>> {
         if let Some(path) = &self.token_file {
             let text = std::fs::read_to_string(path)
@@ -107,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn configuration(&self) -> Result<Configuration> {
         match self {
             Self::Nodes { .. } => self.get_parsed("/v1/configuration"),
@@ -115,11 +116,11 @@
         }
     }
 
-    /// Reads the last changes.
+    /// Reads the last changes, at most `max_changes`.
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn history(&self, max_changes: usize) -> Result<History> {
         match self {
             Self::Nodes { .. } => self.get_parsed(&format!("/v1/history?most={max_changes}")),
@@ -131,7 +132,7 @@
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn ledger(&self) -> Result<Ledger> {
         match self {
             Self::Nodes { .. } => self.get_parsed("/v1/ledger"),
@@ -139,11 +140,11 @@
         }
     }
 
-    /// Returns what every instance has in force.
+    /// Returns the active revision of every instance.
     ///
     /// # Errors
     ///
-    /// When no instance answers, or none was named.
+    /// Fails when no instance answers, or none was named.
     pub fn instances(&self) -> Result<Instances> {
         match self {
             Self::Nodes { .. } => self.get_parsed("/v1/instances"),
@@ -153,11 +154,11 @@
         }
     }
 
-    /// Says what a proposal would do.
+    /// Returns what a proposal would change, without changing anything.
     ///
     /// # Errors
     ///
-    /// Why it would not be accepted.
+    /// Fails when the proposal would not be accepted.
     pub fn plan(&self, proposal: &Proposal) -> Result<Plan> {
         match self {
             Self::Nodes { .. } => self.post_proposal("/v1/plans", proposal),
@@ -168,11 +169,11 @@
         }
     }
 
-    /// Puts a proposal in force.
+    /// Submits a proposal.
     ///
     /// # Errors
     ///
-    /// Why it was not accepted.
+    /// Fails when the proposal is not accepted, or its outcome is unknown.
     pub fn submit(&self, proposal: &Proposal) -> Result<Accepted> {
         match self {
             Self::Nodes { .. } => self.post_proposal(CHANGES_PATH, proposal),
@@ -180,13 +181,13 @@
         }
     }
 
-    /// Returns a proposal for an action, made on the files as they stand: an
-    /// operator who acts on the same file at the same moment gets a conflict
-    /// in place of a second step.
+    /// Returns a proposal for an action, based on the digests of the current
+    /// files. If two operators act on the same file at the same time, the later
+    /// one gets a conflict instead of, for example, a second roll-out step.
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn proposal(&self, action: Action) -> Result<Proposal> {
         let configuration = self.configuration()?;
         let files = configuration.files.into_iter();
@@ -197,12 +198,14 @@
         })
     }
 
+    /// Sends a GET request to the first instance that answers.
     fn get_parsed<T: DeserializeOwned>(&self, path: &str) -> Result<T> {
         self.send_to_first(false, |agent, address, token| {
             get(agent, address, token, path)
         })
     }
 
+    /// Posts a proposal to the first instance that answers.
     fn post_proposal<T: DeserializeOwned>(&self, path: &str, proposal: &Proposal) -> Result<T> {
         self.send_to_first(path == CHANGES_PATH, |agent, address, token| {
             let mut request = agent
@@ -219,12 +222,12 @@
         })
     }
 
-    /// Asks one instance after another until one answers. A proposal may be
-    /// sent twice by this; its identifier makes that harmless.
+    /// Sends a request to one instance after another until one answers. A
+    /// proposal may thus be sent twice; its identifier makes that idempotent.
     ///
-    /// Where the request `changes` something, an instance that gave no answer
-    /// may still carry it out. The refusal of another then only says that this
-    /// other one changed nothing, so the outcome stays unknown.
+    /// If the request `is_change`, an instance that gave no answer may still
+    /// apply it. An error from the next instance then only means that the next
+    /// one changed nothing, so the outcome stays unknown.
     fn send_to_first<T: DeserializeOwned>(
         &self,
         is_change: bool,
@@ -268,11 +271,11 @@
 
 type Response = ureq::http::Response<ureq::Body>;
 
-/// Asks one instance for a path.
+/// Sends a GET request to one instance.
 ///
 /// # Errors
 ///
-/// When it gives no answer.
+/// Fails when the instance does not answer.
 pub fn get(
     agent: &Agent,
     address: &str,
@@ -290,11 +293,11 @@
     request.call().map_err(|error| Fault::from_client(&error))
 }
 
-/// Reads the answer of an instance.
+/// Parses the response of an instance.
 ///
 /// # Errors
 ///
-/// What the instance refused, or that the answer is malformed.
+/// Fails when the instance returned an error, or the response is malformed.
 pub fn parse_response<T: DeserializeOwned>(address: &str, mut response: Response) -> Result<T> {
     let status = response.status().as_u16();
     let text = response
@@ -311,15 +314,16 @@
     }
 }
 
+/// Converts an error of the administration API to a failure with its exit code.
 fn map_api_error<T>(result: Result<T, Error>) -> Result<T> {
     result.map_err(|error| Failed::from(error).into())
 }
 
-/// Asks every instance that was named for its state.
+/// Reads the state of every named instance.
 ///
 /// # Errors
 ///
-/// When the token's file cannot be read.
+/// Fails when the token file cannot be read.
 pub fn read_states(access: &Access) -> Result<Vec<(String, Result<serde_json::Value>)>> {
     let token = access.token()?;
     let agent = agent(2);
@@ -334,11 +338,12 @@
     Ok(access.addresses().into_iter().map(read_state).collect())
 }
 
-/// Returns the merge of a configuration that was read.
+/// Merges the files of a configuration.
 ///
 /// # Errors
 ///
-/// When it holds problems, which one that was accepted does not.
+/// Fails when the files hold problems, which does not happen with a
+/// configuration that was accepted.
 pub fn merge(configuration: Configuration) -> Result<Merged> {
     let files = configuration.files.into_iter();
     let folder = files.fold(Folder::new(), |folder, (name, file)| {
--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -1,4 +1,4 @@
-//! Changing the configuration and waiting until it is in force.
+//! Submits configuration changes and waits until they are active on every instance.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -12,9 +12,9 @@
 use crate::exit::Failed;
 use crate::print::{self, Output};
 
-/// Time between two looks at what instances have in force.
+/// Time between two polls of the active revisions of the instances.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Tries to learn the outcome of a change whose answer was lost.
+/// Times that a change is sent, at most, while its outcome is unknown.
 const MAX_SENDS: u32 = 3;
 
 /// What is recorded with a change, and how long to wait for it.
@@ -33,7 +33,7 @@
     within: u64,
 }
 
-/// What is printed of a change.
+/// Result of a change, as it is printed.
 #[derive(Debug, Serialize)]
 struct Outcome {
     #[serde(flatten)]
@@ -43,11 +43,12 @@
     in_force_everywhere: bool,
 }
 
-/// Makes a change by name.
+/// Submits a named action and waits until it is active.
 ///
 /// # Errors
 ///
-/// Why it was not accepted, or that it is not in force everywhere.
+/// Fails when no instance or store answers, when the change is not accepted, or
+/// when it is not active on every instance within the time given.
 pub fn submit_action(
     access: &Access,
     output: Output,
@@ -59,11 +60,12 @@
     submit(&client, output, record, proposal)
 }
 
-/// Puts a proposal in force and waits.
+/// Submits a proposal and waits until it is active on every instance.
 ///
 /// # Errors
 ///
-/// Why it was not accepted, or that it is not in force everywhere.
+/// Fails when the proposal is not accepted, or when it is not active on every
+/// instance within the time given.
 pub fn submit(
     client: &Client,
     output: Output,
@@ -111,12 +113,13 @@
     Ok(())
 }
 
-/// Sends a proposal; one whose outcome is not known is sent again, which its
-/// identifier makes harmless.
+/// Sends a proposal, again if its outcome is unknown. The request identifier
+/// makes the repetition idempotent.
 ///
-/// Once an outcome is not known only an acceptance settles it. A later try that
-/// meets a silent store, or another operator's change, says that *it* changed
-/// nothing; the first may have taken effect all the same.
+/// Once an outcome is unknown, only an acceptance settles it. A later failure
+/// (the store does not answer, or another operator's change conflicts) only
+/// means that the later request changed nothing; the first may still have
+/// taken effect.
 fn send(client: &Client, proposal: &Proposal) -> Result<Accepted> {
     let unknown_outcome = match client.submit(proposal) {
         Err(error) if is_unknown(&error) => error,
@@ -130,18 +133,21 @@
     Err(unknown_outcome.context(format!("request {}", proposal.request)))
 }
 
+/// Returns whether an error leaves the outcome of a change unknown.
 fn is_unknown(error: &anyhow::Error) -> bool {
     error
         .downcast_ref::<Failed>()
         .is_some_and(Failed::is_unknown)
 }
 
+/// Returns whether an instance that is not leaving lacks a revision, or did not report one.
 fn is_behind(instance: &Instance, revision: u64) -> bool {
     !instance.leaving && instance.revision.is_none_or(|active| active < revision)
 }
 
-/// Waits until every instance has a revision in force; returns what they had
-/// in the end. Empty when nobody could be asked.
+/// Waits until a revision is active on every instance, or `within` seconds have
+/// passed. Returns the last poll of the instances; empty if `within` is 0 or
+/// the poll fails.
 fn wait_until_active(client: &Client, output: Output, within: u64, revision: u64) -> Vec<Instance> {
     if within == 0 {
         return Vec::new();
@@ -165,7 +171,7 @@
         if output == Output::Table && behind != last_behind {
             let elapsed = started.elapsed().as_secs_f64();
             let active = total - behind;
-            // A reader who has gone does not end the wait.
+            // The wait goes on if the reader of the output has closed it.
             let _ = print::line(&format!(
                 "in force on {active} of {total} instances after {elapsed:.1} s"
             ));
@@ -178,8 +184,8 @@
     }
 }
 
-/// Returns an identifier that no other request of this operator has: the time
-/// and the process.
+/// Returns a request identifier that is unique for this operator: the time in
+/// nanoseconds and the process identifier.
 fn new_request_id() -> String {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let nanos = since.map_or(0, |since| since.as_nanos());
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -13,8 +13,8 @@
 use crate::change::{self, Record};
 use crate::print::Output;
 
-/// File that `show --into` leaves in a folder: digests of the files that it
-/// wrote. A file that somebody else changed since then is a conflict.
+/// File that `show --into` writes to a folder: the digests of the files that it
+/// wrote there. A file that somebody else has changed since is a conflict.
 pub const SEEN_FILE: &str = ".fescuerack-seen.json";
 
 /// Puts a folder in force and waits until every instance has it.
@@ -33,28 +33,30 @@
 }
 
 impl Apply {
-    /// Puts the folder in force.
+    /// Submits the folder and waits until it is active.
     ///
     /// # Errors
     ///
-    /// Why it was not accepted, or that it is not in force everywhere.
+    /// Fails when the folder is not accepted, or is not active on every instance
+    /// within the time given.
     pub fn execute(self, output: Output) -> Result<()> {
         let client = self.access.client()?;
         let proposal = proposal(&client, &self.folder, self.remove)?;
         change::submit(&client, output, &self.record, proposal)?;
         if self.folder.join(SEEN_FILE).exists() {
-            // From now on the folder is what is in force.
+            // The folder now equals the active configuration: later changes are based on it.
             write_seen(&self.folder, &Folder::read(&self.folder)?)?;
         }
         Ok(())
     }
 }
 
-/// Returns what a folder proposes: its files, and which files it was made on.
+/// Returns a proposal for a folder: the files that differ from the current
+/// configuration, and the digests of the files that the folder is based on.
 ///
 /// # Errors
 ///
-/// When the folder or the configuration in force cannot be read.
+/// Fails when the folder or the current configuration cannot be read.
 pub fn proposal(client: &Client, path: &Path, remove: bool) -> Result<Proposal> {
     let folder = Folder::read(path).with_context(|| format!("read {}", path.display()))?;
     ensure!(
@@ -91,6 +93,7 @@
     Ok(proposal)
 }
 
+/// Reads the digests of the files that a folder is based on, if it has them.
 fn read_seen(path: &Path) -> Result<Option<BTreeMap<String, String>>> {
     let path = path.join(SEEN_FILE);
     if !path.exists() {
@@ -102,11 +105,11 @@
     Ok(Some(seen))
 }
 
-/// Notes in a folder what it was made from.
+/// Records in a folder the digests of the files that it is based on.
 ///
 /// # Errors
 ///
-/// When the note cannot be written.
+/// Fails when the file cannot be written.
 pub fn write_seen(path: &Path, folder: &Folder) -> Result<()> {
     let files = folder.files.iter();
     let seen: BTreeMap<_, _> = files
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// When the folder cannot be read or holds a problem.
+    /// Fails when the folder cannot be read, is empty or holds a problem.
     pub fn execute(self, output: Output) -> Result<()> {
         let folder = Folder::read(&self.folder)
             .with_context(|| format!("read {}", self.folder.display()))?;
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -37,12 +37,12 @@
 }
 
 impl Demo {
-    /// Runs until a signal, or through one round of requests.
+    /// Runs until SIGTERM or SIGINT or, with `--once`, sends one request of each kind.
     ///
     /// # Errors
     ///
-    /// When something cannot be started or, with `--once`, when an outcome is
-    /// not the right one.
+    /// Fails when something cannot be started or, with `--once`, when an outcome
+    /// is not the expected one.
     pub fn execute(self) -> Result<()> {
         ensure!(self.instances > 0, "--instances must be at least 1");
         let _logger = Logger::try_with_str(if self.verbose { "info" } else { "warn" })?
--- a/crates/cli/src/commands/digest.rs
+++ b/crates/cli/src/commands/digest.rs
@@ -9,9 +9,9 @@
 use clap::Args;
 use fescuerack_config::folder::digest;
 
-/// Bytes of randomness in a new key or token.
+/// Random bytes in a new key or token.
 const RANDOM_BYTES: usize = 32;
-/// Mode of a file that only its owner reads.
+/// File mode: readable and writable by the owner only.
 const OWNER_ONLY_MODE: u32 = 0o600;
 
 /// Prints the digest of a key or a token, which is what the configuration
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// When nothing is given or the file cannot be written.
+    /// Fails when standard input is empty or the file cannot be written.
     pub fn execute(self) -> Result<()> {
         let text = if let Some(path) = &self.new {
             generate(path)?
@@ -49,6 +49,7 @@
     }
 }
 
+/// Writes a new random text to a file and returns it.
 fn generate(path: &Path) -> Result<String> {
     let mut random = [0; RANDOM_BYTES];
     File::open("/dev/urandom")
--- a/crates/cli/src/commands/dump.rs
+++ b/crates/cli/src/commands/dump.rs
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     ///
-    /// When a process gives no answer.
+    /// Fails when a named process does not answer.
     pub fn execute(self) -> Result<()> {
         let mut states = Vec::new();
         let mut failure = None;
--- a/crates/cli/src/commands/explain.rs
+++ b/crates/cli/src/commands/explain.rs
@@ -8,7 +8,7 @@
 
 use crate::timeline::{self, Line};
 
-/// Tells the story of one request from the log lines of instances.
+/// Shows what happened to one request, from the log lines of instances.
 ///
 /// Lines are read from files, or from standard input if none is named. Text before a
 /// line's JSON, as log collectors put it, is kept as the line's source.
@@ -22,12 +22,12 @@
 }
 
 impl Explain {
-    /// Prints the lines about the request in order of time, what else the instances
-    /// noted meanwhile, and what decided its outcome.
+    /// Prints the lines about the request in order of time, other events that the
+    /// instances logged around it, and the line that decided its outcome.
     ///
     /// # Errors
     ///
-    /// When a file cannot be read or no line speaks of the request.
+    /// Fails when a file cannot be read or no line has the request's identifier.
     pub fn execute(&self) -> Result<()> {
         let mut lines = Vec::new();
         if self.files.is_empty() {
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
         let history = self.access.client()?.history(self.most)?;
         output.print(&history, format_table)
--- a/crates/cli/src/commands/ledger.rs
+++ b/crates/cli/src/commands/ledger.rs
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
         let mut ledger = self.access.client()?.ledger()?;
         if let Some(name) = &self.organisation {
@@ -44,6 +44,7 @@
     }
 }
 
+/// Returns the cells of a row.
 fn cells(sum: &admin::Sum) -> [String; 6] {
     [
         sum.organisation.clone(),
@@ -55,6 +56,7 @@
     ]
 }
 
+/// Formats the sums of each organisation, each followed by the organisation's total.
 fn format_table(ledger: &admin::Ledger) -> String {
     let mut totals: BTreeMap<&str, admin::Sum> = BTreeMap::new();
     for sum in &ledger.sums {
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -59,7 +59,7 @@
     Top(top::Top),
     /// Prints the whole state of a process as JSON.
     Dump(dump::Dump),
-    /// Tells the story of one request from the log lines of instances.
+    /// Shows what happened to one request, from the log lines of instances.
     Explain(explain::Explain),
     /// Prints the digest of a key or a token, or makes a new one.
     Digest(digest::Digest),
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Whatever keeps the subcommand from succeeding.
+    /// Returns the error of the subcommand; [`exit::code`] gives its exit code.
     pub fn execute(self) -> Result<()> {
         let output = self.output;
         match self.command {
--- a/crates/cli/src/commands/organisation.rs
+++ b/crates/cli/src/commands/organisation.rs
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// Why the change was not accepted, or that nobody answers.
+    /// Fails when the change is not accepted, or no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
         match self.verb {
             Verb::Set(set) => {
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Why the folder would not be accepted.
+    /// Fails when the folder would not be accepted, or no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
         let client = self.access.client()?;
         let proposal = apply::proposal(&client, &self.folder, self.remove)?;
--- a/crates/cli/src/commands/replay.rs
+++ b/crates/cli/src/commands/replay.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// When the description is wrong or the plot cannot be written.
+    /// Fails when the description is invalid or the plot cannot be written.
     pub fn execute(self) -> Result<()> {
         let mut scenario = Scenario::read(&self.load)?;
         scenario.seed = self.seed.unwrap_or(scenario.seed);
--- a/crates/cli/src/commands/rollout.rs
+++ b/crates/cli/src/commands/rollout.rs
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// Why the change was not accepted, or that nobody answers.
+    /// Fails when the change is not accepted, or no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
         match self.verb {
             Verb::Open(open) => open.execute(output),
@@ -184,7 +184,7 @@
     stages: Vec<f64>,
     paused: bool,
     exposure: u32,
-    /// What an instance has in force; absent when none was asked.
+    /// State that an instance reports; absent if none answered or there is no candidate.
     live: Option<live::Rollout>,
 }
 
@@ -195,6 +195,7 @@
     }
 }
 
+/// Removes the roll-out of a model from the list and returns it.
 fn take_rollout(live: &mut Vec<live::Rollout>, model: &str) -> Option<live::Rollout> {
     let index = live.iter().position(|rollout| rollout.model == model)?;
     Some(live.swap_remove(index))
@@ -210,8 +211,8 @@
             .rollouts
             .into_iter()
             .map(|(model, rollout)| Row {
-                // Without a candidate nothing is rolled out, whatever an
-                // instance still remembers of the last one.
+                // Without a candidate nothing is rolled out, although an
+                // instance may still report the previous roll-out.
                 live: take_rollout(&mut live, &model).filter(|_| rollout.candidate.is_some()),
                 model,
                 share: match rollout.candidate {
--- a/crates/cli/src/commands/server.rs
+++ b/crates/cli/src/commands/server.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Why the change was not accepted, or that nobody answers.
+    /// Fails when the change is not accepted, or no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
         match self.verb {
             Verb::Add(named) => {
@@ -111,6 +111,7 @@
     }
 }
 
+/// Formats a JSON value as the text of a table cell; empty for `null`.
 fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/cli/src/commands/show.rs
+++ b/crates/cli/src/commands/show.rs
@@ -31,7 +31,8 @@
     ///
     /// # Errors
     ///
-    /// When nobody answers or the folder cannot be written.
+    /// Fails when no instance or store answers, no file has the given name, or
+    /// the folder cannot be written.
     pub fn execute(self, output: Output) -> Result<()> {
         let configuration = self.access.client()?.configuration()?;
         if configuration.source == Source::Instance {
@@ -52,6 +53,7 @@
     }
 }
 
+/// Writes the files of a configuration to a folder, with their digests.
 fn write_folder(path: &Path, configuration: &Configuration) -> Result<()> {
     std::fs::create_dir_all(path).with_context(|| format!("create {}", path.display()))?;
     let mut folder = Folder::new();
--- a/crates/cli/src/commands/top.rs
+++ b/crates/cli/src/commands/top.rs
@@ -14,35 +14,36 @@
 use crate::live;
 use crate::print::{self, Output};
 
-/// Clears the screen and goes to its first line.
+/// Escape sequences that clear the screen and move the cursor to its first line.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
-/// Counters that are shown at most.
+/// Counters that are shown, at most.
 const MAX_SHOWN_COUNTERS: usize = 24;
 
 /// Shows load, refusals and revisions of the named instances, again and again.
 #[derive(Debug, Args)]
 pub struct Top {
-    /// Seconds between two looks.
+    /// Seconds between two samples.
     #[arg(long, value_name = "SECONDS", default_value_t = 1)]
     period: u64,
-    /// Looks before it ends; without end if absent.
+    /// Samples to print before it exits; runs until interrupted if absent.
     #[arg(long, value_name = "N")]
     rounds: Option<u64>,
     #[command(flatten)]
     access: Access,
 }
 
-/// What one look found.
+/// One sample of the instances' states.
 #[derive(Debug, Serialize)]
 struct Sample {
     instances: Vec<Row>,
-    /// Roll-outs as the first instance that answers sees them.
+    /// Roll-outs, as the first instance that answers reports them.
     rollouts: Vec<live::Rollout>,
-    /// Counters of all instances that changed since the last look, a second.
+    /// Increase per second of each counter, summed over all instances, that has
+    /// grown since the last sample.
     rates: BTreeMap<String, f64>,
 }
 
-/// One instance.
+/// Row of one instance.
 #[derive(Debug, Serialize)]
 struct Row {
     address: String,
@@ -57,11 +58,11 @@
 }
 
 impl Top {
-    /// Prints looks until it is ended.
+    /// Prints samples until it is interrupted, or for the given number of rounds.
     ///
     /// # Errors
     ///
-    /// When no instance is named, or none gives an answer at the first look.
+    /// Fails when no instance is named, or none answers for the first sample.
     pub fn execute(self, output: Output) -> Result<()> {
         if self.access.addresses().is_empty() {
             return Err(Failed::usage("name instances by --node").into());
@@ -98,7 +99,7 @@
     }
 }
 
-/// Fails like the first instance when none gives an answer.
+/// Returns the error of the first instance if none of them answers.
 fn require_one_answer(states: &[(String, Result<Value>)]) -> Result<()> {
     let mut failures = states.iter().filter_map(|(_, state)| state.as_ref().err());
     match failures.next() {
@@ -112,7 +113,7 @@
 
 fn print_sample(output: Output, sample: &Sample) -> Result<()> {
     match output {
-        // One document a line, so that a program can read look after look.
+        // One document per line, so that a program can read one sample after another.
         Output::Json => print::line(&serde_json::to_string(sample)?),
         Output::Table => {
             let clear = if std::io::stdout().is_terminal() {
@@ -125,6 +126,7 @@
     }
 }
 
+/// Sums each counter over the instances that answered.
 fn sum_counters(states: &[(String, Result<Value>)]) -> BTreeMap<String, u64> {
     let mut counters = BTreeMap::new();
     for state in states.iter().filter_map(|(_, state)| state.as_ref().ok()) {
@@ -135,6 +137,7 @@
     counters
 }
 
+/// Returns the increase per second of each counter that has grown.
 fn rates(
     old: &BTreeMap<String, u64>,
     new: &BTreeMap<String, u64>,
@@ -142,7 +145,7 @@
 ) -> BTreeMap<String, f64> {
     let seconds = elapsed.as_secs_f64().max(f64::EPSILON);
     let changed = new.iter().filter_map(|(name, value)| {
-        // An instance that was restarted counts from 0 again.
+        // A restarted instance counts from 0 again, so a sum may shrink.
         let increase = value.saturating_sub(old.get(name).copied().unwrap_or(0));
         let increase = u32::try_from(increase).unwrap_or(u32::MAX);
         (increase > 0).then(|| (name.clone(), f64::from(increase) / seconds))
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! The demo: everything that a request meets, in one process on loopback.
+//! The demo: stand-ins of the platform and of backend servers, and instances of
+//! the router, in one process on loopback.
 
 pub mod once;
 
@@ -17,31 +18,32 @@
 use serde::Serialize;
 use tokio::runtime::Runtime;
 
-/// Servers of one engine fleet.
+/// Servers in each fleet of engines.
 const SERVERS_PER_ENGINE_FLEET: usize = 12;
-/// Servers of one fleet of a plain service.
+/// Servers in each fleet of a plain service.
 const SERVERS_PER_SERVICE_FLEET: usize = 4;
-/// Pace of the stand-in engines.
+/// Token timing of the stand-in engines.
 const ENGINE_PACE: Pace = Pace {
     first_ms: 30,
     token_ms: 10,
 };
-/// Time that a plain service takes.
+/// Time that a plain service takes to answer.
 const SERVICE_DELAY: Duration = Duration::from_millis(20);
-/// Time within which every instance must be ready.
+/// Time within which every instance must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Availability zone of servers whose fleet names none.
+/// Availability zone of servers whose fleet names no zone.
 const DEFAULT_ZONE: &str = "local";
 
-/// Key that the demo's instances share; the demo listens on loopback only.
+/// Key that the demo's instances share. It is not secret: the demo listens on
+/// loopback only.
 const PEER_KEY: &str = "the demo's key of its peers";
 
-/// What the demo prints when it is ready.
+/// Addresses, keys and names that the demo prints when it is ready.
 #[derive(Clone, Debug, Serialize)]
 pub struct Ready {
-    /// Addresses for callers.
+    /// URLs of the callers' ports.
     pub callers: Vec<String>,
-    /// Addresses for operators.
+    /// URLs of the operators' ports.
     pub operators: Vec<String>,
     /// Token of an operator who may change everything.
     pub operator_token: Option<String>,
@@ -49,18 +51,18 @@
     pub store: String,
     /// Key of each organisation.
     pub keys: BTreeMap<String, String>,
-    /// Names for the field `model`.
+    /// Names that a request may have in its field `model`.
     pub models: Vec<String>,
-    /// Plain services whose calls may not be repeated.
+    /// Plain services whose calls are not idempotent.
     pub services: Vec<String>,
-    /// Key of the organisation that may use most.
+    /// Key of the organisation that may use the most services, then the most models.
     #[serde(skip)]
     pub default_key: Option<String>,
 }
 
 impl Ready {
-    /// Returns shell variables with which the commands of the pages can be
-    /// copied as they stand.
+    /// Returns the shell variables that the commands in the documentation use, so
+    /// that they can be copied unchanged.
     pub fn variables(&self) -> String {
         let nodes = self.operators.iter();
         let nodes: Vec<_> = nodes.map(|url| url.trim_start_matches("http://")).collect();
@@ -76,7 +78,7 @@
     }
 }
 
-/// Everything that runs.
+/// The running stand-ins and instances.
 pub struct Deployment {
     runtime: Runtime,
     platform: Platform,
@@ -87,11 +89,12 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until it is ready.
+    /// Starts the stand-ins and the instances, and waits until all are ready.
     ///
     /// # Errors
     ///
-    /// When the configuration is wrong or something cannot be started.
+    /// Fails when the configuration is invalid, something cannot be started, or
+    /// an instance does not become ready in time.
     pub fn new(config: &Path, instances: usize, listen: &str) -> Result<Self> {
         let files = Folder::read(config)
             .with_context(|| format!("read configuration {}", config.display()))?;
@@ -137,12 +140,12 @@
         Ok(deployment)
     }
 
-    /// Returns what the demo prints when it is ready.
+    /// Returns the addresses, keys and names that the demo prints.
     pub fn ready(&self) -> &Ready {
         &self.ready
     }
 
-    /// Ends every instance without cutting a request.
+    /// Shuts every instance down without aborting requests, then stops the stand-ins.
     pub fn shutdown(self) {
         for node in self.nodes {
             node.shutdown();
@@ -152,6 +155,7 @@
         self.runtime.shutdown_background();
     }
 
+    /// Starts the stand-in servers of a fleet, spread over its zones.
     fn start_fleet(&mut self, fleet: &str, backend: &Backend, listen: &str) -> Result<()> {
         let count = match backend.kind {
             Kind::Engine => SERVERS_PER_ENGINE_FLEET,
@@ -184,6 +188,7 @@
         Ok(())
     }
 
+    /// Starts an instance and adds it to the platform's list.
     fn start_node(&mut self, index: usize, zone: &str, listen: &str) -> Result<()> {
         let id = format!("entry-{index}");
         let settings = Settings::new(&id, zone, &self.platform.address(), PEER_KEY);
@@ -205,6 +210,7 @@
         Ok(())
     }
 
+    /// Waits until every instance is ready and has all others in its list.
     fn wait_until_ready(&self) -> Result<()> {
         let deadline = Instant::now() + READY_TIMEOUT;
         let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
@@ -219,6 +225,7 @@
     }
 }
 
+/// Returns the zones of all fleets; the default zone if there are none.
 fn zones(merged: &Merged) -> Vec<String> {
     let mut zones: Vec<String> = merged
         .file
@@ -234,7 +241,8 @@
     zones
 }
 
-/// Returns the keys that the examples' digests were made from.
+/// Returns the key of each organisation whose configuration holds the digest of
+/// `demo-NAME`, as the examples do.
 fn demo_keys(merged: &Merged) -> BTreeMap<String, String> {
     let mut keys = BTreeMap::new();
     for (name, organisation) in &merged.file.organisations {
@@ -246,8 +254,8 @@
     keys
 }
 
-/// Returns the token that the digest of the examples' administrator was made
-/// from.
+/// Returns the token of the first administrator whose configuration holds the
+/// digest of `demo-operator-NAME`, as the examples do.
 fn operator_token(merged: &Merged) -> Option<String> {
     let operators = merged.file.operators.iter();
     operators
@@ -257,6 +265,8 @@
         .map(|(token, _)| token)
 }
 
+/// Returns the key of the organisation that may use the most services, then the
+/// most models.
 fn default_key(merged: &Merged) -> Option<String> {
     let keys = demo_keys(merged);
     let organisations = merged.file.organisations.iter();
@@ -266,12 +276,14 @@
         .and_then(|(name, _)| keys.get(name).cloned())
 }
 
+/// Returns the names that a request may have in its field `model`.
 fn models(merged: &Merged) -> Vec<String> {
     let classes = merged.file.targets.keys();
     let classes = classes.map(|class| format!("auto:{class}"));
     merged.file.models.keys().cloned().chain(classes).collect()
 }
 
+/// Returns the plain services whose calls are not idempotent.
 fn services(merged: &Merged) -> Vec<String> {
     let services = merged.file.services.iter();
     services
--- a/crates/cli/src/demo/once.rs
+++ b/crates/cli/src/demo/once.rs
@@ -1,4 +1,4 @@
-//! One request of each kind, through real sockets.
+//! Sends one request of each kind to the demo over HTTP and checks the outcomes.
 
 use std::io::{BufRead as _, BufReader};
 use std::time::{Duration, Instant};
@@ -11,10 +11,10 @@
 
 use super::Ready;
 
-/// Tokens of the long answer.
+/// Tokens in the long answer.
 const LONG_ANSWER_TOKENS: u64 = 120;
 
-/// What came of one request.
+/// Result of one request.
 struct Row {
     kind: &'static str,
     outcome: String,
@@ -25,11 +25,11 @@
     is_correct: bool,
 }
 
-/// Sends one request of each kind and prints what came of them.
+/// Sends one request of each kind and prints a table of the results.
 ///
 /// # Errors
 ///
-/// When an outcome is not the right one.
+/// Fails when a request cannot be sent, or an outcome is not the expected one.
 pub fn run(ready: &Ready) -> Result<()> {
     let client = Client::new(ready)?;
     let booking = json!({"family": "virtanen", "evening": "2026-12-02"});
@@ -83,12 +83,13 @@
     key: &'a str,
     /// Class of work that the key's organisation may use.
     model: String,
-    /// Key of an organisation and a model that it may not use.
+    /// Key of an organisation, and a model that it may not use.
     forbidden: (&'a str, String),
 }
 
 type Response = ureq::http::Response<ureq::Body>;
 
+/// Returns the value of a header; empty if it is absent.
 fn header_text(response: &Response, name: &str) -> String {
     let value = response.headers().get(name);
     let value = value.and_then(|value| value.to_str().ok());
@@ -124,6 +125,7 @@
         })
     }
 
+    /// Returns a POST request to an instance, with a caller's key.
     fn post(
         &self,
         key: &str,
@@ -137,6 +139,7 @@
             .header("authorization", format!("Bearer {key}"))
     }
 
+    /// Sends a chat completion request.
     fn send_chat(&self, kind: &'static str, stream: bool, tokens: Option<u64>) -> Result<Row> {
         let mut body = json!({
             "model": self.model,
@@ -170,6 +173,7 @@
         })
     }
 
+    /// Calls the first plain service, always with the same idempotency key.
     fn send_booking(
         &self,
         kind: &'static str,
@@ -201,6 +205,7 @@
         })
     }
 
+    /// Sends a request for a model that the key's organisation may not use.
     fn send_forbidden(&self, kind: &'static str) -> Result<Row> {
         let (key, model) = &self.forbidden;
         let body = json!({"model": model, "messages": []});
@@ -228,7 +233,7 @@
     }
 }
 
-/// Returns what an organisation may put into `model`.
+/// Returns the models that the organisation of a key may use.
 fn allowed_models(agent: &Agent, ready: &Ready, key: &str) -> Result<Vec<String>> {
     let mut response = agent
         .get(format!("{}/v1/models", ready.callers[0]))
@@ -239,6 +244,7 @@
     Ok(models.data.into_iter().map(|model| model.id).collect())
 }
 
+/// Reads a streamed answer to its end.
 fn read_stream(
     kind: &'static str,
     start: Instant,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, so that scripts need not read texts.
+//! Exit codes, so that scripts can tell failures apart without parsing messages.
 //!
 //! | code | meaning |
 //! | --- | --- |
@@ -45,9 +45,9 @@
 pub struct Failed {
     /// Exit code.
     pub code: u8,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
-    /// Problems with their positions.
+    /// Configuration problems and their positions.
     pub problems: Vec<Problem>,
 }
 
@@ -60,32 +60,32 @@
         }
     }
 
-    /// Wrong usage.
+    /// Creates a failure for wrong usage.
     pub fn usage(message: impl Into<String>) -> Self {
         Self::new(USAGE, message)
     }
 
-    /// Nobody answers.
+    /// Creates a failure for when no instance or store answers.
     pub fn unreachable(message: impl Into<String>) -> Self {
         Self::new(UNREACHABLE, message)
     }
 
-    /// A request left, and nobody said what came of it.
+    /// Creates a failure for a request that was sent and whose outcome is unknown.
     pub fn unknown(message: impl Into<String>) -> Self {
         Self::new(UNKNOWN, message)
     }
 
-    /// Returns whether the outcome of a request is not known.
+    /// Returns whether the outcome of the request is unknown.
     pub fn is_unknown(&self) -> bool {
         self.code == UNKNOWN
     }
 
-    /// Accepted, but not in force everywhere.
+    /// Creates a failure for a change that is accepted but not yet active on every instance.
     pub fn behind(message: impl Into<String>) -> Self {
         Self::new(BEHIND, message)
     }
 
-    /// Problems in files.
+    /// Creates a failure for problems in configuration files.
     pub fn problems(problems: Vec<Problem>) -> Self {
         let message = format!("{} problems", problems.len());
         Self {
@@ -124,7 +124,7 @@
 
 impl std::error::Error for Failed {}
 
-/// Returns the exit code of an error.
+/// Returns the exit code of an error; 1 if it is not a [`Failed`].
 pub fn code(error: &anyhow::Error) -> ExitCode {
     let failed = error.downcast_ref::<Failed>();
     ExitCode::from(failed.map_or(FAILED, |failed| failed.code))
--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -1,21 +1,21 @@
-//! What instances say of roll-outs in their state.
+//! Live state of roll-outs, as instances report it.
 //!
-//! The configuration names stages; the instances judge the candidate, step on
-//! or halt by themselves. What new sessions get now is therefore theirs to
-//! tell.
+//! The configuration only names the stages of a roll-out. Instances evaluate
+//! the candidate and advance or halt by themselves, so the share of new
+//! sessions that currently start on the candidate is in their state only.
 
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::Value;
 
-/// A roll-out as an instance sees it.
+/// A roll-out, as an instance reports it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Rollout {
     /// Model.
     pub model: String,
-    /// Share of new sessions that start on the candidate now.
+    /// Share of new sessions that currently start on the candidate, from 0 to 1.
     pub share: f64,
-    /// What the instance judges, and why.
+    /// Verdict of the instance on the candidate, and its reason.
     pub verdict: String,
 }
 
@@ -44,6 +44,7 @@
     rollouts.collect()
 }
 
+/// Returns why the roll-out was halted, or else the verdict on the candidate.
 fn describe_verdict(rollout: &Value) -> String {
     let halted = &rollout["trial"]["halted"];
     if !halted.is_null() {
@@ -52,7 +53,7 @@
     plain_text(&rollout["verdict"])
 }
 
-/// Returns a value without the signs of JSON.
+/// Formats a JSON value without quotes and braces.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::Null => "none".to_owned(),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
 //! `fescuerack`: the operators' command line.
 //!
-//! Each subcommand is one file of `commands`. They reach the configuration
-//! through [`access`], change it through [`change`], print through [`mod@print`],
-//! and end with one of the codes of [`exit`].
+//! Each subcommand is one file in `commands`. Subcommands read the configuration
+//! through [`access`], change it through [`change`], print through [`mod@print`]
+//! and exit with one of the codes in [`exit`].
 
 mod access;
 mod change;
@@ -20,7 +20,7 @@
 fn main() -> ExitCode {
     match commands::Arguments::parse().execute() {
         Ok(()) => ExitCode::SUCCESS,
-        // Whoever read the output has seen enough.
+        // The reader closed the pipe, as `head` does: not a failure.
         Err(error) if is_broken_pipe(&error) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fescuerack: {error:#}");
@@ -29,6 +29,7 @@
     }
 }
 
+/// Returns whether an error is a write to a closed pipe.
 fn is_broken_pipe(error: &anyhow::Error) -> bool {
     let cause = error.downcast_ref::<std::io::Error>();
     cause.is_some_and(|cause| cause.kind() == std::io::ErrorKind::BrokenPipe)
--- a/crates/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -1,4 +1,4 @@
-//! Output: tables for people, JSON for programs.
+//! Output formats: tables for people, JSON for programs.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -9,8 +9,8 @@
 use fescuerack_config::effect::{Effect, Kind};
 use serde::Serialize;
 
-/// Style of tables: a line below the header and none between rows, so that each
-/// row is one line to `grep`.
+/// Style of tables: a line below the header and none between rows, so that `grep`
+/// matches whole rows.
 const STYLE: TableStyle = TableStyle::new()
     .header_separator(LineStyle::new(' ', '─', ' ', ' '))
     .header_lines(ContentLineStyle::new(' ', ' ', ' '))
@@ -27,11 +27,11 @@
 }
 
 impl Output {
-    /// Prints a value as JSON, or what `table` makes of it.
+    /// Prints a value as JSON, or the text that `table` formats.
     ///
     /// # Errors
     ///
-    /// When the value cannot be written as JSON.
+    /// Fails when the value cannot be serialised or the output is closed.
     pub fn print<T: Serialize>(self, value: &T, table: impl FnOnce(&T) -> String) -> Result<()> {
         let text = match self {
             Self::Json => serde_json::to_string_pretty(value)?,
@@ -41,17 +41,17 @@
     }
 }
 
-/// Prints text and a line break.
+/// Prints text and a newline.
 ///
 /// # Errors
 ///
-/// When the output is closed, as `head` does: `println!` would panic.
+/// Fails when the output is closed, as `head` does; `println!` would panic.
 pub fn line(text: &str) -> Result<()> {
     writeln!(std::io::stdout().lock(), "{text}")?;
     Ok(())
 }
 
-/// Returns a table.
+/// Formats a table.
 pub fn table<const N: usize>(header: [&str; N], rows: Vec<[String; N]>) -> String {
     let mut table = Table::new();
     table.load_style(STYLE);
@@ -62,7 +62,7 @@
     table.to_string()
 }
 
-/// Returns the effects of a change, one on a line.
+/// Formats the effects of a change, one per line.
 pub fn effects(effects: &[Effect]) -> String {
     let mut text = String::new();
     for effect in effects {
@@ -77,7 +77,7 @@
     text
 }
 
-/// Returns seconds since 1970 as a date and time in UTC.
+/// Formats seconds since the Unix epoch as a date and time in UTC.
 pub fn time(seconds: u64) -> String {
     const DAY: u64 = 86_400;
     let (days, rest) = (seconds / DAY, seconds % DAY);
@@ -86,7 +86,7 @@
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Returns year, month and day of a number of days since 1970.
+/// Returns the year, month and day of a number of days since the Unix epoch.
 fn date(mut days: u64) -> (u64, u64, u64) {
     let mut year = 1970;
     loop {
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -1,12 +1,16 @@
-//! The story of one request, from log lines.
+//! Timeline of one request, from the log lines of instances.
+//!
+//! It holds the lines with the request's identifier, events of the same
+//! instances that may explain them, and the line that decided the outcome.
 
 use std::fmt::Write as _;
 
 use serde_json::{Map, Value};
 
-/// Fields that every line has, or that the story shows by itself.
+/// Fields that are not printed as `name=value`: those with a column of their own, and those that
+/// every line of a request has.
 const HIDDEN_FIELDS: &[&str] = &["timestamp", "level", "event", "id"];
-/// Lines about no request that may explain one.
+/// Events that belong to no request but may explain the outcome of one.
 const CONTEXT_EVENTS: &[&str] = &[
     "configuration",
     "history-gone",
@@ -30,14 +34,14 @@
 /// One log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Where it is from: a file's name, or the text before its JSON.
+    /// Source: the last word before the JSON, or else the file's name.
     pub source: String,
-    /// Its fields.
+    /// Fields of the JSON object.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line; `None` if it holds no JSON object.
+    /// Parses a line; `None` if it holds no JSON object.
     #[must_use]
     pub fn new(source: &str, text: &str) -> Option<Self> {
         let (before, json) = text.split_at(text.find('{')?);
@@ -49,6 +53,7 @@
         })
     }
 
+    /// Returns a string field; empty if it is absent or not a string.
     fn text(&self, name: &str) -> &str {
         self.fields
             .get(name)
@@ -56,12 +61,13 @@
             .unwrap_or_default()
     }
 
-    /// Time of day with milliseconds.
+    /// Returns the time of day with milliseconds.
     fn time(&self) -> &str {
         let timestamp = self.text("timestamp");
         timestamp.get(11..23).unwrap_or(timestamp)
     }
 
+    /// Formats the line: time, source, event and the other fields.
     fn format(&self) -> String {
         let mut text = format!(
             "{}  {:<16} {}",
@@ -81,14 +87,14 @@
                 },
                 other => other.to_string(),
             };
-            // Writing to a string cannot fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(text, " {name}={value}");
         }
         text
     }
 }
 
-/// Tells the story of the request `id`; `None` if no line speaks of it.
+/// Returns the timeline of the request `id`; `None` if no line has this identifier.
 #[must_use]
 pub fn render(id: &str, lines: &[Line]) -> Option<String> {
     let mut request_lines: Vec<&Line> = lines.iter().filter(|line| line.text("id") == id).collect();
@@ -120,13 +126,14 @@
     Some(timeline)
 }
 
-/// The minute of the line's time stamp, so that a little of what came before is told.
+/// Returns the start of the minute of the line's timestamp, so that the timeline includes events
+/// from shortly before the request.
 fn context_start(line: &Line) -> String {
     let timestamp = line.text("timestamp");
     timestamp.get(..17).unwrap_or(timestamp).to_owned()
 }
 
-/// What became of the request, and the line that decided it.
+/// Returns the outcome of the request and the line that decided it.
 fn outcome(request_lines: &[&Line]) -> String {
     let last_with = |event: &str| {
         request_lines
