--- a/crates/cli/tests/all/api.rs
+++ b/crates/cli/tests/all/api.rs
@@ -1,4 +1,4 @@
-//! The administration API answers as `docs/openapi.yaml` says.
+//! Compares the administration API with `docs/openapi.yaml`.
 
 use std::collections::BTreeSet;
 
@@ -8,17 +8,18 @@
 use fescuerack_wire::admin::Kind;
 use serde_json::{Value, json};
 
-use super::support::{ADMIN, MODEL_TEAM, World};
+use super::support::{ADMIN_TOKEN, Cluster, MODEL_TEAM_TOKEN};
 
-const PAGE: &str = include_str!("../../../../docs/openapi.yaml");
+const OPENAPI: &str = include_str!("../../../../docs/openapi.yaml");
 
 struct Document(Value);
 
 impl Document {
     fn new() -> Self {
-        Self(serde_saphyr::from_str(PAGE).expect("valid YAML"))
+        Self(serde_saphyr::from_str(OPENAPI).expect("valid YAML"))
     }
 
+    /// Follows references to the node that they name.
     fn resolve<'a>(&'a self, node: &'a Value) -> &'a Value {
         match node["$ref"].as_str() {
             Some(path) => {
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Returns what is wrong with `value` by `schema`.
-    fn wrong(&self, at: &str, schema: &Value, value: &Value) -> Option<String> {
+    /// Returns the first mismatch between `value` and `schema`.
+    fn check(&self, at: &str, schema: &Value, value: &Value) -> Option<String> {
         let schema = self.resolve(schema);
         if value.is_null() && schema["nullable"] == true {
             return None;
@@ -41,7 +42,7 @@
         {
             return Some(format!("{at}: {value} is none of {allowed:?}"));
         }
-        let fits = match schema["type"].as_str() {
+        let has_type = match schema["type"].as_str() {
             Some("object") => value.is_object(),
             Some("array") => value.is_array(),
             Some("string") => value.is_string(),
@@ -49,19 +50,20 @@
             Some("boolean") => value.is_boolean(),
             other => panic!("{at}: type {other:?}"),
         };
-        if !fits {
+        if !has_type {
             return Some(format!("{at}: {value} is no {}", schema["type"]));
         }
         for item in value.as_array().into_iter().flatten() {
-            let wrong = self.wrong(&format!("{at}/0"), &schema["items"], item);
-            if wrong.is_some() {
-                return wrong;
+            let mismatch = self.check(&format!("{at}/0"), &schema["items"], item);
+            if mismatch.is_some() {
+                return mismatch;
             }
         }
-        self.wrong_object(at, schema, value)
+        self.check_object(at, schema, value)
     }
 
-    fn wrong_object(&self, at: &str, schema: &Value, value: &Value) -> Option<String> {
+    /// Returns the first mismatch in the fields of an object.
+    fn check_object(&self, at: &str, schema: &Value, value: &Value) -> Option<String> {
         let fields = value.as_object()?;
         for name in schema["required"].as_array().into_iter().flatten() {
             if !fields.contains_key(name.as_str()?) {
@@ -70,31 +72,32 @@
         }
         for (name, field) in fields {
             let at = format!("{at}/{name}");
-            let known = schema["properties"].get(name);
-            let wrong = match (known, &schema["additionalProperties"]) {
-                (Some(known), _) => self.wrong(&at, known, field),
+            let property = schema["properties"].get(name);
+            let mismatch = match (property, &schema["additionalProperties"]) {
+                (Some(property), _) => self.check(&at, property, field),
                 (None, Value::Bool(false)) => Some(format!("{at} is not documented")),
-                (None, Value::Object(_)) => self.wrong(&at, &schema["additionalProperties"], field),
+                (None, Value::Object(_)) => self.check(&at, &schema["additionalProperties"], field),
                 (None, _) => None,
             };
-            if wrong.is_some() {
-                return wrong;
+            if mismatch.is_some() {
+                return mismatch;
             }
         }
         None
     }
 }
 
+/// Client that checks each answer and records which operations it has sent.
 struct Client<'a> {
-    world: &'a World,
+    cluster: &'a Cluster,
     document: Document,
     seen: BTreeSet<(String, String, u16)>,
 }
 
 impl Client<'_> {
     /// Sends a request and checks the answer against the document.
-    fn ask(&mut self, path: &str, token: Option<&str>, body: Option<&Value>) -> (u16, Value) {
-        let url = format!("http://{}{path}", self.world.operators(0));
+    fn request(&mut self, path: &str, token: Option<&str>, body: Option<&Value>) -> (u16, Value) {
+        let url = format!("http://{}{path}", self.cluster.operators(0));
         let bearer = token.map(|token| format!("Bearer {token}"));
         let agent = agent(1);
         let bearer = bearer.unwrap_or_default();
@@ -123,17 +126,19 @@
             return (status, Value::Null);
         }
         let value: Value = serde_json::from_str(&text).expect("JSON");
-        let wrong = self.document.wrong(&path, schema, &value);
-        assert_eq!(wrong, None, "{method} {path}: {text}");
+        let mismatch = self.document.check(&path, schema, &value);
+        assert_eq!(mismatch, None, "{method} {path}: {text}");
         (status, value)
     }
 }
 
-fn proposal(request: &str, action: &Value) -> Value {
+/// Returns the body of a proposal for an action.
+fn action_proposal(request: &str, action: &Value) -> Value {
     json!({"request": request, "why": "test", "action": action})
 }
 
-fn paths(document: &Document) -> Vec<(String, String)> {
+/// Returns the method and path of every operation.
+fn operations(document: &Document) -> Vec<(String, String)> {
     let paths = document.0["paths"].as_object().expect("paths");
     let operations = paths.iter().flat_map(|(path, methods)| {
         let methods = methods.as_object().expect("methods").keys();
@@ -144,30 +149,39 @@
 
 #[test]
 fn api_answers_as_documented() {
-    let world = World::new();
+    let cluster = Cluster::new();
     let mut client = Client {
-        world: &world,
+        cluster: &cluster,
         document: Document::new(),
         seen: BTreeSet::new(),
     };
     let step = json!({"action": "rollout-step", "model": "kaisla-mini"});
-    for (method, path) in paths(&client.document) {
-        let body = (method == "post").then(|| proposal("p", &step));
-        let open = path == "/healthz" || path == "/readyz";
-        let (status, _) = client.ask(&path, None, body.as_ref());
-        assert_eq!(status, if open { 200 } else { 401 }, "{path}");
-        if !open && method == "get" {
-            assert_eq!(client.ask(&path, Some(ADMIN), None).0, 200, "{path}");
+    for (method, path) in operations(&client.document) {
+        let body = (method == "post").then(|| action_proposal("p", &step));
+        let is_public = path == "/healthz" || path == "/readyz";
+        let (status, _) = client.request(&path, None, body.as_ref());
+        assert_eq!(status, if is_public { 200 } else { 401 }, "{path}");
+        if !is_public && method == "get" {
+            assert_eq!(
+                client.request(&path, Some(ADMIN_TOKEN), None).0,
+                200,
+                "{path}"
+            );
         }
     }
-    assert_eq!(client.ask("/v1/history?most=0", Some(ADMIN), None).0, 400);
+    assert_eq!(
+        client
+            .request("/v1/history?most=0", Some(ADMIN_TOKEN), None)
+            .0,
+        400
+    );
     for path in ["/v1/plans", "/v1/changes"] {
-        let mut ask = |token, body: &Value| client.ask(path, Some(token), Some(body)).0;
-        assert_eq!(ask(ADMIN, &json!({"unknown": 1})), 400, "{path}");
+        let mut request = |token, body: &Value| client.request(path, Some(token), Some(body)).0;
+        assert_eq!(request(ADMIN_TOKEN, &json!({"unknown": 1})), 400, "{path}");
         assert_eq!(
-            ask(
-                ADMIN,
-                &proposal(
+            request(
+                ADMIN_TOKEN,
+                &action_proposal(
                     "a",
                     &json!({"action": "server-add", "fleet": "x", "server": "y"})
                 )
@@ -175,40 +189,56 @@
             422
         );
         let broken = json!({"request": "b", "why": "w", "files": {"9.yaml": "targets: {t: 1}\n"}});
-        assert_eq!(ask(ADMIN, &broken), 422, "{path}");
+        assert_eq!(request(ADMIN_TOKEN, &broken), 422, "{path}");
         let foreign = json!({"action": "organisation-remove", "organisation": "iltahoito"});
-        assert_eq!(ask(MODEL_TEAM, &proposal("c", &foreign)), 403, "{path}");
-        let mut stale = proposal("d", &step);
+        assert_eq!(
+            request(MODEL_TEAM_TOKEN, &action_proposal("c", &foreign)),
+            403,
+            "{path}"
+        );
+        let mut stale = action_proposal("d", &step);
         stale["seen"] = json!({"40-rollouts.yaml": "0"});
-        assert_eq!(ask(MODEL_TEAM, &stale), 409, "{path}");
+        assert_eq!(request(MODEL_TEAM_TOKEN, &stale), 409, "{path}");
         let large = json!({"request": "e", "why": "w", "files": {"9.yaml": "#".repeat(9 << 20)}});
-        assert_eq!(ask(ADMIN, &large), 413, "{path}");
-        assert_eq!(ask(MODEL_TEAM, &proposal("f", &step)), 200, "{path}");
+        assert_eq!(request(ADMIN_TOKEN, &large), 413, "{path}");
+        assert_eq!(
+            request(MODEL_TEAM_TOKEN, &action_proposal("f", &step)),
+            200,
+            "{path}"
+        );
     }
-    let again = client.ask("/v1/changes", Some(MODEL_TEAM), Some(&proposal("f", &step)));
+    let again = client.request(
+        "/v1/changes",
+        Some(MODEL_TEAM_TOKEN),
+        Some(&action_proposal("f", &step)),
+    );
     assert_eq!(again.1["unchanged"], true);
     assert_eq!(again.1["revision"], 2);
-    world.platform.store_faults().set(Fault::Down, 1);
+    cluster.platform.store_faults().set(Fault::Down, 1);
     for path in ["/v1/history", "/v1/ledger"] {
-        assert_eq!(client.ask(path, Some(ADMIN), None).0, 503);
+        assert_eq!(client.request(path, Some(ADMIN_TOKEN), None).0, 503);
     }
-    let (status, configuration) = client.ask("/v1/configuration", Some(ADMIN), None);
+    let (status, configuration) = client.request("/v1/configuration", Some(ADMIN_TOKEN), None);
     assert_eq!(
         (status, &configuration["source"]),
         (200, &json!("instance"))
     );
     assert_eq!(
         client
-            .ask("/v1/plans", Some(ADMIN), Some(&proposal("g", &step)))
+            .request(
+                "/v1/plans",
+                Some(ADMIN_TOKEN),
+                Some(&action_proposal("g", &step))
+            )
             .0,
         503
     );
-    let asked: BTreeSet<_> = client
+    let requested: BTreeSet<_> = client
         .seen
         .iter()
         .map(|(method, path, _)| (method, path))
         .collect();
-    assert_eq!(asked.len(), paths(&client.document).len());
+    assert_eq!(requested.len(), operations(&client.document).len());
 }
 
 #[test]
--- a/crates/cli/tests/all/explain.rs
+++ b/crates/cli/tests/all/explain.rs
@@ -1,4 +1,4 @@
-//! `fescuerack explain` on lines that three instances wrote on a played day.
+//! `fescuerack explain` on recorded log lines of instances.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -20,8 +20,9 @@
         .expect("run fescuerack")
 }
 
-/// A caller complains with nothing but an identifier. The story must name what decided
-/// the outcome: docs/OPERATIONS.md follows the first three, docs/operations/cold-servers.md the last.
+/// Only the identifier of a request is known. The timeline must name the line that decided
+/// its outcome. docs/OPERATIONS.md uses the first three cases, docs/operations/cold-servers.md
+/// the last.
 #[rstest]
 #[case::refused("e6a4342eb86398a7", "outcome: not-ready", "request", "start callers=")]
 #[case::unknown(
@@ -45,16 +46,19 @@
 fn explain_names_what_decided(
     #[case] id: &str,
     #[case] outcome: &str,
-    #[case] decided: &str,
-    #[case] meanwhile: &str,
+    #[case] decisive: &str,
+    #[case] context: &str,
 ) {
     let output = explain(id);
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).expect("text");
-    let (story, end) = text.split_once("\noutcome: ").expect("an outcome");
-    assert!(format!("outcome: {end}").starts_with(outcome), "{end}");
-    assert!(end.contains(decided), "{end}");
-    assert!(story.contains(meanwhile), "{story}");
+    let (timeline, outcome_text) = text.split_once("\noutcome: ").expect("an outcome");
+    assert!(
+        format!("outcome: {outcome_text}").starts_with(outcome),
+        "{outcome_text}"
+    );
+    assert!(outcome_text.contains(decisive), "{outcome_text}");
+    assert!(timeline.contains(context), "{timeline}");
 }
 
 #[test]
--- a/crates/cli/tests/all/main.rs
+++ b/crates/cli/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line: the real binary against real instances.
+//! Tests of the command line: the compiled binary against running instances.
 
 mod api;
 mod explain;
--- a/crates/cli/tests/all/pages.rs
+++ b/crates/cli/tests/all/pages.rs
@@ -1,9 +1,9 @@
-//! The commands of the pages do what the pages say.
+//! Runs the commands in the documentation and compares their output with it.
 //!
-//! Each page is run from top to bottom in one shell against a fresh demo.
-//! Blocks marked `sh` are run; a block marked `text` right after one lists what
-//! must occur in its output, line by line in this order, with `...` for
-//! anything. `# exit N` in a block says how it ends.
+//! Each page is run from top to bottom in one shell against a new demo. Blocks
+//! marked `sh` are run. A `text` block right after one lists lines that its
+//! output must contain in this order, where `...` matches anything. `# exit N`
+//! in a `sh` block gives its exit code; the default is 0.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -24,6 +24,7 @@
     expected: Vec<String>,
 }
 
+/// Returns the `sh` blocks of a page, each with the lines expected of it.
 fn blocks(text: &str) -> Vec<Block> {
     let mut blocks: Vec<Block> = Vec::new();
     let mut lines = text.lines().enumerate();
@@ -57,7 +58,7 @@
     blocks
 }
 
-/// Returns the first line of `expected` that `output` does not hold, in order.
+/// Returns the first line of `expected` that is missing in `output`, in order.
 fn missing<'a>(output: &str, expected: &'a [String]) -> Option<&'a str> {
     let mut rest = output;
     for line in expected {
@@ -105,7 +106,7 @@
     for block in &blocks {
         let shown = parts.next().unwrap_or_default();
         let at = format!("{page}:{}", block.line);
-        // The exit code stands at the start of the next part.
+        // The exit code is at the start of the next part.
         let ended = parts.clone().next().and_then(|part| part.lines().next());
         assert_eq!(
             ended,
@@ -124,7 +125,7 @@
     assert_eq!(missing("b\na x c", &expected), Some("b"));
 }
 
-/// Returns every page of the repository.
+/// Returns the Markdown pages of the repository.
 fn pages() -> Vec<std::path::PathBuf> {
     let folders = ["", "docs", "docs/design", "docs/operations", "examples"];
     let entries = folders.iter().flat_map(|folder| {
--- a/crates/cli/tests/all/support.rs
+++ b/crates/cli/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A demo as a process, and instances in this process whose store can fail.
+//! The demo as a child process, and a cluster in this process whose store can fail.
 
 use std::io::{BufRead as _, BufReader};
 use std::path::{Path, PathBuf};
@@ -14,26 +14,27 @@
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
-/// The command line.
+/// Path of the command line's binary.
 pub const BINARY: &str = env!("CARGO_BIN_EXE_fescuerack");
 /// Token of the example's administrator.
-pub const ADMIN: &str = "demo-operator-platform-team";
+pub const ADMIN_TOKEN: &str = "demo-operator-platform-team";
 /// Token of an operator who owns models and roll-outs.
-pub const MODEL_TEAM: &str = "demo-operator-model-team";
+pub const MODEL_TEAM_TOKEN: &str = "demo-operator-model-team";
 /// Key that the instances share.
 const PEER_KEY: &str = "a key of tests for peers";
-/// Time within which instances must be ready.
-const READY: Duration = Duration::from_secs(30);
+/// Time within which instances must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub fn example() -> PathBuf {
+/// Returns the folder of the example configuration.
+pub fn example_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/hoivapolku")
 }
 
-/// A demo that runs as a process; it ends with this value.
+/// A demo in a child process, which is killed on drop.
 pub struct Demo {
     child: Child,
     pub folder: tempfile::TempDir,
-    /// File of shell variables.
+    /// File with the demo's shell variables.
     pub variables: PathBuf,
 }
 
@@ -44,7 +45,7 @@
         let mut child = Command::new(BINARY)
             .arg("demo")
             .arg("--config")
-            .arg(example())
+            .arg(example_folder())
             .arg("--env")
             .arg(&variables)
             .stdout(Stdio::piped())
@@ -55,7 +56,7 @@
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line).expect("a line");
         let ready: Value = serde_json::from_str(&line).expect("a line of JSON");
-        assert_eq!(ready["operator_token"], ADMIN);
+        assert_eq!(ready["operator_token"], ADMIN_TOKEN);
         Self {
             child,
             folder,
@@ -71,20 +72,20 @@
     }
 }
 
-/// A platform and two instances in this process.
-pub struct World {
+/// A stand-in platform with one engine, and two instances, in this process.
+pub struct Cluster {
     pub platform: Platform,
     pub nodes: Vec<Node>,
     _engine: Engine,
     _runtime: Runtime,
 }
 
-impl World {
-    /// Starts them with the example configuration.
+impl Cluster {
+    /// Starts the cluster with the example configuration and waits until it is ready.
     pub fn new() -> Self {
         let runtime = Runtime::new().expect("a runtime");
         let platform = Platform::new(runtime.handle(), "127.0.0.1:0").expect("platform");
-        let folder = Folder::read(&example()).expect("the example is readable");
+        let folder = Folder::read(&example_folder()).expect("the example is readable");
         let store = HttpStore::new(&platform.address());
         manifest::publish(&store, &folder, "test").expect("the example is accepted");
         let pace = Pace {
@@ -113,48 +114,48 @@
             });
             nodes.push(node);
         }
-        let world = Self {
+        let cluster = Self {
             platform,
             nodes,
             _engine: engine,
             _runtime: runtime,
         };
-        // The list lags: an instance that does not know the other yet would say
-        // that a change is in force everywhere when it has asked only itself.
-        let complete = |node: &Node| node.is_ready() && node.fleet_size() == world.nodes.len();
-        World::wait(|| world.nodes.iter().all(complete));
-        world
+        // The platform's list lags. An instance that does not list the other one yet
+        // would report a change as active everywhere after checking only itself.
+        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == cluster.nodes.len();
+        Cluster::wait(|| cluster.nodes.iter().all(is_complete));
+        cluster
     }
 
-    /// Waits until `done`; a world that never gets there fails the test.
+    /// Waits until `done` returns true; panics on a time-out.
     pub fn wait(done: impl Fn() -> bool) {
-        let deadline = Instant::now() + READY;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while !done() {
             assert!(Instant::now() < deadline, "the instances did not get there");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Returns the operators' port of an instance.
+    /// Returns the address of an instance's operators' port.
     pub fn operators(&self, index: usize) -> String {
         self.nodes[index].operators().to_string()
     }
 
     /// Runs the command line as an operator against both instances.
-    pub fn run(&self, token: &str, arguments: &[&str]) -> Ran {
+    pub fn run(&self, token: &str, arguments: &[&str]) -> CommandResult {
         let nodes = format!("{},{}", self.operators(0), self.operators(1));
         run_at(&nodes, token, arguments)
     }
 
-    /// Returns what `rollout status` says, as JSON.
+    /// Returns the output of `rollout status` as JSON.
     pub fn rollouts(&self) -> Value {
         let status = ["rollout", "status", "--output", "json"];
-        self.run(ADMIN, &status).json()
+        self.run(ADMIN_TOKEN, &status).json()
     }
 }
 
 /// Runs a command against operators' ports, separated by commas.
-pub fn run_at(nodes: &str, token: &str, arguments: &[&str]) -> Ran {
+pub fn run_at(nodes: &str, token: &str, arguments: &[&str]) -> CommandResult {
     let output = Command::new(BINARY)
         .args(arguments)
         .env("FESCUERACK_NODE", nodes)
@@ -162,18 +163,18 @@
         .stdin(Stdio::null())
         .output()
         .expect("the command line runs");
-    Ran::new(&output)
+    CommandResult::new(&output)
 }
 
-/// What a command printed and how it ended.
+/// Output and exit code of a command.
 #[derive(Debug)]
-pub struct Ran {
+pub struct CommandResult {
     pub code: i32,
     pub out: String,
     pub err: String,
 }
 
-impl Ran {
+impl CommandResult {
     fn new(output: &Output) -> Self {
         Self {
             code: output.status.code().expect("it ended by itself"),
@@ -188,13 +189,13 @@
     }
 }
 
-/// Runs the command line without any server.
-pub fn run_alone(arguments: &[&str]) -> Ran {
+/// Runs the command line without `FESCUERACK_NODE`.
+pub fn run_without_nodes(arguments: &[&str]) -> CommandResult {
     let output = Command::new(BINARY)
         .args(arguments)
         .env_remove("FESCUERACK_NODE")
         .stdin(Stdio::null())
         .output()
         .expect("the command line runs");
-    Ran::new(&output)
+    CommandResult::new(&output)
 }
--- a/crates/cli/tests/all/unknown.rs
+++ b/crates/cli/tests/all/unknown.rs
@@ -1,59 +1,61 @@
-//! Changes whose outcome is not known.
+//! Changes whose outcome is unknown.
 
 use std::io::{BufRead as _, BufReader, Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
 
 use fescuerack_wire::admin::{Configuration, Error, Failure, Kind};
 
-use super::support::{ADMIN, run_at};
+use super::support::{ADMIN_TOKEN, run_at};
 
-/// Exit code of a change that may have been made.
-const UNKNOWN: i32 = 7;
+/// Exit code of a change that may have been applied.
+const EXIT_UNKNOWN: i32 = 7;
 
-/// What an instance does with one change that it is sent.
+/// Reply of an instance to one change.
 #[derive(Clone, Copy, Debug)]
-enum Answer {
+enum Reply {
     Refusal(Kind),
-    /// Closes the connection.
+    /// Closes the connection without an answer.
     Silence,
 }
 
-/// An operators' port that answers changes as it is told, the last one for all
-/// that follow, and has an empty configuration.
-fn instance(answers: &'static [Answer]) -> String {
+/// Starts an operators' port with an empty configuration that answers changes
+/// with `replies` in order, and all further changes with the last one. Returns
+/// its address.
+fn start_instance(replies: &'static [Reply]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     std::thread::spawn(move || {
         let mut changes = 0;
         for stream in listener.incoming() {
             let stream = stream.expect("a connection");
-            let answer = answers[changes.min(answers.len() - 1)];
-            changes += usize::from(serve(stream, answer));
+            let reply = replies[changes.min(replies.len() - 1)];
+            changes += usize::from(serve(stream, reply));
         }
     });
     address
 }
 
-/// Answers one request; returns whether it was a change.
-fn serve(stream: TcpStream, answer: Answer) -> bool {
+/// Answers one request and returns whether it was a change.
+fn serve(stream: TcpStream, reply: Reply) -> bool {
     let mut reader = BufReader::new(stream);
     let is_change = read_request(&mut reader);
     let stream = reader.get_mut();
-    match (is_change, answer) {
+    match (is_change, reply) {
         (false, _) => {
             let configuration = serde_json::to_string(&Configuration::default());
-            write_answer(stream, 200, &configuration.expect("plain fields"));
+            write_response(stream, 200, &configuration.expect("plain fields"));
         }
-        (true, Answer::Refusal(kind)) => {
+        (true, Reply::Refusal(kind)) => {
             let error = Error::new(kind, "as the test says");
             let body = serde_json::to_string(&Failure { error });
-            write_answer(stream, kind.status(), &body.expect("plain fields"));
+            write_response(stream, kind.status(), &body.expect("plain fields"));
         }
-        (true, Answer::Silence) => {}
+        (true, Reply::Silence) => {}
     }
     is_change
 }
 
+/// Reads one request and returns whether it is a change.
 fn read_request(reader: &mut BufReader<TcpStream>) -> bool {
     let mut is_change = false;
     let mut length = 0;
@@ -73,34 +75,33 @@
     is_change
 }
 
-fn write_answer(stream: &mut TcpStream, status: u16, body: &str) {
+fn write_response(stream: &mut TcpStream, status: u16, body: &str) {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} X\r\nconnection: close\r\ncontent-length: {length}");
     write!(stream, "{head}\r\n\r\n{body}").expect("written");
 }
 
-// The store loses the answer to an operator's step and is then out. The step
-// may be in force; the tool, which asks again by itself, must not end with
-// "nothing was changed" because its second try could not even be read.
+// The store's answer to a step is lost, then the store goes down. The step may
+// be active: when the automatic retry fails, the command must not report
+// "nothing was changed".
 #[test]
 fn step_unknown_then_refused_stays_unknown() {
-    let node = instance(&[
-        Answer::Refusal(Kind::OutcomeUnknown),
-        Answer::Refusal(Kind::StoreOut),
+    let node = start_instance(&[
+        Reply::Refusal(Kind::OutcomeUnknown),
+        Reply::Refusal(Kind::StoreOut),
     ]);
     let step = ["rollout", "step", "kaisla-mini", "--why", "w"];
-    let ran = run_at(&node, ADMIN, &step);
-    assert_eq!(ran.code, UNKNOWN, "{ran:?}");
+    let result = run_at(&node, ADMIN_TOKEN, &step);
+    assert_eq!(result.code, EXIT_UNKNOWN, "{result:?}");
 }
 
-// An instance takes a step and dies before it answers. The next one that is
-// asked cannot reach the store; its "nothing was changed" is true of itself
-// only.
+// An instance applies a step and crashes before it answers. The next instance
+// cannot reach the store; its "nothing was changed" covers its own request only.
 #[test]
 fn step_unanswered_then_refused_elsewhere_stays_unknown() {
-    let silent = instance(&[Answer::Silence]);
-    let refusing = instance(&[Answer::Refusal(Kind::StoreOut)]);
+    let silent = start_instance(&[Reply::Silence]);
+    let refusing = start_instance(&[Reply::Refusal(Kind::StoreOut)]);
     let step = ["rollout", "step", "kaisla-mini", "--why", "w"];
-    let ran = run_at(&format!("{silent},{refusing}"), ADMIN, &step);
-    assert_eq!(ran.code, UNKNOWN, "{ran:?}");
+    let result = run_at(&format!("{silent},{refusing}"), ADMIN_TOKEN, &step);
+    assert_eq!(result.code, EXIT_UNKNOWN, "{result:?}");
 }
