--- a/crates/cli/src/commands/digest.rs
+++ b/crates/cli/src/commands/digest.rs
@@ -9,10 +9,10 @@
 use clap::Args;
 use fescuerack_config::folder::digest;
 
-/// Bytes of randomness in a new key or token.
-const RANDOM: usize = 32;
-/// Mode of a file that only its owner reads.
-const OWNER_ONLY: u32 = 0o600;
+/// Random bytes in a new key or token.
+const RANDOM_BYTES: usize = 32;
+/// File mode: readable and writable by the owner only.
+const OWNER_ONLY_MODE: u32 = 0o600;
 
 /// Prints the digest of a key or a token, which is what the configuration
 /// holds. The text is read from standard input, so that it stands neither on
@@ -30,10 +30,10 @@
     ///
     /// # Errors
     ///
-    /// When nothing is given or the file cannot be written.
+    /// Fails when standard input is empty or the file cannot be written.
     pub fn execute(self) -> Result<()> {
         let text = if let Some(path) = &self.new {
-            make(path)?
+            generate(path)?
         } else {
             let mut text = String::new();
             std::io::stdin().read_to_string(&mut text)?;
@@ -49,8 +49,9 @@
     }
 }
 
-fn make(path: &Path) -> Result<String> {
-    let mut random = [0; RANDOM];
+/// Writes a new random text to a file and returns it.
+fn generate(path: &Path) -> Result<String> {
+    let mut random = [0; RANDOM_BYTES];
     File::open("/dev/urandom")
         .and_then(|mut file| file.read_exact(&mut random))
         .context("read the system's randomness")?;
@@ -58,7 +59,7 @@
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(OWNER_ONLY)
+        .mode(OWNER_ONLY_MODE)
         .open(path)
         .with_context(|| format!("create {}", path.display()))?;
     writeln!(file, "{text}")?;
--- a/crates/cli/src/commands/ledger.rs
+++ b/crates/cli/src/commands/ledger.rs
@@ -27,9 +27,9 @@
     ///
     /// # Errors
     ///
-    /// When nobody answers.
+    /// Fails when no instance or store answers.
     pub fn execute(self, output: Output) -> Result<()> {
-        let mut ledger = self.access.reach()?.ledger()?;
+        let mut ledger = self.access.client()?.ledger()?;
         if let Some(name) = &self.organisation {
             ledger.sums.retain(|sum| sum.organisation == *name);
         }
@@ -40,10 +40,11 @@
             }
             return Ok(());
         }
-        output.print(&ledger, words)
+        output.print(&ledger, format_table)
     }
 }
 
+/// Returns the cells of a row.
 fn cells(sum: &admin::Sum) -> [String; 6] {
     [
         sum.organisation.clone(),
@@ -55,7 +56,8 @@
     ]
 }
 
-fn words(ledger: &admin::Ledger) -> String {
+/// Formats the sums of each organisation, each followed by the organisation's total.
+fn format_table(ledger: &admin::Ledger) -> String {
     let mut totals: BTreeMap<&str, admin::Sum> = BTreeMap::new();
     for sum in &ledger.sums {
         let total = totals.entry(&sum.organisation).or_default();
@@ -66,9 +68,9 @@
     }
     let mut rows = Vec::new();
     for (organisation, total) in totals {
-        let own = ledger.sums.iter();
+        let sums = ledger.sums.iter();
         rows.extend(
-            own.filter(|sum| sum.organisation == organisation)
+            sums.filter(|sum| sum.organisation == organisation)
                 .map(cells),
         );
         let total = admin::Sum {
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! The demo: everything that a request meets, in one process on loopback.
+//! The demo: stand-ins of the platform and of backend servers, and instances of
+//! the router, in one process on loopback.
 
 pub mod once;
 
@@ -17,31 +18,32 @@
 use serde::Serialize;
 use tokio::runtime::Runtime;
 
-/// Servers of one engine fleet.
-const ENGINES: usize = 12;
-/// Servers of one fleet of a plain service.
-const SERVICES: usize = 4;
-/// Pace of the stand-in engines.
-const PACE: Pace = Pace {
+/// Servers in each fleet of engines.
+const SERVERS_PER_ENGINE_FLEET: usize = 12;
+/// Servers in each fleet of a plain service.
+const SERVERS_PER_SERVICE_FLEET: usize = 4;
+/// Token timing of the stand-in engines.
+const ENGINE_PACE: Pace = Pace {
     first_ms: 30,
     token_ms: 10,
 };
-/// Time that a plain service takes.
+/// Time that a plain service takes to answer.
 const SERVICE_DELAY: Duration = Duration::from_millis(20);
-/// Time within which every instance must be ready.
-const READY: Duration = Duration::from_secs(15);
-/// Availability zone of servers whose fleet names none.
+/// Time within which every instance must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Availability zone of servers whose fleet names no zone.
 const DEFAULT_ZONE: &str = "local";
 
-/// Key that the demo's instances share; the demo listens on loopback only.
+/// Key that the demo's instances share. It is not secret: the demo listens on
+/// loopback only.
 const PEER_KEY: &str = "the demo's key of its peers";
 
-/// What the demo prints when it is ready.
+/// Addresses, keys and names that the demo prints when it is ready.
 #[derive(Clone, Debug, Serialize)]
 pub struct Ready {
-    /// Addresses for callers.
+    /// URLs of the callers' ports.
     pub callers: Vec<String>,
-    /// Addresses for operators.
+    /// URLs of the operators' ports.
     pub operators: Vec<String>,
     /// Token of an operator who may change everything.
     pub operator_token: Option<String>,
@@ -49,24 +51,24 @@
     pub store: String,
     /// Key of each organisation.
     pub keys: BTreeMap<String, String>,
-    /// Names for the field `model`.
+    /// Names that a request may have in its field `model`.
     pub models: Vec<String>,
-    /// Plain services whose calls may not be repeated.
+    /// Plain services whose calls are not idempotent.
     pub services: Vec<String>,
-    /// Key of the organisation that may use most.
+    /// Key of the organisation that may use the most services, then the most models.
     #[serde(skip)]
-    pub widest: Option<String>,
+    pub default_key: Option<String>,
 }
 
 impl Ready {
-    /// Returns shell variables with which the commands of the pages can be
-    /// copied as they stand.
+    /// Returns the shell variables that the commands in the documentation use, so
+    /// that they can be copied unchanged.
     pub fn variables(&self) -> String {
         let nodes = self.operators.iter();
         let nodes: Vec<_> = nodes.map(|url| url.trim_start_matches("http://")).collect();
         let callers = self.callers.first().map_or("", String::as_str);
         let token = self.operator_token.as_deref().unwrap_or("");
-        let key = self.widest.as_deref().unwrap_or("");
+        let key = self.default_key.as_deref().unwrap_or("");
         format!(
             "export CALLERS={callers}\nexport KEY={key}\nexport FESCUERACK_NODE={}\n\
              export FESCUERACK_TOKEN={token}\nexport STORE={}\n",
@@ -76,8 +78,8 @@
     }
 }
 
-/// Everything that runs.
-pub struct Scene {
+/// The running stand-ins and instances.
+pub struct Deployment {
     runtime: Runtime,
     platform: Platform,
     engines: Vec<Engine>,
@@ -86,12 +88,13 @@
     ready: Ready,
 }
 
-impl Scene {
-    /// Starts everything and waits until it is ready.
+impl Deployment {
+    /// Starts the stand-ins and the instances, and waits until all are ready.
     ///
     /// # Errors
     ///
-    /// When the configuration is wrong or something cannot be started.
+    /// Fails when the configuration is invalid, something cannot be started, or
+    /// an instance does not become ready in time.
     pub fn new(config: &Path, instances: usize, listen: &str) -> Result<Self> {
         let files = Folder::read(config)
             .with_context(|| format!("read configuration {}", config.display()))?;
@@ -105,16 +108,16 @@
         let any_port = format!("{listen}:0");
         let platform = Platform::new(runtime.handle(), &any_port)?;
         manifest::publish(&HttpStore::new(&platform.address()), &files, "demo")?;
-        let mut scene = Self {
+        let mut deployment = Self {
             ready: Ready {
                 callers: Vec::new(),
                 operators: Vec::new(),
                 operator_token: operator_token(&merged),
                 store: platform.address(),
-                keys: keys(&merged),
+                keys: demo_keys(&merged),
                 models: models(&merged),
                 services: services(&merged),
-                widest: widest(&merged),
+                default_key: default_key(&merged),
             },
             runtime,
             platform,
@@ -124,25 +127,25 @@
         };
         for (name, version) in &merged.file.versions {
             let quality = version.quality.get("default").copied().unwrap_or(0.5);
-            scene.platform.rate(name, quality);
+            deployment.platform.rate(name, quality);
         }
         for (fleet, backend) in &merged.file.backends {
-            scene.start_fleet(fleet, backend, &any_port)?;
+            deployment.start_fleet(fleet, backend, &any_port)?;
         }
         let zones = zones(&merged);
         for index in 0..instances {
-            scene.start_node(index, &zones[index % zones.len()], listen)?;
+            deployment.start_node(index, &zones[index % zones.len()], listen)?;
         }
-        scene.wait_until_ready()?;
-        Ok(scene)
+        deployment.wait_until_ready()?;
+        Ok(deployment)
     }
 
-    /// Returns what the demo prints when it is ready.
+    /// Returns the addresses, keys and names that the demo prints.
     pub fn ready(&self) -> &Ready {
         &self.ready
     }
 
-    /// Ends every instance without cutting a request.
+    /// Shuts every instance down without aborting requests, then stops the stand-ins.
     pub fn shutdown(self) {
         for node in self.nodes {
             node.shutdown();
@@ -152,15 +155,16 @@
         self.runtime.shutdown_background();
     }
 
+    /// Starts the stand-in servers of a fleet, spread over its zones.
     fn start_fleet(&mut self, fleet: &str, backend: &Backend, listen: &str) -> Result<()> {
         let count = match backend.kind {
-            Kind::Engine => ENGINES,
-            Kind::Service => SERVICES,
+            Kind::Engine => SERVERS_PER_ENGINE_FLEET,
+            Kind::Service => SERVERS_PER_SERVICE_FLEET,
         };
         for index in 0..count {
             let address = match backend.kind {
                 Kind::Engine => {
-                    let engine = Engine::new(self.runtime.handle(), listen, PACE)?;
+                    let engine = Engine::new(self.runtime.handle(), listen, ENGINE_PACE)?;
                     let address = engine.address();
                     self.engines.push(engine);
                     address
@@ -184,6 +188,7 @@
         Ok(())
     }
 
+    /// Starts an instance and adds it to the platform's list.
     fn start_node(&mut self, index: usize, zone: &str, listen: &str) -> Result<()> {
         let id = format!("entry-{index}");
         let settings = Settings::new(&id, zone, &self.platform.address(), PEER_KEY);
@@ -205,10 +210,11 @@
         Ok(())
     }
 
+    /// Waits until every instance is ready and has all others in its list.
     fn wait_until_ready(&self) -> Result<()> {
-        let deadline = Instant::now() + READY;
-        let complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
-        while !self.nodes.iter().all(complete) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
+        while !self.nodes.iter().all(is_complete) {
             ensure!(
                 Instant::now() < deadline,
                 "the instances did not become ready"
@@ -219,6 +225,7 @@
     }
 }
 
+/// Returns the zones of all fleets; the default zone if there are none.
 fn zones(merged: &Merged) -> Vec<String> {
     let mut zones: Vec<String> = merged
         .file
@@ -234,8 +241,9 @@
     zones
 }
 
-/// Returns the keys that the examples' digests were made from.
-fn keys(merged: &Merged) -> BTreeMap<String, String> {
+/// Returns the key of each organisation whose configuration holds the digest of
+/// `demo-NAME`, as the examples do.
+fn demo_keys(merged: &Merged) -> BTreeMap<String, String> {
     let mut keys = BTreeMap::new();
     for (name, organisation) in &merged.file.organisations {
         let key = format!("demo-{name}");
@@ -246,8 +254,8 @@
     keys
 }
 
-/// Returns the token that the digest of the examples' administrator was made
-/// from.
+/// Returns the token of the first administrator whose configuration holds the
+/// digest of `demo-operator-NAME`, as the examples do.
 fn operator_token(merged: &Merged) -> Option<String> {
     let operators = merged.file.operators.iter();
     operators
@@ -257,8 +265,10 @@
         .map(|(token, _)| token)
 }
 
-fn widest(merged: &Merged) -> Option<String> {
-    let keys = keys(merged);
+/// Returns the key of the organisation that may use the most services, then the
+/// most models.
+fn default_key(merged: &Merged) -> Option<String> {
+    let keys = demo_keys(merged);
     let organisations = merged.file.organisations.iter();
     organisations
         .filter(|(name, _)| keys.contains_key(*name))
@@ -266,12 +276,14 @@
         .and_then(|(name, _)| keys.get(name).cloned())
 }
 
+/// Returns the names that a request may have in its field `model`.
 fn models(merged: &Merged) -> Vec<String> {
     let classes = merged.file.targets.keys();
     let classes = classes.map(|class| format!("auto:{class}"));
     merged.file.models.keys().cloned().chain(classes).collect()
 }
 
+/// Returns the plain services whose calls are not idempotent.
 fn services(merged: &Merged) -> Vec<String> {
     let services = merged.file.services.iter();
     services
--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -1,27 +1,27 @@
-//! What instances say of roll-outs in their state.
+//! Live state of roll-outs, as instances report it.
 //!
-//! The configuration names stages; the instances judge the candidate, step on
-//! or halt by themselves. What new sessions get now is therefore theirs to
-//! tell.
+//! The configuration only names the stages of a roll-out. Instances evaluate
+//! the candidate and advance or halt by themselves, so the share of new
+//! sessions that currently start on the candidate is in their state only.
 
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::Value;
 
-/// A roll-out as an instance sees it.
+/// A roll-out, as an instance reports it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Rollout {
     /// Model.
     pub model: String,
-    /// Share of new sessions that start on the candidate now.
+    /// Share of new sessions that currently start on the candidate, from 0 to 1.
     pub share: f64,
-    /// What the instance judges, and why.
+    /// Verdict of the instance on the candidate, and its reason.
     pub verdict: String,
 }
 
 impl Rollout {
     /// Returns whether every new session starts on the candidate.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_at_full_share(&self) -> bool {
         self.share >= 1.0
     }
 }
@@ -39,28 +39,29 @@
         .map(|(model, rollout)| Rollout {
             model: model.clone(),
             share: rollout["share_of_new_sessions"].as_f64().unwrap_or(0.0),
-            verdict: verdict(rollout),
+            verdict: describe_verdict(rollout),
         });
     rollouts.collect()
 }
 
-fn verdict(rollout: &Value) -> String {
+/// Returns why the roll-out was halted, or else the verdict on the candidate.
+fn describe_verdict(rollout: &Value) -> String {
     let halted = &rollout["trial"]["halted"];
     if !halted.is_null() {
-        return format!("halted: {}", words(halted));
+        return format!("halted: {}", plain_text(halted));
     }
-    words(&rollout["verdict"])
+    plain_text(&rollout["verdict"])
 }
 
-/// Returns a value without the signs of JSON.
-fn words(value: &Value) -> String {
+/// Formats a JSON value without quotes and braces.
+fn plain_text(value: &Value) -> String {
     match value {
         Value::Null => "none".to_owned(),
         Value::String(text) => text.clone(),
         Value::Object(fields) => {
             let fields = fields.iter();
             let fields: Vec<_> = fields
-                .map(|(name, value)| format!("{name}: {}", words(value)))
+                .map(|(name, value)| format!("{name}: {}", plain_text(value)))
                 .collect();
             fields.join(", ")
         }
