--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -13,6 +13,8 @@
 use fescuerack_wire::discovery::Instance;
 use tokio::runtime::Runtime;
 
+use crate::program::Build;
+
 /// Key of an organisation of the example configuration.
 pub const KEY: &str = "demo-perhepalvelut-espoo";
 /// Time within which a process must become ready, or another condition hold.
@@ -140,16 +142,29 @@
 
     /// Starts a process with `limits` without waiting until it is ready.
     pub fn spawn(&self, instance: &str, limits: &str) -> Process {
+        let build = Build::of_start(instance, 0);
+        self.spawn_build(build, instance, &format!("limits: {{{limits}}}\n"))
+    }
+
+    /// Starts a process of a build with `more_settings`, in YAML, and waits until
+    /// it is ready.
+    pub fn start_build(&self, build: Build, instance: &str, more_settings: &str) -> Process {
+        let process = self.spawn_build(build, instance, more_settings);
+        process.wait_until_ready();
+        process
+    }
+
+    fn spawn_build(&self, build: Build, instance: &str, more_settings: &str) -> Process {
         let settings = format!(
             "instance: {instance}\nzone: espoo-a\npeer_key: a key for the tests\nplatform: {}\nlisten:\n  \
              callers: 127.0.0.1:0\n  operators: 127.0.0.1:0\n  peers: 127.0.0.1:0\n\
-             operators: {{open_reads: true}}\nlimits: {{{limits}}}\n",
+             operators: {{open_reads: true}}\n{more_settings}",
             self.platform.address(),
         );
         let mut file = tempfile::NamedTempFile::new().expect("a temporary file");
         file.write_all(settings.as_bytes())
             .expect("settings are written");
-        let mut child = Command::new(env!("CARGO_BIN_EXE_fescuerackd"))
+        let mut child = Command::new(build.path())
             .args(["run", "--settings"])
             .arg(file.path())
             .stdout(Stdio::piped())
--- a/crates/node/tests/all/versions.rs
+++ b/crates/node/tests/all/versions.rs
@@ -17,9 +17,9 @@
 use crate::support::{KEY, Process, World, client, wait_until};
 
 /// The cheap version; current one of its model's roll-out.
-const CHEAP: &str = "kaisla-mini@1";
+pub const CHEAP: &str = "kaisla-mini@1";
 /// The candidate of the roll-out.
-const CANDIDATE: &str = "kaisla-mini@2";
+pub const CANDIDATE: &str = "kaisla-mini@2";
 /// The more expensive version, of another model.
 const EXPENSIVE: &str = "kaisla-max@1";
 
@@ -40,14 +40,16 @@
     manifest::publish(&store, &folder, "test").expect("the folder is accepted")
 }
 
-fn rollout(word: u64, stage: usize) -> String {
+/// Returns a roll-outs file in which the candidate is at a stage.
+pub fn rollout(word: u64, stage: usize) -> String {
     format!(
         "rollouts:\n  kaisla-mini: {{current: {CHEAP}, candidate: {CANDIDATE}, stage: {stage}, \
          word: {word}}}\n"
     )
 }
 
-fn wait_until_active(process: &Process, revision: u64) {
+/// Waits until a revision of the configuration is active.
+pub fn wait_until_active(process: &Process, revision: u64) {
     wait_until("the configuration is active", || {
         process.state()["configuration"]["revision"] == revision
     });
@@ -71,13 +73,15 @@
     }
 }
 
-fn wait_until_informed(process: &Process) {
+/// Waits until a process has read the roll-out records.
+pub fn wait_until_informed(process: &Process) {
     wait_until("the roll-out records have been read", || {
         process.state()["versions"]["informed"] == true
     });
 }
 
-fn ask(process: &Process, model: &str, session: Option<(&str, &str)>) -> Response {
+/// Asks for a completion, with a session and its token if one is given.
+pub fn ask(process: &Process, model: &str, session: Option<(&str, &str)>) -> Response {
     let body = json!({
         "model": model,
         "max_tokens": 4,
@@ -95,7 +99,8 @@
     request.send_json(body).expect("an answer")
 }
 
-fn read<'a>(response: &'a Response, name: &str) -> &'a str {
+/// Returns a header, or an empty text if it is missing.
+pub fn read<'a>(response: &'a Response, name: &str) -> &'a str {
     let value = response.headers().get(name);
     value.map_or("", |value| value.to_str().expect("text"))
 }
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -23,6 +23,9 @@
 mod unread_log;
 mod world;
 
+#[path = "../all/program.rs"]
+mod program;
+
 #[path = "../../../../platform/tests/all/support/http.rs"]
 mod http;
 #[expect(dead_code, reason = "shared with the platform's tests, which use more")]
--- a/crates/node/tests/soak/process.rs
+++ b/crates/node/tests/soak/process.rs
@@ -5,6 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
+use crate::program::Build;
+
 /// Port for callers, the same at the loopback address of every node.
 const CALLERS_PORT: u16 = 8_227;
 /// Port of the readiness check.
@@ -19,6 +21,8 @@
     name: String,
     settings: PathBuf,
     log: Option<PathBuf>,
+    /// Number of starts so far.
+    starts: usize,
     child: Option<Child>,
 }
 
@@ -51,6 +55,7 @@
             log: Some(folder.join(format!("{name}.log"))),
             name,
             settings,
+            starts: 0,
             child: None,
         }
     }
@@ -70,7 +75,9 @@
             }
             None => Stdio::piped(),
         };
-        let command = Command::new(env!("CARGO_BIN_EXE_fescuerackd"))
+        let build = Build::of_start(&self.name, self.starts);
+        self.starts += 1;
+        let command = Command::new(build.path())
             .args(["gateway", "--settings"])
             .arg(&self.settings)
             .stdin(Stdio::null())
