--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -23,7 +23,7 @@
 const SERVICES: usize = 4;
 /// Pace of the stand-in engines.
 const PACE: Pace = Pace {
-    first_ms: 30,
+    first_token_ms: 30,
     token_ms: 10,
 };
 /// Time that a plain service takes.
@@ -124,7 +124,7 @@
         };
         for (name, version) in &merged.file.versions {
             let quality = version.quality.get("default").copied().unwrap_or(0.5);
-            scene.platform.rate(name, quality);
+            scene.platform.set_quality(name, quality);
         }
         for (fleet, backend) in &merged.file.backends {
             scene.start_fleet(fleet, backend, &any_port)?;
@@ -173,7 +173,7 @@
                 }
             };
             let zone = backend.zones.get(index % backend.zones.len().max(1));
-            self.platform.list(Instance {
+            self.platform.set_instance(Instance {
                 id: format!("{fleet}-{index}"),
                 fleet: fleet.to_owned(),
                 zone: zone.map_or(DEFAULT_ZONE, String::as_str).to_owned(),
@@ -188,7 +188,7 @@
         let id = format!("entry-{index}");
         let settings = Settings::new(&id, zone, &self.platform.address(), PEER_KEY);
         let node = Node::new(settings.with_listen(Listen::new(listen)))?;
-        self.platform.list(Instance {
+        self.platform.set_instance(Instance {
             id,
             fleet: "fescuerack".to_owned(),
             zone: zone.to_owned(),
--- a/crates/cli/tests/all/support.rs
+++ b/crates/cli/tests/all/support.rs
@@ -88,11 +88,11 @@
         let store = HttpStore::new(&platform.address());
         manifest::publish(&store, &folder, "test").expect("the example is accepted");
         let pace = Pace {
-            first_ms: 1,
+            first_token_ms: 1,
             token_ms: 1,
         };
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace).expect("an engine");
-        platform.list(Instance {
+        platform.set_instance(Instance {
             id: "kaisla-llm-0".to_owned(),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -104,7 +104,7 @@
             let id = format!("entry-{index}");
             let settings = Settings::new(&id, "espoo-a", &platform.address(), PEER_KEY);
             let node = Node::new(settings).expect("an instance starts");
-            platform.list(Instance {
+            platform.set_instance(Instance {
                 id,
                 fleet: "fescuerack".to_owned(),
                 zone: "espoo-a".to_owned(),
--- a/crates/cli/tests/all/verbs.rs
+++ b/crates/cli/tests/all/verbs.rs
@@ -333,10 +333,10 @@
     let first = std::thread::scope(|scope| {
         let ran = scope.spawn(|| world.run(MODEL_TEAM, &step));
         std::thread::sleep(std::time::Duration::from_millis(30));
-        faults.set(Fault::LoseAnswers, 1);
+        faults.set(Fault::DropAnswers, 1);
         ran.join().expect("it ran")
     });
-    faults.set(Fault::LoseAnswers, 0);
+    faults.set(Fault::DropAnswers, 0);
     let status = || world.rollouts();
     let stepped = status()[0]["stage"] == 2;
     match first.code {
--- a/crates/core/benches/load/main.rs
+++ b/crates/core/benches/load/main.rs
@@ -16,7 +16,8 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num::float;
 use fescuerack_replay::{
-    Admission, Choice, Crowd, Fault, Figures, Kind, Policy, Retry, Scenario, Stream, run,
+    Admission, Choice, Fault, FaultKind, Figures, Policy, RefusedClients, Retry, Scenario, Stream,
+    run,
 };
 
 /// Seeds of each measurement.
@@ -175,8 +176,8 @@
             ("goodput of capacity", figures.goodput()),
             ("ran in vain", late / offered),
             ("limits over slots", limits(figures)),
-            ("first p50 ms", row.first_ms(0.5)),
-            ("first p99 ms", row.first_ms(0.99)),
+            ("first p50 ms", row.first_token_ms(0.5)),
+            ("first p99 ms", row.first_token_ms(0.99)),
         ]
     });
 }
@@ -213,9 +214,9 @@
         let row = figures.row("chat");
         let other = figures.rows.get(1);
         vec![
-            ("chat first p50 ms", row.first_ms(0.5)),
-            ("chat first p95 ms", row.first_ms(0.95)),
-            ("chat first p99 ms", row.first_ms(0.99)),
+            ("chat first p50 ms", row.first_token_ms(0.5)),
+            ("chat first p95 ms", row.first_token_ms(0.95)),
+            ("chat first p99 ms", row.first_token_ms(0.99)),
             ("chat in time", row.good_share()),
             ("capacity used in time", figures.goodput()),
             (
@@ -239,7 +240,7 @@
             scenario.streams[0].deadline_ms = 60_000;
             scenario.policy.choice = choice;
             scenario.faults = vec![Fault {
-                kind: Kind::Slow(slow),
+                kind: FaultKind::Slow(slow),
                 servers: 1,
                 from_s: 40.0,
                 to_s: 150.0,
@@ -250,10 +251,10 @@
     report("One slow server", "choice", &rows, |figures| {
         let row = &figures.rows[0];
         vec![
-            ("first p95 ms", row.first_ms(0.95)),
-            ("first p99 ms", row.first_ms(0.99)),
-            ("first p99.9 ms", row.first_ms(0.999)),
-            ("whole p99 ms", row.whole_ms(0.99)),
+            ("first p95 ms", row.first_token_ms(0.95)),
+            ("first p99 ms", row.first_token_ms(0.99)),
+            ("first p99.9 ms", row.first_token_ms(0.999)),
+            ("whole p99 ms", row.answer_ms(0.99)),
         ]
     });
 }
@@ -282,11 +283,11 @@
         let worst = shares.values().copied().fold(f64::INFINITY, f64::min);
         let others = &figures.rows[1];
         vec![
-            ("Jain index", figures.jain()),
+            ("Jain index", figures.jain_index()),
             ("worst share", worst),
             ("goodput of capacity", figures.goodput()),
             ("small: in time", others.good_share()),
-            ("small: first p99 ms", others.first_ms(0.99)),
+            ("small: first p99 ms", others.first_token_ms(0.99)),
         ]
     });
     let mut rows = Vec::new();
@@ -316,7 +317,7 @@
             let parents = figures.row("parents");
             vec![
                 ("parents in time", parents.good_share()),
-                ("parents first p99 ms", parents.first_ms(0.99)),
+                ("parents first p99 ms", parents.first_token_ms(0.99)),
                 ("goodput of capacity", figures.goodput()),
             ]
         },
@@ -347,8 +348,8 @@
         vec![
             ("hit rate", row.hit_rate()),
             ("prompt work left", computed),
-            ("first p50 ms", row.first_ms(0.5)),
-            ("first p99 ms", row.first_ms(0.99)),
+            ("first p50 ms", row.first_token_ms(0.5)),
+            ("first p99 ms", row.first_token_ms(0.99)),
             ("busiest server over mean", busiest(figures)),
         ]
     });
@@ -369,7 +370,7 @@
             scenario.streams = vec![chat(&scenario, 0.7)];
             scenario.policy.retry = retry;
             scenario.faults = vec![Fault {
-                kind: Kind::Failing(share),
+                kind: FaultKind::Failing(share),
                 servers: 12,
                 from_s: 60.0,
                 to_s: 90.0,
@@ -385,7 +386,7 @@
         let failed = float(usize::try_from(row.failed).unwrap_or(0));
         let offered = float(usize::try_from(row.offered).unwrap_or(1));
         vec![
-            ("attempts per request", row.amplification()),
+            ("attempts per request", row.attempts_per_request()),
             ("failed", failed / offered),
             ("in time", row.good_share()),
         ]
@@ -410,7 +411,7 @@
         scenario.streams = vec![chat(&scenario, 0.8)];
         scenario.policy = policy;
         scenario.faults = vec![Fault {
-            kind: Kind::Down,
+            kind: FaultKind::Down,
             servers: 4,
             from_s: 60.0,
             to_s: 100.0,
@@ -428,8 +429,8 @@
             vec![
                 ("in time", row.good_share()),
                 ("failed", failed / offered),
-                ("attempts per request", row.amplification()),
-                ("first p99 ms", row.first_ms(0.99)),
+                ("attempts per request", row.attempts_per_request()),
+                ("first p99 ms", row.first_token_ms(0.99)),
             ]
         },
     );
@@ -443,7 +444,7 @@
         "burst".clone_into(&mut scenario.streams[1].name);
         scenario.streams[1].from_s = 60.0;
         scenario.streams[1].to_s = 80.0;
-        scenario.crowd = Crowd { returns: 10 };
+        scenario.crowd = RefusedClients { returns: 10 };
         scenario.policy = policy;
         rows.push((
             format!("burst of 20 s whose callers come back, {name}"),
@@ -490,8 +491,8 @@
         |figures| {
             let row = &figures.rows[0];
             vec![
-                ("first p95 ms", row.first_ms(0.95)),
-                ("first p99 ms", row.first_ms(0.99)),
+                ("first p95 ms", row.first_token_ms(0.95)),
+                ("first p99 ms", row.first_token_ms(0.99)),
                 ("busiest server over mean", busiest(figures)),
             ]
         },
--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -388,13 +388,13 @@
         );
         manifest::publish(&store, &folder, "bench").expect("accepted");
         let pace = Pace {
-            first_ms: 5,
+            first_token_ms: 5,
             token_ms: 2,
         };
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace).expect("an engine");
         for mut instance in list(servers, 0).0.instances {
             instance.address = engine.address();
-            platform.list(instance);
+            platform.set_instance(instance);
         }
         let mut world = Self {
             _runtime: runtime,
@@ -435,7 +435,7 @@
             .expect("a process starts");
         self.processes.push(child);
         self.settings.push(file);
-        self.platform.list(Instance {
+        self.platform.set_instance(Instance {
             id: format!("entry-{index}"),
             fleet: "fescuerack".to_owned(),
             zone: format!("availability-zone-{}", index % 8),
--- a/crates/node/benches/path/main.rs
+++ b/crates/node/benches/path/main.rs
@@ -32,7 +32,7 @@
 /// Speed of the engine for latency: a time to first token and a token rate as in
 /// production.
 const LATENCY_PACE: Pace = Pace {
-    first_ms: 100,
+    first_token_ms: 100,
     token_ms: 20,
 };
 /// Tokens of an answer for latency.
@@ -40,7 +40,7 @@
 /// Speed of the engine for throughput: it answers without delay, so that only
 /// the path takes time.
 const THROUGHPUT_PACE: Pace = Pace {
-    first_ms: 0,
+    first_token_ms: 0,
     token_ms: 0,
 };
 /// Concurrent requests for throughput, in a closed loop.
@@ -49,12 +49,12 @@
 const THROUGHPUT_TOKENS: u64 = 8;
 /// Speed of the engine for memory: streams stay open.
 const MEMORY_PACE: Pace = Pace {
-    first_ms: 1,
+    first_token_ms: 1,
     token_ms: 600_000,
 };
 /// Speed of the engine for the comparison of ports.
 const PORT_PACE: Pace = Pace {
-    first_ms: 50,
+    first_token_ms: 50,
     token_ms: 50,
 };
 /// Open streams for memory.
--- a/crates/node/benches/path/world.rs
+++ b/crates/node/benches/path/world.rs
@@ -26,7 +26,7 @@
         let folder = Folder::read(&root)?;
         manifest::publish(&HttpStore::new(&platform.address()), &folder, "bench")?;
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace)?;
-        platform.list(Instance {
+        platform.set_instance(Instance {
             id: "engine-0".to_owned(),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
--- a/crates/node/benches/store.rs
+++ b/crates/node/benches/store.rs
@@ -41,7 +41,7 @@
         let folder = Folder::read(&root).expect("the example");
         manifest::publish(&store, &folder, "bench").expect("accepted");
         let pace = Pace {
-            first_ms: 5,
+            first_token_ms: 5,
             token_ms: 2,
         };
         let engines: Vec<_> = (0..4)
@@ -118,7 +118,7 @@
 }
 
 fn list(platform: &Platform, id: &str, fleet: &str, address: String) {
-    platform.list(Instance {
+    platform.set_instance(Instance {
         id: id.to_owned(),
         fleet: fleet.to_owned(),
         zone: "zone-0".to_owned(),
@@ -281,7 +281,7 @@
     for (name, slow, down) in [("2 ms", 2, 0), ("20 ms", 20, 0), ("down", 0, 1)] {
         for callers in [world.nodes.len(), world.nodes.len() * 4] {
             let faults = world.platform.store_faults();
-            faults.set(Fault::SlowMs, slow);
+            faults.set(Fault::DelayMs, slow);
             faults.set(Fault::Down, down);
             std::thread::sleep(Duration::from_millis(1_500));
             let (unsafe_before, done_before) = (
@@ -298,7 +298,7 @@
                 quantiles(first),
                 calls_since(world, before),
             );
-            faults.set(Fault::SlowMs, 0);
+            faults.set(Fault::DelayMs, 0);
             faults.set(Fault::Down, 0);
         }
     }
@@ -324,7 +324,7 @@
 fn claims(world: &World) {
     const CALLS: usize = 150;
     let nodes = world.nodes.len();
-    world.platform.store_faults().set(Fault::SlowMs, 2);
+    world.platform.store_faults().set(Fault::DelayMs, 2);
     for what in ["first", "sent again"] {
         let times = (0..CALLS)
             .map(|call| {
@@ -337,7 +337,7 @@
             quantiles(times)
         );
     }
-    world.platform.store_faults().set(Fault::SlowMs, 0);
+    world.platform.store_faults().set(Fault::DelayMs, 0);
 }
 
 fn main() {
--- a/crates/node/tests/all/claims.rs
+++ b/crates/node/tests/all/claims.rs
@@ -70,8 +70,8 @@
     let service = world.services[0].faults();
     let store = world.platform.store_faults();
     match step {
-        Step::Claiming => store.set(Fault::SlowMs, 400),
-        Step::Running | Step::Recording => service.set(Fault::SlowMs, 400),
+        Step::Claiming => store.set(Fault::DelayMs, 400),
+        Step::Running | Step::Recording => service.set(Fault::DelayMs, 400),
         Step::Answered => {}
     }
     let doomed = Process::address_of(&first);
@@ -96,7 +96,7 @@
     first.child.kill().expect("it is killed");
     first.child.wait().expect("it ends");
     let answered = caller.join().expect("the caller ends");
-    for fault in [Fault::SlowMs, Fault::Down] {
+    for fault in [Fault::DelayMs, Fault::Down] {
         store.set(fault, 0);
         service.set(fault, 0);
     }
@@ -123,7 +123,7 @@
     let world = World::new();
     let [first, second] = world.start_fleet(["entry-0", "entry-1"]);
     let store = world.platform.store_faults();
-    store.set(Fault::LoseAnswers, 1);
+    store.set(Fault::DropAnswers, 1);
     let address = Process::address_of(&first);
     let caller = std::thread::spawn(move || {
         let url = format!("{address}/v1/services/bookings/confirm");
@@ -140,7 +140,7 @@
             .with_store(|store| store.keys("claim/", 0).items.len())
     };
     wait_until("the claim took effect", || claims() == 1);
-    store.set(Fault::LoseAnswers, 0);
+    store.set(Fault::DropAnswers, 0);
     assert_eq!(caller.join().expect("the caller ends"), "done");
     let again = book(&second, Some("lost"), "korhonen", DEADLINE_MS).expect("an answer");
     assert!(again.headers().contains_key(header::REPLAYED));
--- a/crates/node/tests/all/configuration.rs
+++ b/crates/node/tests/all/configuration.rs
@@ -176,9 +176,9 @@
 // Watch events are lost or delayed, or reads return old values. An accepted
 // change must still become active on every instance and stay active.
 #[rstest::rstest]
-#[case::missed(Fault::MissWatch, 1)]
-#[case::late(Fault::LateWatchMs, 700)]
-#[case::old_reads(Fault::OldReads, 2)]
+#[case::missed(Fault::DropWatchEvents, 1)]
+#[case::late(Fault::WatchDelayMs, 700)]
+#[case::old_reads(Fault::StaleReads, 2)]
 fn apply_watch_faults_in_force(#[case] fault: Fault, #[case] value: u64) {
     let world = World::new();
     let fleet = world.start_fleet(["entry-0", "entry-1"]);
--- a/crates/node/tests/all/engine.rs
+++ b/crates/node/tests/all/engine.rs
@@ -10,7 +10,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 const PACE: Pace = Pace {
-    first_ms: 1,
+    first_token_ms: 1,
     token_ms: 1,
 };
 
@@ -60,7 +60,7 @@
         1,
         "a whole answer's connection is kept"
     );
-    engine.cross(1);
+    engine.mismatch_answers(1);
     let crossed = engine::open(&agent, &attempt(&engine, "three"), TIMEOUT);
     assert_eq!(crossed.err(), Some(Failure::Mismatched));
     read_whole(&agent, &attempt(&engine, "four"));
@@ -75,7 +75,7 @@
 fn resume_goes_on_after_the_cut() {
     let runtime = Runtime::new().expect("a runtime");
     let engine = Engine::new(runtime.handle(), "127.0.0.1:0", PACE).expect("an engine");
-    engine.cut_after(2);
+    engine.truncate_after(2);
     let agent = agent(4);
     let attempt = attempt(&engine, "one");
     let mut stream = engine::open(&agent, &attempt, TIMEOUT).expect("an answer");
@@ -85,7 +85,7 @@
     // A cut may lose events in transit: the engine sent two.
     let position = stream.position();
     assert!(position <= 2, "{position}");
-    engine.cut_after(0);
+    engine.truncate_after(0);
     let mut rest = engine::resume(&agent, &attempt, position, TIMEOUT).expect("the rest");
     read(&mut rest, &mut text).expect("a whole answer");
     assert_eq!(text, "w0 w1 w2 w3 w4 ");
--- a/crates/node/tests/all/load.rs
+++ b/crates/node/tests/all/load.rs
@@ -12,7 +12,7 @@
 fn chat_server_that_leaves_gets_no_new_work() {
     let world = World::new();
     let process = world.start("entry-0");
-    world.engines[0].leave();
+    world.engines[0].mark_leaving();
     let url = format!("{}/v1/chat/completions", process.callers);
     let body = json!({
         "model": "auto:chat-reply",
--- a/crates/node/tests/all/orders.rs
+++ b/crates/node/tests/all/orders.rs
@@ -40,7 +40,7 @@
         1
     );
     for engine in &world.engines {
-        assert_eq!(engine.orders().taken().len(), VERSIONS);
+        assert_eq!(engine.orders().executed().len(), VERSIONS);
     }
 }
 
@@ -50,7 +50,7 @@
 #[test]
 fn engine_busy_does_not_end_the_lease() {
     let world = World::new();
-    world.engines[0].orders().refuse(true);
+    world.engines[0].orders().set_refuses_all(true);
     let [process] = world.start_fleet(["entry-0"]);
     wait_until("the other engines have every version", || {
         let mut others = world.engines[1..].iter();
@@ -59,7 +59,7 @@
     process.wait_for("orders.failed", 1);
     assert!(holds_lease(&process));
     assert_eq!(process.counter("orders.fenced"), 0);
-    world.engines[0].orders().refuse(false);
+    world.engines[0].orders().set_refuses_all(false);
     wait_until("the busy engine has every version later", || {
         all_loaded(&world)
     });
@@ -74,7 +74,7 @@
     let world = World::new();
     world.publish_with("fences: true", "fences: false");
     for engine in &world.engines {
-        engine.orders().ignore_fence(true);
+        engine.orders().set_ignores_fencing(true);
     }
     let fleet = world.start_fleet(["entry-0", "entry-1"]);
     wait_until("every engine has every version", || all_loaded(&world));
@@ -87,11 +87,11 @@
     // The engines forget their versions, so that both instances have something
     // to order.
     for engine in &world.engines {
-        engine.orders().forget();
+        engine.orders().unload_all();
     }
     wait_until("the other instance orders", || all_loaded(&world));
     for engine in &world.engines {
-        engine.orders().forget();
+        engine.orders().unload_all();
     }
     signal(frozen, "-CONT");
     wait_until("an instance orders", || all_loaded(&world));
@@ -99,7 +99,7 @@
         !holds_lease(frozen)
     });
     for engine in &world.engines {
-        let fencing_tokens = fencing_tokens(&engine.orders().taken());
+        let fencing_tokens = fencing_tokens(&engine.orders().executed());
         assert!(fencing_tokens.is_sorted(), "{fencing_tokens:?}");
     }
 }
--- a/crates/node/tests/all/outage.rs
+++ b/crates/node/tests/all/outage.rs
@@ -132,11 +132,11 @@
     let world = World::new();
     let process = world.start("entry-0");
     let store = world.platform.store_faults();
-    store.set(Fault::SlowMs, 300);
+    store.set(Fault::DelayMs, 300);
     assert_eq!(chat(&process), "done");
     let booked = crate::claims::book(&process, Some("slow"), "virtanen", 10_000);
     assert_eq!(outcome(&booked.expect("an answer")), "done");
-    store.set(Fault::SlowMs, 0);
+    store.set(Fault::DelayMs, 0);
     wait_until("the ledger is stored", || billed(&world).0 == 2);
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(billed(&world).0, 2);
--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -29,7 +29,7 @@
 }
 
 fn list(world: &World, id: &str, address: &str) {
-    world.platform.list(Instance {
+    world.platform.set_instance(Instance {
         id: id.to_owned(),
         fleet: "fescuerack".to_owned(),
         zone: "espoo-a".to_owned(),
--- a/crates/node/tests/all/stream.rs
+++ b/crates/node/tests/all/stream.rs
@@ -74,7 +74,10 @@
 fn cut_stream_is_resumed(#[case] streamed: bool) {
     let world = World::new();
     let process = world.start("entry-0");
-    world.engines.iter().for_each(|engine| engine.cut_after(3));
+    world
+        .engines
+        .iter()
+        .for_each(|engine| engine.truncate_after(3));
     if streamed {
         let read = read(&process, 8);
         assert!(read.done && !read.cut, "{read:?}");
@@ -98,8 +101,8 @@
     let world = World::new();
     let process = world.start("entry-0");
     for engine in &world.engines {
-        engine.cut_after(3);
-        engine.forget(true);
+        engine.truncate_after(3);
+        engine.set_forgets_attempts(true);
     }
     let read = read(&process, 8);
     assert!(words(8).starts_with(&read.text), "{read:?}");
@@ -115,8 +118,8 @@
 fn cut_whole_answer_runs_elsewhere() {
     let world = World::new();
     let mut process = world.start("entry-0");
-    world.engines[0].cut_after(3);
-    world.engines[0].forget(true);
+    world.engines[0].truncate_after(3);
+    world.engines[0].set_forgets_attempts(true);
     for _ in 0..6 {
         let mut response = post(&process, &body(false, 8));
         assert_eq!(response.status(), 200);
@@ -135,8 +138,8 @@
 fn crossed_answer_is_dropped_and_run_elsewhere() {
     let world = World::new();
     let process = world.start("entry-0");
-    world.engines[0].cross(1);
-    world.engines[1].cross(1);
+    world.engines[0].mismatch_answers(1);
+    world.engines[1].mismatch_answers(1);
     wait_until("both crossed answers are counted", || {
         let read = read(&process, 4);
         assert!(read.done && read.text == words(4), "{read:?}");
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -50,7 +50,7 @@
         let store = HttpStore::new(&platform.address());
         manifest::publish(&store, &folder, "test").expect("the example is accepted");
         let pace = Pace {
-            first_ms: 5,
+            first_token_ms: 5,
             token_ms: 2,
         };
         let mut world = Self {
@@ -69,9 +69,12 @@
     }
 
     /// Replaces the engines by engines of another speed.
-    pub fn replace_engines(&mut self, first_ms: u64, token_ms: u64) {
+    pub fn replace_engines(&mut self, first_token_ms: u64, token_ms: u64) {
         self.engines.clear();
-        self.start_engines(Pace { first_ms, token_ms });
+        self.start_engines(Pace {
+            first_token_ms,
+            token_ms,
+        });
     }
 
     fn start_engines(&mut self, pace: Pace) {
@@ -84,7 +87,7 @@
     }
 
     fn list(&self, id: &str, fleet: &str, address: String) {
-        self.platform.list(Instance {
+        self.platform.set_instance(Instance {
             id: id.to_owned(),
             fleet: fleet.to_owned(),
             zone: "espoo-a".to_owned(),
--- a/crates/node/tests/all/versions.rs
+++ b/crates/node/tests/all/versions.rs
@@ -56,7 +56,7 @@
 /// Lists two instances and waits until each has received a message of the other.
 fn introduce(world: &World, first: &Process, second: &Process) {
     for process in [first, second] {
-        world.platform.list(Instance {
+        world.platform.set_instance(Instance {
             id: process.instance.clone(),
             fleet: "fescuerack".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -140,10 +140,10 @@
     let world = World::new();
     publish(&world, "rollouts: {}\n", "withdrawn");
     let process = world.start("entry-0");
-    world.platform.rate(CHEAP, 0.99);
+    world.platform.set_quality(CHEAP, 0.99);
     let good = ask(&process, "auto:shortlist", None);
     assert_eq!(read(&good, header::VERSION), CHEAP);
-    world.platform.rate(CHEAP, 0.1);
+    world.platform.set_quality(CHEAP, 0.1);
     let mut bad = ask(&process, "auto:shortlist", None);
     assert_eq!(read(&bad, header::VERSION), EXPENSIVE);
     let completion: chat::Completion = bad.body_mut().read_json().expect("a completion");
@@ -172,7 +172,7 @@
     wait_until_informed(&first);
     wait_until_informed(&second);
     world.platform.store_faults().set(Fault::Down, 1);
-    world.platform.rate(CANDIDATE, 0.1);
+    world.platform.set_quality(CANDIDATE, 0.1);
     let verdict = |process: &Process| {
         process.state()["versions"]["rollouts"]["kaisla-mini"]["verdict"].clone()
     };
@@ -232,11 +232,11 @@
     let mut world = World::new();
     world.engines.clear();
     for index in 0..3 {
-        world.platform.remove(&format!("engine-{index}"));
+        world.platform.remove_instance(&format!("engine-{index}"));
     }
     let crashed = Arc::new(AtomicU32::new(0));
     for index in 0..6 {
-        world.platform.list(Instance {
+        world.platform.set_instance(Instance {
             id: format!("mortal-{index}"),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
--- a/crates/replay/src/figures.rs
+++ b/crates/replay/src/figures.rs
@@ -83,13 +83,13 @@
 
     /// Returns a quantile of the time to the first token, in milliseconds.
     #[must_use]
-    pub fn first_ms(&self, quantile: f64) -> f64 {
+    pub fn first_token_ms(&self, quantile: f64) -> f64 {
         number(self.first.value_at_quantile(quantile)) / 1000.0
     }
 
     /// Returns a quantile of the time to the whole answer, in milliseconds.
     #[must_use]
-    pub fn whole_ms(&self, quantile: f64) -> f64 {
+    pub fn answer_ms(&self, quantile: f64) -> f64 {
         number(self.whole.value_at_quantile(quantile)) / 1000.0
     }
 
@@ -101,7 +101,7 @@
 
     /// Returns attempts per request that reached a server.
     #[must_use]
-    pub fn amplification(&self) -> f64 {
+    pub fn attempts_per_request(&self) -> f64 {
         ratio(self.attempts, self.good + self.late + self.failed)
     }
 
@@ -124,7 +124,7 @@
     /// weighted fair shares: 1 when all get the same part of what they may
     /// have.
     #[must_use]
-    pub fn jain(&self) -> f64 {
+    pub fn jain_index(&self) -> f64 {
         let shares = self.shares();
         let sum: f64 = shares.values().sum();
         let squares: f64 = shares.values().map(|share| share * share).sum();
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -21,5 +21,7 @@
 pub use figures::{Figures, Row};
 pub use model::run;
 pub use plot::plot;
-pub use scenario::{Admission, Choice, Crowd, Fault, Kind, Policy, Retry, Scenario, Stream};
+pub use scenario::{
+    Admission, Choice, Fault, FaultKind, Policy, RefusedClients, Retry, Scenario, Stream,
+};
 pub use table::table;
--- a/crates/replay/src/model/mod.rs
+++ b/crates/replay/src/model/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::draw;
 use crate::figures::{Figures, Row, number};
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use clock::{Agenda, Event};
 use machine::{Machine, Start};
 use node::{Entry, Node};
@@ -131,7 +131,7 @@
             let at = |second| Instant::ORIGIN + seconds(second);
             self.agenda.add(at(fault.from_s), Event::Fault(index, true));
             self.agenda.add(at(fault.to_s), Event::Fault(index, false));
-            if fault.kind == Kind::Down {
+            if fault.kind == FaultKind::Down {
                 let listed = |second| at(second).plus_millis(LISTED_MS);
                 self.agenda.add(listed(fault.from_s), Event::List);
                 self.agenda.add(listed(fault.to_s), Event::List);
@@ -393,13 +393,13 @@
         let fault = self.scenario.faults[index];
         for machine in 0..fault.servers.min(self.machines.len()) {
             match fault.kind {
-                Kind::Slow(factor) => {
+                FaultKind::Slow(factor) => {
                     self.machines[machine].slow = if begins { factor } else { 1.0 };
                 }
-                Kind::Failing(share) => {
+                FaultKind::Failing(share) => {
                     self.machines[machine].failing = if begins { share } else { 0.0 };
                 }
-                Kind::Down => {
+                FaultKind::Down => {
                     self.machines[machine].down = begins;
                     if begins {
                         self.crash(machine);
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -44,7 +44,7 @@
     /// What fails.
     pub faults: Vec<Fault>,
     /// What callers do who are turned away.
-    pub crowd: Crowd,
+    pub crowd: RefusedClients,
     /// The decisions to try.
     pub policy: Policy,
 }
@@ -90,7 +90,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What fails.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Number of servers it befalls, the first ones.
     pub servers: usize,
     /// Second at which it begins.
@@ -102,7 +102,7 @@
 /// Ways to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum FaultKind {
     /// Everything takes this many times longer.
     Slow(f64),
     /// This share of attempts fails at the first token.
@@ -114,7 +114,7 @@
 /// What callers do who are turned away.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Crowd {
+pub struct RefusedClients {
     /// How often one comes back.
     pub returns: u32,
 }
@@ -189,7 +189,7 @@
             lag_ms: 1_000,
             streams: Vec::new(),
             faults: Vec::new(),
-            crowd: Crowd::default(),
+            crowd: RefusedClients::default(),
             policy: Policy::default(),
         }
     }
--- a/crates/replay/src/table.rs
+++ b/crates/replay/src/table.rs
@@ -33,17 +33,17 @@
             row.refused.to_string(),
             row.late.to_string(),
             row.failed.to_string(),
-            format!("{:.0}", row.first_ms(0.5)),
-            format!("{:.0}", row.first_ms(0.95)),
-            format!("{:.0}", row.first_ms(0.99)),
-            format!("{:.0}", row.whole_ms(0.95)),
-            format!("{:.2}", row.amplification()),
+            format!("{:.0}", row.first_token_ms(0.5)),
+            format!("{:.0}", row.first_token_ms(0.95)),
+            format!("{:.0}", row.first_token_ms(0.99)),
+            format!("{:.0}", row.answer_ms(0.95)),
+            format!("{:.2}", row.attempts_per_request()),
             format!("{:.2}", row.hit_rate()),
         ]);
     }
     format!(
         "{table}\ncapacity used for answers in time: {:.3}; Jain index of organisations: {:.3}\n",
         figures.goodput(),
-        figures.jain()
+        figures.jain_index()
     )
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     /// Milliseconds until the first token.
-    pub first_ms: u64,
+    pub first_token_ms: u64,
     /// Milliseconds between tokens.
     pub token_ms: u64,
 }
@@ -58,8 +58,8 @@
     started: AtomicU64,
     finished: AtomicU64,
     cancelled: AtomicU64,
-    cut_after: AtomicU64,
-    cross: AtomicU64,
+    truncate_after: AtomicU64,
+    mismatched_answers: AtomicU64,
     forgetful: AtomicBool,
     leaving: AtomicBool,
     running: AtomicU64,
@@ -88,8 +88,8 @@
             started: AtomicU64::new(0),
             finished: AtomicU64::new(0),
             cancelled: AtomicU64::new(0),
-            cut_after: AtomicU64::new(0),
-            cross: AtomicU64::new(0),
+            truncate_after: AtomicU64::new(0),
+            mismatched_answers: AtomicU64::new(0),
             forgetful: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             running: AtomicU64::new(0),
@@ -124,22 +124,24 @@
     }
 
     /// Cuts every connection after this many events; 0 cuts none.
-    pub fn cut_after(&self, events: u64) {
-        self.shared.cut_after.store(events, Ordering::SeqCst);
+    pub fn truncate_after(&self, events: u64) {
+        self.shared.truncate_after.store(events, Ordering::SeqCst);
     }
 
     /// Makes the next `answers` answers echo another attempt's identifier.
-    pub fn cross(&self, answers: u64) {
-        self.shared.cross.store(answers, Ordering::SeqCst);
+    pub fn mismatch_answers(&self, answers: u64) {
+        self.shared
+            .mismatched_answers
+            .store(answers, Ordering::SeqCst);
     }
 
     /// Sets whether the engine forgets attempts, so that none can be resumed.
-    pub fn forget(&self, forgetful: bool) {
+    pub fn set_forgets_attempts(&self, forgetful: bool) {
         self.shared.forgetful.store(forgetful, Ordering::SeqCst);
     }
 
     /// Refuses new work from now on; running work finishes.
-    pub fn leave(&self) {
+    pub fn mark_leaving(&self) {
         self.shared.leaving.store(true, Ordering::SeqCst);
     }
 
@@ -201,9 +203,9 @@
         };
         self.remember(attempt.clone());
         self.started.fetch_add(1, Ordering::SeqCst);
-        let slow_ms = self.faults.get(Fault::SlowMs);
+        let slow_ms = self.faults.get(Fault::DelayMs);
         sleep(Duration::from_millis(slow_ms)).await;
-        if self.faults.get(Fault::LoseAnswers) > 0 {
+        if self.faults.get(Fault::DropAnswers) > 0 {
             return None;
         }
         self.stream(attempt, 0)
@@ -257,11 +259,11 @@
 
     fn stream(self: &Arc<Self>, attempt: Attempt, from: u64) -> Response {
         let (sender, body) = Channel::new(4);
-        let crossing = self
-            .cross
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
-                left.checked_sub(1)
-            });
+        let crossing =
+            self.mismatched_answers
+                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
+                    left.checked_sub(1)
+                });
         let echoed = match crossing {
             Ok(_) => "another-attempt",
             Err(_) => &attempt.id,
@@ -279,8 +281,8 @@
     async fn send(&self, attempt: &Attempt, from: u64, mut sender: Sender<Bytes, std::io::Error>) {
         let _work = Work::new(self, attempt.answer.events().saturating_sub(from));
         let mut cancelled = attempt.cancelled.subscribe();
-        let cut_after = self.cut_after.load(Ordering::SeqCst);
-        let mut due = Instant::now() + Duration::from_millis(self.pace.first_ms);
+        let truncate_after = self.truncate_after.load(Ordering::SeqCst);
+        let mut due = Instant::now() + Duration::from_millis(self.pace.first_token_ms);
         for position in from..attempt.answer.events() {
             if attempt.answer.is_token(position) {
                 tokio::select! {
@@ -292,7 +294,7 @@
                 }
                 due += Duration::from_millis(self.pace.token_ms);
             }
-            if cut_after > 0 && position - from >= cut_after {
+            if truncate_after > 0 && position - from >= truncate_after {
                 // What was sent before a cut has mostly arrived.
                 sleep(BEFORE_CUT).await;
                 sender.abort(std::io::Error::other("cut"));
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -8,17 +8,17 @@
     /// Connections end without an answer and without effect.
     Down,
     /// Calls take effect and their answers are lost.
-    LoseAnswers,
+    DropAnswers,
     /// Answers wait this many milliseconds.
-    SlowMs,
+    DelayMs,
     /// Every n-th read shows the value before the last write.
-    OldReads,
+    StaleReads,
     /// Watch events come this many milliseconds late.
-    LateWatchMs,
+    WatchDelayMs,
     /// Watch events do not come at all.
-    MissWatch,
+    DropWatchEvents,
     /// Calls over this number in one second are refused with status 429.
-    Rate,
+    RateLimit,
 }
 
 impl Fault {
--- a/crates/standin/src/chaos.rs
+++ b/crates/standin/src/faulty_store.rs
@@ -13,7 +13,7 @@
 
 /// Chances of each fault per call, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Odds {
+pub struct FaultRates {
     /// The call is refused or not sent; no effect.
     pub refused: f64,
     /// The answer is lost and the call has no effect.
@@ -21,69 +21,69 @@
     /// The answer is lost after the effect.
     pub lost_after: f64,
     /// The answer is lost and the effect comes at some later step, or never.
-    pub late: f64,
+    pub delayed: f64,
     /// A read shows the value before the last write.
-    pub old: f64,
+    pub stale: f64,
 }
 
-impl Odds {
+impl FaultRates {
     /// Every fault, often.
-    pub const HARD: Self = Self {
+    pub const FREQUENT: Self = Self {
         refused: 0.05,
         lost_before: 0.05,
         lost_after: 0.08,
-        late: 0.05,
-        old: 0.15,
+        delayed: 0.05,
+        stale: 0.15,
     };
 }
 
 /// The service with its faults.
 #[derive(Debug)]
-pub struct Chaos {
+pub struct FaultyStore {
     /// Its state.
     pub store: Store,
     /// Its faults.
-    pub odds: Odds,
+    pub rates: FaultRates,
     /// While set, every call is refused or lost.
     pub down: bool,
     rng: Pcg64Mcg,
-    late: Vec<Call>,
+    delayed: Vec<Call>,
 }
 
-impl Chaos {
+impl FaultyStore {
     /// Writes that may be under way at a time.
-    const MOST_LATE: usize = 8;
+    const MAX_DELAYED: usize = 8;
 
     /// Creates an empty service.
     #[must_use]
-    pub fn new(seed: u64, odds: Odds) -> Self {
+    pub fn new(seed: u64, rates: FaultRates) -> Self {
         Self {
             store: Store::new(),
-            odds,
+            rates,
             down: false,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            late: Vec::new(),
+            delayed: Vec::new(),
         }
     }
 
-    fn chance(&mut self, odds: f64) -> bool {
-        odds > 0.0 && self.rng.random_bool(odds)
+    fn chance(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.random_bool(probability)
     }
 
     /// Lets a write that is under way arrive.
-    pub fn arrive(&mut self) {
-        if self.late.is_empty() {
+    pub fn deliver_delayed_write(&mut self) {
+        if self.delayed.is_empty() {
             return;
         }
-        let index = self.rng.random_range(..self.late.len());
-        let call = self.late.swap_remove(index);
+        let index = self.rng.random_range(..self.delayed.len());
+        let call = self.delayed.swap_remove(index);
         self.serve(call);
     }
 
     /// Answers a call.
     pub fn call(&mut self, call: Call) -> Reply {
         if self.chance(0.1) {
-            self.arrive();
+            self.deliver_delayed_write();
         }
         let write = matches!(call, Call::Swap { .. });
         if self.down {
@@ -93,24 +93,24 @@
                 Reply::Refused
             };
         }
-        if self.chance(self.odds.refused) {
+        if self.chance(self.rates.refused) {
             return Reply::Refused;
         }
-        if self.chance(self.odds.lost_before) {
+        if self.chance(self.rates.lost_before) {
             return Reply::Lost;
         }
-        if self.chance(self.odds.lost_after) {
+        if self.chance(self.rates.lost_after) {
             self.serve(call);
             return Reply::Lost;
         }
-        if write && self.chance(self.odds.late) && self.late.len() < Self::MOST_LATE {
-            self.late.push(call);
+        if write && self.chance(self.rates.delayed) && self.delayed.len() < Self::MAX_DELAYED {
+            self.delayed.push(call);
             return Reply::Lost;
         }
         if let Call::Get { key } = &call
-            && self.chance(self.odds.old)
+            && self.chance(self.rates.stale)
         {
-            return Reply::Value(self.store.get_old(key));
+            return Reply::Value(self.store.get_stale(key));
         }
         self.serve(call)
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -5,18 +5,18 @@
 //! at the interface and knows nothing of the others.
 
 mod answer;
-mod chaos;
 mod engine;
 mod fault;
+mod faulty_store;
 mod http;
 mod orders;
 mod platform;
 mod service;
 mod store;
 
-pub use chaos::{Chaos, Odds};
 pub use engine::{Engine, Pace};
 pub use fault::{Fault, Faults};
+pub use faulty_store::{FaultRates, FaultyStore};
 pub use http::{Body, Handler, Request, Response, Server};
 pub use orders::Orders;
 pub use platform::Platform;
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -13,30 +13,30 @@
 struct State {
     highest: u64,
     loaded: BTreeSet<String>,
-    taken: Vec<Order>,
+    executed: Vec<Order>,
 }
 
 /// The orders that an engine took.
 #[derive(Debug, Default)]
 pub struct Orders {
-    ignores_fence: AtomicBool,
+    ignores_fencing: AtomicBool,
     busy: AtomicBool,
     state: Mutex<State>,
 }
 
 impl Orders {
     /// Whether orders with an old number are carried out all the same.
-    pub fn ignore_fence(&self, ignores: bool) {
-        self.ignores_fence.store(ignores, Ordering::SeqCst);
+    pub fn set_ignores_fencing(&self, ignores: bool) {
+        self.ignores_fencing.store(ignores, Ordering::SeqCst);
     }
 
     /// Whether every order is refused with status 503.
-    pub fn refuse(&self, busy: bool) {
+    pub fn set_refuses_all(&self, busy: bool) {
         self.busy.store(busy, Ordering::SeqCst);
     }
 
     /// Loses every version, as a restart does.
-    pub fn forget(&self) {
+    pub fn unload_all(&self) {
         self.with(|state| state.loaded.clear());
     }
 
@@ -48,8 +48,8 @@
 
     /// Returns the orders that were carried out, in their order.
     #[must_use]
-    pub fn taken(&self) -> Vec<Order> {
-        self.with(|state| state.taken.clone())
+    pub fn executed(&self) -> Vec<Order> {
+        self.with(|state| state.executed.clone())
     }
 
     pub(crate) fn list(&self) -> hyper::Response<Body> {
@@ -65,7 +65,7 @@
         if self.busy.load(Ordering::SeqCst) {
             return answer(503, "busy");
         }
-        let fences = !self.ignores_fence.load(Ordering::SeqCst);
+        let fences = !self.ignores_fencing.load(Ordering::SeqCst);
         self.with(|state| {
             if fences && order.fencing_token < state.highest {
                 return answer(409, "a higher fencing number was seen");
@@ -75,7 +75,7 @@
                 Action::Load => state.loaded.insert(order.version.clone()),
                 Action::Unload => state.loaded.remove(&order.version),
             };
-            state.taken.push(order);
+            state.executed.push(order);
             answer(200, "")
         })
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -81,24 +81,24 @@
     }
 
     /// Adds an instance to the list or replaces it.
-    pub fn list(&self, instance: discovery::Instance) {
+    pub fn set_instance(&self, instance: discovery::Instance) {
         lock(&self.shared.instances).insert(instance.id.clone(), instance);
     }
 
     /// Marks an instance of the list as leaving.
-    pub fn leave(&self, id: &str) {
+    pub fn mark_leaving(&self, id: &str) {
         if let Some(instance) = lock(&self.shared.instances).get_mut(id) {
             instance.state = State::Leaving;
         }
     }
 
     /// Takes an instance from the list.
-    pub fn remove(&self, id: &str) {
+    pub fn remove_instance(&self, id: &str) {
         lock(&self.shared.instances).remove(id);
     }
 
     /// Sets the quality that the rating service gives to answers of a version.
-    pub fn rate(&self, version: &str, quality: f64) {
+    pub fn set_quality(&self, version: &str, quality: f64) {
         lock(&self.shared.quality).insert(version.to_owned(), quality);
     }
 
@@ -191,12 +191,12 @@
         } else {
             self.call(request, path)
         };
-        let lost = self.store_faults.get(Fault::LoseAnswers) > 0;
+        let lost = self.store_faults.get(Fault::DropAnswers) > 0;
         (!lost).then_some(response)
     }
 
     fn is_over_rate(&self) -> bool {
-        let rate = self.store_faults.get(Fault::Rate);
+        let rate = self.store_faults.get(Fault::RateLimit);
         let now = self.started.elapsed().as_secs();
         let mut second = lock(&self.second);
         if second.0 != now {
@@ -213,9 +213,9 @@
         let deadline = self.now().plus_millis(number(request, "wait_ms"));
         loop {
             let keys = lock(&self.store).keys(prefix, after);
-            let missed = self.store_faults.get(Fault::MissWatch) > 0;
+            let missed = self.store_faults.get(Fault::DropWatchEvents) > 0;
             if !keys.items.is_empty() && !missed {
-                let late = self.store_faults.get(Fault::LateWatchMs);
+                let late = self.store_faults.get(Fault::WatchDelayMs);
                 sleep(Duration::from_millis(late)).await;
                 return json(&keys);
             }
@@ -250,10 +250,10 @@
     }
 
     fn get(&self, store: &Store, key: &str) -> hyper::Response<crate::Body> {
-        let each = self.store_faults.get(Fault::OldReads);
+        let each = self.store_faults.get(Fault::StaleReads);
         let reads = self.reads.fetch_add(1, Ordering::Relaxed) + 1;
         let value = if each > 0 && reads.is_multiple_of(each) {
-            store.get_old(key)
+            store.get_stale(key)
         } else {
             store.get(key)
         };
@@ -266,7 +266,7 @@
 
 /// Waits as the faults say; `None` when the service is down.
 async fn wait(faults: &Faults) -> Option<()> {
-    let slow_ms = faults.get(Fault::SlowMs);
+    let slow_ms = faults.get(Fault::DelayMs);
     if slow_ms > 0 {
         sleep(Duration::from_millis(slow_ms)).await;
     }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -83,9 +83,9 @@
             *run += 1;
             *run
         };
-        let slow_ms = self.faults.get(Fault::SlowMs);
+        let slow_ms = self.faults.get(Fault::DelayMs);
         sleep(self.delay + Duration::from_millis(slow_ms)).await;
-        if self.faults.get(Fault::LoseAnswers) > 0 {
+        if self.faults.get(Fault::DropAnswers) > 0 {
             return None;
         }
         let mut response = json(&serde_json::json!({"confirmed": true, "run": run}));
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,7 +1,7 @@
 //! The key-value service: compare-and-swap, leases, watches.
 //!
 //! The state only; [`crate::Platform`] gives it a network and
-//! [`crate::Chaos`] gives it seeded faults in one process.
+//! [`crate::FaultyStore`] gives it seeded faults in one process.
 
 use std::collections::BTreeMap;
 
@@ -71,7 +71,7 @@
 
     /// Reads the value before the last write, as a replica that lags does.
     #[must_use]
-    pub fn get_old(&self, key: &str) -> Option<Value> {
+    pub fn get_stale(&self, key: &str) -> Option<Value> {
         self.entries.get(key)?.before.clone()
     }
 
--- a/crates/standin/tests/all/activation.rs
+++ b/crates/standin/tests/all/activation.rs
@@ -11,9 +11,9 @@
 };
 use fescuerack_core::clock::Instant;
 use fescuerack_core::store::{Call, Machine as _, Reply, Step};
-use fescuerack_standin::{Chaos, Odds};
+use fescuerack_standin::{FaultRates, FaultyStore};
 
-use crate::run::{Dice, schedules};
+use crate::run::{SeededRng, run_schedules};
 
 const FILES: usize = 3;
 const OPERATORS: usize = 4;
@@ -33,8 +33,8 @@
 }
 
 struct World {
-    dice: Dice,
-    store: Chaos,
+    rng: SeededRng,
+    store: FaultyStore,
     now: Instant,
     operators: Vec<Operator>,
     /// Requests whose operator was killed or received no result.
@@ -62,8 +62,8 @@
             manifest: Manifest::default(),
         };
         Self {
-            dice: Dice::new(seed),
-            store: Chaos::new(seed ^ 0xf0_7ce, Odds::HARD),
+            rng: SeededRng::new(seed),
+            store: FaultyStore::new(seed ^ 0xf0_7ce, FaultRates::FREQUENT),
             now: Instant::from_millis(1),
             operators: Vec::new(),
             unresolved: Vec::new(),
@@ -126,26 +126,26 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now.plus_millis(self.dice.below(20) as u64);
-        if self.dice.chance(0.002) {
+        self.now = self.now.plus_millis(self.rng.below(20) as u64);
+        if self.rng.chance(0.002) {
             self.store.down = !self.store.down;
             self.count("outages");
         }
-        if self.dice.chance(0.05) {
-            self.store.arrive();
+        if self.rng.chance(0.05) {
+            self.store.deliver_delayed_write();
             self.record_manifest();
         }
-        if self.operators.len() < OPERATORS && self.dice.chance(0.2) {
+        if self.operators.len() < OPERATORS && self.rng.chance(0.2) {
             self.start_or_resend();
         }
-        if self.dice.chance(0.3) {
+        if self.rng.chance(0.3) {
             self.poll_manifest();
         }
         if self.operators.is_empty() {
             return;
         }
-        let index = self.dice.below(self.operators.len());
-        if self.dice.chance(0.01) {
+        let index = self.rng.below(self.operators.len());
+        if self.rng.chance(0.01) {
             let killed = self.operators.swap_remove(index);
             self.unresolved.push(killed.change_request);
             return self.count("kills");
@@ -154,28 +154,28 @@
     }
 
     fn start_or_resend(&mut self) {
-        if !self.unresolved.is_empty() && self.dice.chance(0.5) {
+        if !self.unresolved.is_empty() && self.rng.chance(0.5) {
             let change_request = self.unresolved.swap_remove(0);
             self.count("sent again");
             self.sent_again.insert(change_request.request.clone());
             return self.start(change_request);
         }
         self.next += 1;
-        let base = if self.dice.chance(0.2) {
-            let back = self.dice.below(self.log.len().min(4));
+        let base = if self.rng.chance(0.2) {
+            let back = self.rng.below(self.log.len().min(4));
             self.log[self.log.len() - 1 - back].clone()
         } else {
             self.log.last().expect("never empty").clone()
         };
         let mut files = BTreeMap::new();
-        for _ in 0..=self.dice.below(2) {
-            let name = format!("{}.yaml", self.dice.below(FILES));
-            let content = if self.dice.chance(0.1) {
+        for _ in 0..=self.rng.below(2) {
+            let name = format!("{}.yaml", self.rng.below(FILES));
+            let content = if self.rng.chance(0.1) {
                 None
-            } else if self.dice.chance(0.05) {
+            } else if self.rng.chance(0.05) {
                 Some(Bytes::from("nonsense: 1\n"))
             } else {
-                let value = self.dice.below(40);
+                let value = self.rng.below(40);
                 Some(Bytes::from(format!(
                     "models:\n  m{name}: {{note: \"{value}\"}}\n"
                 )))
@@ -185,7 +185,7 @@
         let change_request = ChangeRequest {
             base,
             files,
-            author: format!("team-{}", self.dice.below(3)),
+            author: format!("team-{}", self.rng.below(3)),
             reason: "because".to_owned(),
             at: self.now.0,
             request: format!("request-{}", self.next),
@@ -196,8 +196,8 @@
     }
 
     fn start(&mut self, change_request: ChangeRequest) {
-        let deadline = self.now.plus_millis(500 + self.dice.below(4_000) as u64);
-        let machine = Apply::new(change_request.clone(), deadline, self.dice.number());
+        let deadline = self.now.plus_millis(500 + self.rng.below(4_000) as u64);
+        let machine = Apply::new(change_request.clone(), deadline, self.rng.number());
         let log_length_at_start = self.log.len();
         self.operators.push(Operator {
             change_request,
@@ -300,8 +300,8 @@
     /// Lets an instance read the manifest, perhaps a stale one, and activate it.
     /// The follower asserts that the revision never falls.
     fn poll_manifest(&mut self) {
-        let index = self.dice.below(self.instances.len());
-        if self.dice.chance(0.01) {
+        let index = self.rng.below(self.instances.len());
+        if self.rng.chance(0.01) {
             self.instances[index] = Instance {
                 follower: Follower::new(),
                 manifest: Manifest::default(),
@@ -330,16 +330,16 @@
 
     fn finish(&mut self) {
         self.store.down = false;
-        self.store.odds = Odds::default();
+        self.store.rates = FaultRates::default();
         while !self.operators.is_empty() {
             self.now = self.now.plus_millis(7);
-            self.store.arrive();
+            self.store.deliver_delayed_write();
             self.record_manifest();
-            let index = self.dice.below(self.operators.len());
+            let index = self.rng.below(self.operators.len());
             self.advance(index);
         }
         for _ in 0..64 {
-            self.store.arrive();
+            self.store.deliver_delayed_write();
             self.record_manifest();
         }
         self.check_history();
@@ -389,7 +389,7 @@
 // as a conflict although it is active.
 #[test]
 fn apply_operators_race() {
-    schedules("activation", |seed, steps| {
+    run_schedules("activation", |seed, steps| {
         let mut world = World::new(seed);
         for _ in 0..steps {
             world.step();
--- a/crates/standin/tests/all/claim.rs
+++ b/crates/standin/tests/all/claim.rs
@@ -9,9 +9,9 @@
 };
 use fescuerack_core::clock::Instant;
 use fescuerack_core::store::{Call, Machine as _, Reply, Step};
-use fescuerack_standin::{Chaos, Odds, Refusal, Store};
+use fescuerack_standin::{FaultRates, FaultyStore, Refusal, Store};
 
-use crate::run::{Dice, schedules};
+use crate::run::{SeededRng, run_schedules};
 
 /// Number of keys in use at a time; the window of keys advances, so that every schedule contains
 /// many first runs.
@@ -41,8 +41,8 @@
 
 /// The simulation.
 struct World {
-    dice: Dice,
-    store: Chaos,
+    rng: SeededRng,
+    store: FaultyStore,
     now: Instant,
     senders: Vec<Sender>,
     /// Claims to settle after their senders gave up, with their keys.
@@ -68,8 +68,8 @@
 impl World {
     fn new(seed: u64) -> Self {
         Self {
-            dice: Dice::new(seed),
-            store: Chaos::new(seed ^ 0xc1a1, Odds::HARD),
+            rng: SeededRng::new(seed),
+            store: FaultyStore::new(seed ^ 0xc1a1, FaultRates::FREQUENT),
             now: Instant::from_millis(1),
             senders: Vec::new(),
             backlog: Vec::new(),
@@ -91,29 +91,29 @@
 
     fn step(&mut self) {
         self.steps += 1;
-        self.now = self.now.plus_millis(self.dice.below(12) as u64);
-        if self.dice.chance(0.002) {
+        self.now = self.now.plus_millis(self.rng.below(12) as u64);
+        if self.rng.chance(0.002) {
             self.store.down = !self.store.down;
             self.count("outages");
         }
-        if self.senders.len() < SENDERS && self.dice.chance(0.3) {
+        if self.senders.len() < SENDERS && self.rng.chance(0.3) {
             self.send();
         }
-        if !self.backlog.is_empty() && self.dice.chance(0.2) {
+        if !self.backlog.is_empty() && self.rng.chance(0.2) {
             self.settle();
         }
         if self.senders.is_empty() {
             return;
         }
-        let index = self.dice.below(self.senders.len());
-        if self.dice.chance(0.01) {
+        let index = self.rng.below(self.senders.len());
+        if self.rng.chance(0.01) {
             // The process is killed and loses all its state.
             let killed = self.senders.swap_remove(index);
             self.stuck.insert(killed.key, true);
             return self.count("kills");
         }
-        if self.dice.chance(0.01) {
-            let until = self.now.plus_millis(self.dice.below(3_000) as u64);
+        if self.rng.chance(0.01) {
+            let until = self.now.plus_millis(self.rng.below(3_000) as u64);
             self.senders[index].paused_until = until;
             return self.count("pauses");
         }
@@ -123,10 +123,10 @@
     }
 
     fn send(&mut self) {
-        let key = self.first_key() + self.dice.below(KEYS);
-        let body = usize::from(self.dice.chance(0.05));
-        let nonce = self.dice.number();
-        let deadline = self.now.plus_millis(200 + self.dice.below(800) as u64);
+        let key = self.first_key() + self.rng.below(KEYS);
+        let body = usize::from(self.rng.chance(0.05));
+        let nonce = self.rng.number();
+        let deadline = self.now.plus_millis(200 + self.rng.below(800) as u64);
         self.senders.push(Sender {
             key,
             nonce,
@@ -210,17 +210,17 @@
     /// Sends the request to the service, which must never run it twice.
     fn run(&mut self, index: usize, claim: &Claim) {
         let key = self.senders[index].key;
-        let state = if self.now >= claim.record.deadline || self.dice.chance(0.2) {
+        let state = if self.now >= claim.record.deadline || self.rng.chance(0.2) {
             self.count("not run: no server");
             State::NotRun
         } else {
-            let answer = Bytes::from(format!("{:016x}", self.dice.number()));
+            let answer = Bytes::from(format!("{:016x}", self.rng.number()));
             let runs = self.runs.entry(key).or_default();
             runs.push(answer.clone());
             assert!(runs.len() < 2, "a request ran twice under key {key}");
             self.senders[index].ran = true;
             self.count("runs");
-            if self.dice.chance(0.2) {
+            if self.rng.chance(0.2) {
                 State::Unknown
             } else {
                 State::Done(Answer {
@@ -260,23 +260,23 @@
     /// there is one. A key whose request neither ran nor may stay unknown can still be run.
     fn finish(&mut self) {
         self.store.down = false;
-        self.store.odds = Odds::default();
+        self.store.rates = FaultRates::default();
         for _ in 0..100_000 {
             if self.senders.is_empty() && self.backlog.is_empty() {
                 break;
             }
             self.now = self.now.plus_millis(7);
-            self.store.arrive();
+            self.store.deliver_delayed_write();
             if !self.backlog.is_empty() {
                 self.settle();
             }
             if !self.senders.is_empty() {
-                let index = self.dice.below(self.senders.len());
+                let index = self.rng.below(self.senders.len());
                 self.advance(index);
             }
         }
         for _ in 0..64 {
-            self.store.arrive();
+            self.store.deliver_delayed_write();
         }
         self.now = self.now.plus_millis(100_000);
         for key in 0..self.first_key() + KEYS {
@@ -300,7 +300,7 @@
     /// Claims a key without faults and returns the outcome.
     fn claim(&mut self, key: usize) -> Outcome {
         let deadline = self.now.plus_millis(10_000);
-        let mut machine = Claiming::new(name(key, 0), self.dice.number(), deadline, None);
+        let mut machine = Claiming::new(name(key, 0), self.rng.number(), deadline, None);
         loop {
             match machine.step(self.now) {
                 Step::Done(outcome) => return outcome,
@@ -319,7 +319,7 @@
 // between any two steps. The service must run each request at most once, not book twice.
 #[test]
 fn claim_faults_run_once() {
-    schedules("claim", |seed, steps| {
+    run_schedules("claim", |seed, steps| {
         let mut world = World::new(seed);
         for _ in 0..steps {
             world.step();
@@ -344,7 +344,7 @@
         let reply = match call {
             Call::Get { key } if is_stale => {
                 is_stale = false;
-                Reply::Value(store.get_old(&key))
+                Reply::Value(store.get_stale(&key))
             }
             Call::Get { key } => Reply::Value(store.get(&key)),
             Call::Swap {
--- a/crates/standin/tests/all/ledger.rs
+++ b/crates/standin/tests/all/ledger.rs
@@ -7,9 +7,9 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket, Totals};
 use fescuerack_core::store::{Call, Reply};
-use fescuerack_standin::{Chaos, Odds};
+use fescuerack_standin::{FaultRates, FaultyStore};
 
-use crate::run::{Dice, schedules};
+use crate::run::{SeededRng, run_schedules};
 
 const INSTANCES: usize = 3;
 /// Bounds that are reached often, so that entries are folded and the bill is
@@ -37,9 +37,9 @@
 }
 
 struct World {
-    dice: Dice,
+    rng: SeededRng,
     limits: Limits,
-    store: Chaos,
+    store: FaultyStore,
     now: Instant,
     instances: Vec<Instance>,
     /// Delayed copy requests, delivered out of order, with their receivers.
@@ -56,13 +56,13 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut world = Self {
-            dice: Dice::new(seed),
+            rng: SeededRng::new(seed),
             limits: if seed.is_multiple_of(2) {
                 SMALL_LIMITS
             } else {
                 LARGE_LIMITS
             },
-            store: Chaos::new(seed ^ 0x1ed_6e2, Odds::HARD),
+            store: FaultyStore::new(seed ^ 0x1ed_6e2, FaultRates::FREQUENT),
             now: Instant::from_millis(1),
             instances: Vec::new(),
             delayed_holds: Vec::new(),
@@ -94,13 +94,13 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now.plus_millis(self.dice.below(40) as u64);
-        if self.dice.chance(0.003) {
+        self.now = self.now.plus_millis(self.rng.below(40) as u64);
+        if self.rng.chance(0.003) {
             self.store.down = !self.store.down;
             self.count("outages");
         }
-        let index = self.dice.below(self.instances.len());
-        match self.dice.below(200) {
+        let index = self.rng.below(self.instances.len());
+        match self.rng.below(200) {
             0..70 => self.answer(index),
             70..120 => self.write(index),
             120..165 => self.offer(index),
@@ -157,7 +157,7 @@
     /// its response may be lost.
     fn offer(&mut self, index: usize) {
         let names: Vec<_> = self.instances.iter().map(|one| one.name.clone()).collect();
-        let other = (index + 1 + self.dice.below(names.len() - 1)) % names.len();
+        let other = (index + 1 + self.rng.below(names.len() - 1)) % names.len();
         let instance = &mut self.instances[index];
         let copy_holder = instance.copy_holder.clone();
         let copy_holder = copy_holder.filter(|copy_holder| names.contains(copy_holder));
@@ -176,7 +176,7 @@
             copies,
         };
         instance.copy_holder = Some(copy_holder.clone());
-        if self.dice.chance(0.1) {
+        if self.rng.chance(0.1) {
             self.delayed_holds.push((copy_holder, hold));
             self.instances[index].copy_holder = None;
             return;
@@ -190,7 +190,7 @@
             .expect("the holder is live")
             .peer_copies
             .hold(now, hold);
-        if is_held && !self.dice.chance(0.1) {
+        if is_held && !self.rng.chance(0.1) {
             if let Some(until) = until {
                 self.instances[index].buffer.mark_copied(until);
                 self.count("copies");
@@ -204,7 +204,7 @@
         if self.delayed_holds.is_empty() {
             return;
         }
-        let index = self.dice.below(self.delayed_holds.len());
+        let index = self.rng.below(self.delayed_holds.len());
         let (to, hold) = self.delayed_holds.swap_remove(index);
         let now = self.now;
         if let Some(peer) = self.instances.iter_mut().find(|one| one.name == to) {
@@ -290,8 +290,8 @@
         let entries = leaving.buffer.entries();
         if !entries.is_empty() {
             // The first response may be lost; the entries are then handed off again.
-            for _ in 0..=usize::from(self.dice.chance(0.3)) {
-                let other = self.dice.below(self.instances.len());
+            for _ in 0..=usize::from(self.rng.chance(0.3)) {
+                let other = self.rng.below(self.instances.len());
                 for entry in entries.clone() {
                     self.instances[other].buffer.add_shared(entry);
                 }
@@ -306,14 +306,14 @@
 
     fn finish(&mut self) {
         self.store.down = false;
-        self.store.odds = Odds::default();
+        self.store.rates = FaultRates::default();
         self.now = self.now.plus_millis(60_000);
         while !self.delayed_holds.is_empty() {
             self.deliver_delayed_hold();
         }
         self.now = self.now.plus_millis(60_000);
         for _ in 0..64 {
-            self.store.arrive();
+            self.store.deliver_delayed_write();
         }
         for index in 0..self.instances.len() {
             self.adopt_orphans(index);
@@ -415,7 +415,7 @@
 // billed twice, or not at all.
 #[test]
 fn ledger_faults_billed_once() {
-    schedules("ledger", |seed, steps| {
+    run_schedules("ledger", |seed, steps| {
         let mut world = World::new(seed);
         for _ in 0..steps {
             world.step();
--- a/crates/standin/tests/all/manifest.rs
+++ b/crates/standin/tests/all/manifest.rs
@@ -21,7 +21,7 @@
     let store = HttpStore::new(&platform.address());
     let folder = Folder::new().with_file("a.yaml", "models: {a: {}}\n");
     let revision = manifest::publish(&store, &folder, "test").expect("accepted");
-    platform.store_faults().set(Fault::OldReads, 2);
+    platform.store_faults().set(Fault::StaleReads, 2);
     let fetched = (0..4).filter_map(|_| {
         let (_, manifest) = manifest::read(&store).ok()??;
         manifest::fetch(&store, &manifest).ok()
--- a/crates/standin/tests/all/run.rs
+++ b/crates/standin/tests/all/run.rs
@@ -15,7 +15,7 @@
 
 /// Calls `schedule` with seed and steps until all steps are made. A schedule
 /// returns what it counted.
-pub fn schedules(name: &str, schedule: impl Fn(u64, u64) -> Vec<(&'static str, u64)>) {
+pub fn run_schedules(name: &str, schedule: impl Fn(u64, u64) -> Vec<(&'static str, u64)>) {
     let first = number("FESCUERACK_SEED").unwrap_or(1);
     let steps = number("FESCUERACK_STEPS").unwrap_or(SHORT);
     let mut counts = std::collections::BTreeMap::<&str, u64>::new();
@@ -35,9 +35,9 @@
 }
 
 /// A seeded source of choices.
-pub struct Dice(pub Pcg64Mcg);
+pub struct SeededRng(pub Pcg64Mcg);
 
-impl Dice {
+impl SeededRng {
     pub fn new(seed: u64) -> Self {
         Self(Pcg64Mcg::seed_from_u64(seed))
     }
