--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,14 +1,15 @@
-//! The answer that an engine's stand-in gives: the same events each time, so
-//! that a stream can be resumed at any position.
+//! Answers of the stand-in engine.
+//!
+//! A request always gets the same events, so that its stream can be resumed at any position.
 
 use bytes::Bytes;
 use fescuerack_wire::chat::{self, Choice, Completion, Message, Usage};
 use serde_json::Value;
 
-/// Tokens of an answer whose request names no limit.
+/// Number of tokens in the answer to a request without `max_tokens`.
 const DEFAULT_TOKENS: u64 = 24;
 
-/// An answer as a row of events: its tokens, its finish, its usage if asked.
+/// An answer as a sequence of events: the tokens, the finish and, if requested, the usage.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     model: String,
@@ -19,13 +20,13 @@
 }
 
 impl Answer {
-    /// Works out the answer to a request at `path`.
-    pub(crate) fn new(path: &str, asked: &chat::Request) -> Self {
-        let rest = &asked.rest;
+    /// Creates the answer to a request at `path`.
+    pub(crate) fn new(path: &str, request: &chat::Request) -> Self {
+        let rest = &request.rest;
         let text = rest.get("messages").or(rest.get("prompt"));
         let bytes = text.map_or(0, |text| text.to_string().len());
         Self {
-            model: asked.model.clone(),
+            model: request.model.clone(),
             is_chat: path != "/v1/completions",
             tokens: rest
                 .get("max_tokens")
@@ -45,12 +46,12 @@
         self.tokens + 1 + u64::from(self.with_usage)
     }
 
-    /// Returns whether the event at `position` is a token, which takes time.
+    /// Returns whether the event at `position` is a token. Only tokens take time to generate.
     pub(crate) fn is_token(&self, position: u64) -> bool {
         position < self.tokens
     }
 
-    /// Returns one event with its identifier.
+    /// Returns the event at `position` in server-sent event format, with its identifier.
     pub(crate) fn event(&self, attempt: &str, position: u64) -> Bytes {
         let part = self.part(position);
         let json = serde_json::to_string(&part).unwrap_or_default();
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,6 @@
-//! A model engine that paces its tokens, resumes and cancels its streams.
+//! Stand-in for a model engine.
+//!
+//! It sends tokens at a constant rate, and its streams can be resumed and cancelled.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -16,26 +18,26 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::answer::Answer;
-use crate::http::{answer, header as read_header, json, number};
+use crate::http::{build_response, header as read_header, json_response, number_parameter};
 use crate::orders::Orders;
 use crate::{Fault, Faults, Request, Response, Server};
 
-/// Attempts that can be resumed; the oldest is forgotten first.
-const REMEMBERED: usize = 4096;
+/// Maximum number of attempts kept for resumption; the oldest is dropped first.
+const MAX_ATTEMPTS: usize = 4096;
 
-/// Pause between the last event and a cut.
-const BEFORE_CUT: Duration = Duration::from_millis(2);
+/// Pause between the last event and the abort of a truncated stream.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(2);
 
-/// How fast an engine is.
+/// Speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Milliseconds until the first token.
+    /// Time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Milliseconds between tokens.
+    /// Inter-token latency, in milliseconds.
     pub token_ms: u64,
 }
 
-/// One attempt, remembered so that it can be resumed or cancelled.
+/// One attempt, kept so that it can be resumed or cancelled.
 #[derive(Clone, Debug)]
 struct Attempt {
     id: String,
@@ -60,14 +62,14 @@
     cancelled: AtomicU64,
     truncate_after: AtomicU64,
     mismatched_answers: AtomicU64,
-    forgetful: AtomicBool,
+    forgets_attempts: AtomicBool,
     leaving: AtomicBool,
     running: AtomicU64,
     work: AtomicU64,
     orders: Orders,
 }
 
-/// The engine's stand-in.
+/// A running stand-in engine.
 #[derive(Debug)]
 pub struct Engine {
     shared: Arc<Shared>,
@@ -79,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn new(runtime: &Handle, listen: &str, pace: Pace) -> Result<Self> {
         let shared = Arc::new(Shared {
             pace,
@@ -90,7 +92,7 @@
             cancelled: AtomicU64::new(0),
             truncate_after: AtomicU64::new(0),
             mismatched_answers: AtomicU64::new(0),
-            forgetful: AtomicBool::new(false),
+            forgets_attempts: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             running: AtomicU64::new(0),
             work: AtomicU64::new(0),
@@ -105,47 +107,49 @@
         Ok(Self { shared, server })
     }
 
-    /// Returns its address, as `host:port`.
+    /// Returns the address of the engine, as `host:port`.
     #[must_use]
     pub fn address(&self) -> String {
         self.server.address().to_string()
     }
 
-    /// Returns its faults.
+    /// Returns the faults of the engine.
     #[must_use]
     pub fn faults(&self) -> &Faults {
         &self.shared.faults
     }
 
-    /// Returns the orders that it took.
+    /// Returns the state of the engine's load and unload orders.
     #[must_use]
     pub fn orders(&self) -> &Orders {
         &self.shared.orders
     }
 
-    /// Cuts every connection after this many events; 0 cuts none.
+    /// Aborts every stream after this many events; 0 aborts none.
     pub fn truncate_after(&self, events: u64) {
         self.shared.truncate_after.store(events, Ordering::SeqCst);
     }
 
-    /// Makes the next `answers` answers echo another attempt's identifier.
+    /// Makes the next `answers` answers carry the identifier of another attempt.
     pub fn mismatch_answers(&self, answers: u64) {
         self.shared
             .mismatched_answers
             .store(answers, Ordering::SeqCst);
     }
 
-    /// Sets whether the engine forgets attempts, so that none can be resumed.
-    pub fn set_forgets_attempts(&self, forgetful: bool) {
-        self.shared.forgetful.store(forgetful, Ordering::SeqCst);
+    /// Sets whether the engine forgets its attempts, so that none can be resumed.
+    pub fn set_forgets_attempts(&self, forgets_attempts: bool) {
+        self.shared
+            .forgets_attempts
+            .store(forgets_attempts, Ordering::SeqCst);
     }
 
-    /// Refuses new work from now on; running work finishes.
+    /// Marks the engine as leaving: it refuses new requests and finishes those that run.
     pub fn mark_leaving(&self) {
         self.shared.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Returns how many requests it started, finished and saw cancelled.
+    /// Returns how many requests were started, finished and cancelled.
     #[must_use]
     pub fn counts(&self) -> (u64, u64, u64) {
         (
@@ -155,7 +159,7 @@
         )
     }
 
-    /// Returns how many connections were made to it.
+    /// Returns how many connections were accepted.
     #[must_use]
     pub fn connections(&self) -> u64 {
         self.server.connections()
@@ -171,40 +175,40 @@
         match path {
             "/load" => return Some(self.load()),
             "/v1/loaded" => return Some(self.orders.list()),
-            "/v1/orders" => return Some(self.orders.take(&request)),
+            "/v1/orders" => return Some(self.orders.execute(&request)),
             _ => {}
         }
         match path.strip_prefix("/v1/attempts/") {
             Some(rest) => match rest.split_once('/') {
-                Some((id, "resume")) => self.resume(id, number(&request, "from")),
+                Some((id, "resume")) => self.resume(id, number_parameter(&request, "from")),
                 Some((id, "cancel")) => Some(self.cancel(id)),
-                _ => Some(answer(404, "no such path")),
+                _ => Some(build_response(404, "no such path")),
             },
             None if self.leaving.load(Ordering::SeqCst) => {
                 let id = read_header(&request, header::ATTEMPT).unwrap_or_default();
-                Some(with_attempt(answer(503, "leaving"), id))
+                Some(with_attempt(build_response(503, "leaving"), id))
             }
             None => self.start(&request).await,
         }
     }
 
     async fn start(self: &Arc<Self>, request: &Request) -> Response {
-        let asked: chat::Request = match serde_json::from_slice(request.body()) {
-            Ok(asked) => asked,
-            Err(error) => return Some(answer(400, error.to_string())),
+        let parsed: chat::Request = match serde_json::from_slice(request.body()) {
+            Ok(parsed) => parsed,
+            Err(error) => return Some(build_response(400, error.to_string())),
         };
         let attempt = Attempt {
             id: read_header(request, header::ATTEMPT)
                 .unwrap_or_default()
                 .to_owned(),
-            answer: Arc::new(Answer::new(request.uri().path(), &asked)),
+            answer: Arc::new(Answer::new(request.uri().path(), &parsed)),
             finished: Arc::default(),
             cancelled: watch::Sender::new(false),
         };
-        self.remember(attempt.clone());
+        self.record(attempt.clone());
         self.started.fetch_add(1, Ordering::SeqCst);
-        let slow_ms = self.faults.get(Fault::DelayMs);
-        sleep(Duration::from_millis(slow_ms)).await;
+        let delay_ms = self.faults.get(Fault::DelayMs);
+        sleep(Duration::from_millis(delay_ms)).await;
         if self.faults.get(Fault::DropAnswers) > 0 {
             return None;
         }
@@ -215,10 +219,10 @@
         let attempts = self.attempts.lock().unwrap_or_else(PoisonError::into_inner);
         let attempt = attempts.by_id.get(id).cloned();
         drop(attempts);
-        let forgetful = self.forgetful.load(Ordering::SeqCst);
-        match attempt.filter(|_| !forgetful) {
+        let forgets_attempts = self.forgets_attempts.load(Ordering::SeqCst);
+        match attempt.filter(|_| !forgets_attempts) {
             Some(attempt) => self.stream(attempt, from),
-            None => Some(with_attempt(answer(404, "no such attempt"), id)),
+            None => Some(with_attempt(build_response(404, "no such attempt"), id)),
         }
     }
 
@@ -230,15 +234,15 @@
                     self.cancelled.fetch_add(1, Ordering::SeqCst);
                 }
                 attempt.cancelled.send_replace(true);
-                answer(200, "cancelled")
+                build_response(200, "cancelled")
             }
-            None => answer(404, "no such attempt"),
+            None => build_response(404, "no such attempt"),
         }
     }
 
     fn load(&self) -> hyper::Response<crate::Body> {
         let running = self.running.load(Ordering::SeqCst);
-        json(&load::Report {
+        json_response(&load::Report {
             work: self.work.load(Ordering::SeqCst),
             running: u32::try_from(running).unwrap_or(u32::MAX),
             leaving: self.leaving.load(Ordering::SeqCst),
@@ -246,11 +250,11 @@
         })
     }
 
-    fn remember(&self, attempt: Attempt) {
+    fn record(&self, attempt: Attempt) {
         let mut attempts = self.attempts.lock().unwrap_or_else(PoisonError::into_inner);
         attempts.order.push_back(attempt.id.clone());
         attempts.by_id.insert(attempt.id.clone(), attempt);
-        if attempts.order.len() > REMEMBERED
+        if attempts.order.len() > MAX_ATTEMPTS
             && let Some(oldest) = attempts.order.pop_front()
         {
             attempts.by_id.remove(&oldest);
@@ -259,12 +263,12 @@
 
     fn stream(self: &Arc<Self>, attempt: Attempt, from: u64) -> Response {
         let (sender, body) = Channel::new(4);
-        let crossing =
+        let mismatch =
             self.mismatched_answers
-                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
-                    left.checked_sub(1)
+                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
+                    remaining.checked_sub(1)
                 });
-        let echoed = match crossing {
+        let attempt_id = match mismatch {
             Ok(_) => "another-attempt",
             Err(_) => &attempt.id,
         };
@@ -272,14 +276,14 @@
             .header("content-type", "text/event-stream")
             .body(body.boxed())
             .ok()?;
-        let response = with_attempt(response, echoed);
+        let response = with_attempt(response, attempt_id);
         let shared = Arc::clone(self);
         tokio::spawn(async move { shared.send(&attempt, from, sender).await });
         Some(response)
     }
 
     async fn send(&self, attempt: &Attempt, from: u64, mut sender: Sender<Bytes, std::io::Error>) {
-        let _work = Work::new(self, attempt.answer.events().saturating_sub(from));
+        let _guard = WorkGuard::new(self, attempt.answer.events().saturating_sub(from));
         let mut cancelled = attempt.cancelled.subscribe();
         let truncate_after = self.truncate_after.load(Ordering::SeqCst);
         let mut due = Instant::now() + Duration::from_millis(self.pace.first_token_ms);
@@ -295,13 +299,13 @@
                 due += Duration::from_millis(self.pace.token_ms);
             }
             if truncate_after > 0 && position - from >= truncate_after {
-                // What was sent before a cut has mostly arrived.
-                sleep(BEFORE_CUT).await;
+                // Most of what was sent before a real break arrives, so the events get time to arrive.
+                sleep(TRUNCATION_DELAY).await;
                 sender.abort(std::io::Error::other("cut"));
                 return;
             }
             let event = attempt.answer.event(&attempt.id, position);
-            // A caller that has gone may come back to resume.
+            // The attempt is kept: a caller that disconnects may resume it.
             if sender.send_data(event).await.is_err() {
                 return;
             }
@@ -314,13 +318,13 @@
     }
 }
 
-/// Tokens of a request that runs; dropping it ends the count.
-struct Work<'a> {
+/// Counts a running request and its remaining tokens in the load report until it is dropped.
+struct WorkGuard<'a> {
     shared: &'a Shared,
     tokens: u64,
 }
 
-impl<'a> Work<'a> {
+impl<'a> WorkGuard<'a> {
     fn new(shared: &'a Shared, tokens: u64) -> Self {
         shared.running.fetch_add(1, Ordering::SeqCst);
         shared.work.fetch_add(tokens, Ordering::SeqCst);
@@ -328,7 +332,7 @@
     }
 }
 
-impl Drop for Work<'_> {
+impl Drop for WorkGuard<'_> {
     fn drop(&mut self) {
         self.shared.running.fetch_sub(1, Ordering::SeqCst);
         self.shared.work.fetch_sub(self.tokens, Ordering::SeqCst);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,23 +1,23 @@
-//! Faults to switch on.
+//! Faults that can be switched on in a stand-in.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a stand-in does wrong.
+/// A fault of a stand-in. Its value is a number; 0 switches the fault off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Connections end without an answer and without effect.
+    /// Connections are closed without an answer, and requests have no effect.
     Down,
-    /// Calls take effect and their answers are lost.
+    /// Requests take effect and their answers are lost.
     DropAnswers,
-    /// Answers wait this many milliseconds.
+    /// Answers are delayed by this many milliseconds.
     DelayMs,
-    /// Every n-th read shows the value before the last write.
+    /// Every n-th read returns the value before the last write.
     StaleReads,
-    /// Watch events come this many milliseconds late.
+    /// Watch events are delayed by this many milliseconds.
     WatchDelayMs,
-    /// Watch events do not come at all.
+    /// Watch events are not sent.
     DropWatchEvents,
-    /// Calls over this number in one second are refused with status 429.
+    /// Requests above this number in one second are refused with status 429.
     RateLimit,
 }
 
@@ -25,31 +25,31 @@
     const COUNT: usize = 7;
 }
 
-/// The faults of one stand-in; a value of 0 switches a fault off.
+/// Values of the faults of one stand-in; 0 means that the fault is off.
 #[derive(Debug, Default)]
 pub struct Faults {
-    cells: [AtomicU64; Fault::COUNT],
+    values: [AtomicU64; Fault::COUNT],
 }
 
 impl Faults {
-    /// Returns no faults.
+    /// Creates faults that are all off.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    fn cell(&self, fault: Fault) -> &AtomicU64 {
-        &self.cells[fault as usize]
+    fn value(&self, fault: Fault) -> &AtomicU64 {
+        &self.values[fault as usize]
     }
 
-    /// Switches a fault.
+    /// Sets the value of a fault.
     pub fn set(&self, fault: Fault, value: u64) {
-        self.cell(fault).store(value, Ordering::SeqCst);
+        self.value(fault).store(value, Ordering::SeqCst);
     }
 
     /// Returns the value of a fault.
     #[must_use]
     pub fn get(&self, fault: Fault) -> u64 {
-        self.cell(fault).load(Ordering::SeqCst)
+        self.value(fault).load(Ordering::SeqCst)
     }
 }
--- a/crates/standin/src/faulty_store.rs
+++ b/crates/standin/src/faulty_store.rs
@@ -1,9 +1,9 @@
-//! The key-value service in one process, with seeded faults.
+//! In-process key-value service with seeded faults.
 //!
-//! For randomised runs: no network, no clock, the same schedule for the same
-//! seed. Beside the faults of [`crate::Fault`] it has the worst one, which no
-//! switch shows: a write whose answer is lost takes effect only later, after
-//! its sender has read back and others have gone on.
+//! Randomised tests use it: it has no network and no clock, and gives the same schedule for the
+//! same seed. Besides the faults of [`crate::Fault`] it has the most dangerous one, which no switch
+//! can show: a write whose answer is lost takes effect only later, after its sender has read the
+//! key back and other writers have continued.
 
 use fescuerack_core::store::{Call, Reply};
 use rand::{RngExt as _, SeedableRng as _};
@@ -11,23 +11,23 @@
 
 use crate::store::{Refusal, Store};
 
-/// Chances of each fault per call, 0 to 1.
+/// Probability of each fault per call, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FaultRates {
-    /// The call is refused or not sent; no effect.
+    /// The call is refused or not sent, and has no effect.
     pub refused: f64,
     /// The answer is lost and the call has no effect.
     pub lost_before: f64,
-    /// The answer is lost after the effect.
+    /// The call takes effect and its answer is lost.
     pub lost_after: f64,
-    /// The answer is lost and the effect comes at some later step, or never.
+    /// The answer is lost and the call takes effect at some later step, or never.
     pub delayed: f64,
-    /// A read shows the value before the last write.
+    /// A read returns the value before the last write.
     pub stale: f64,
 }
 
 impl FaultRates {
-    /// Every fault, often.
+    /// Every fault, at a high rate.
     pub const FREQUENT: Self = Self {
         refused: 0.05,
         lost_before: 0.05,
@@ -37,24 +37,24 @@
     };
 }
 
-/// The service with its faults.
+/// The key-value service with its faults.
 #[derive(Debug)]
 pub struct FaultyStore {
-    /// Its state.
+    /// State of the service.
     pub store: Store,
-    /// Its faults.
+    /// Rates of the faults.
     pub rates: FaultRates,
-    /// While set, every call is refused or lost.
+    /// Whether the service is down: every call is then refused or lost.
     pub down: bool,
     rng: Pcg64Mcg,
     delayed: Vec<Call>,
 }
 
 impl FaultyStore {
-    /// Writes that may be under way at a time.
+    /// Maximum number of delayed writes at a time.
     const MAX_DELAYED: usize = 8;
 
-    /// Creates an empty service.
+    /// Creates a service without keys.
     #[must_use]
     pub fn new(seed: u64, rates: FaultRates) -> Self {
         Self {
@@ -70,7 +70,7 @@
         probability > 0.0 && self.rng.random_bool(probability)
     }
 
-    /// Lets a write that is under way arrive.
+    /// Applies one of the delayed writes, chosen at random.
     pub fn deliver_delayed_write(&mut self) {
         if self.delayed.is_empty() {
             return;
@@ -80,7 +80,7 @@
         self.serve(call);
     }
 
-    /// Answers a call.
+    /// Answers a call, possibly with a fault.
     pub fn call(&mut self, call: Call) -> Reply {
         if self.chance(0.1) {
             self.deliver_delayed_write();
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! A minimal HTTP server that a stand-in puts its handler behind.
+//! Minimal HTTP server that runs the handler of a stand-in.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -16,17 +16,17 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// Body of an answer; an error cuts the connection.
+/// Body of a response; an error aborts the connection.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 /// A request whose body has been read.
 pub type Request = hyper::Request<Bytes>;
-/// An answer; `None` closes the connection without one.
+/// A response; `None` closes the connection without a response.
 pub type Response = Option<hyper::Response<Body>>;
-/// What a stand-in does with a request.
+/// Function that answers the requests to a stand-in.
 pub type Handler =
     Arc<dyn Fn(Request) -> Pin<Box<dyn Future<Output = Response> + Send>> + Send + Sync>;
 
-/// A server on a loopback port; dropping it cuts every connection.
+/// A running HTTP server. Dropping it closes the listener and aborts every connection.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -35,11 +35,11 @@
 }
 
 impl Server {
-    /// Starts serving on `listen`.
+    /// Starts a server on the address `listen`.
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn new(runtime: &Handle, listen: &str, handler: Handler) -> Result<Self> {
         let listener = TcpListener::bind(listen).with_context(|| format!("bind {listen}"))?;
         listener.set_nonblocking(true)?;
@@ -56,13 +56,13 @@
         })
     }
 
-    /// Returns the address that is served.
+    /// Returns the address on which the server listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many connections were made.
+    /// Returns how many connections were accepted.
     #[must_use]
     pub fn connections(&self) -> u64 {
         self.connections.load(Ordering::SeqCst)
@@ -91,8 +91,8 @@
         let handler = Arc::clone(&handler);
         let mut stopped = stopped.clone();
         tokio::spawn(async move {
-            // Without this a small event waits for the acknowledgement of the
-            // one before it.
+            // With Nagle's algorithm a small event would wait until the previous one is
+            // acknowledged.
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request| serve(Arc::clone(&handler), request));
             let connection = hyper::server::conn::http1::Builder::new()
@@ -105,54 +105,54 @@
     }
 }
 
-/// Error that makes the server close a connection without an answer.
+/// Error that makes the server close a connection without a response.
 #[derive(Debug)]
-struct Cut;
+struct Aborted;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Aborted {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("connection cut by the stand-in")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Aborted {}
 
 async fn serve(
     handler: Handler,
     request: hyper::Request<Incoming>,
-) -> Result<hyper::Response<Body>, Cut> {
+) -> Result<hyper::Response<Body>, Aborted> {
     let (parts, body) = request.into_parts();
-    let bytes = body.collect().await.map_err(|_| Cut)?.to_bytes();
+    let bytes = body.collect().await.map_err(|_| Aborted)?.to_bytes();
     handler(hyper::Request::from_parts(parts, bytes))
         .await
-        .ok_or(Cut)
+        .ok_or(Aborted)
 }
 
-/// Returns a body that is sent at once.
+/// Returns a body that consists of `bytes`.
 pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed()
 }
 
-/// Returns an answer with a body that is sent at once.
+/// Returns a response with this status and body.
 ///
 /// # Panics
 ///
-/// When `status` is no HTTP status.
-pub(crate) fn answer(status: u16, bytes: impl Into<Bytes>) -> hyper::Response<Body> {
+/// Panics when `status` is not a valid HTTP status.
+pub(crate) fn build_response(status: u16, bytes: impl Into<Bytes>) -> hyper::Response<Body> {
     hyper::Response::builder()
         .status(status)
         .body(full(bytes))
-        .expect("a status and a body make an answer")
+        .expect("the status is valid")
 }
 
-/// Returns an answer that is JSON.
-pub(crate) fn json<T: serde::Serialize>(value: &T) -> hyper::Response<Body> {
-    answer(200, serde_json::to_vec(value).unwrap_or_default())
+/// Returns a response with status 200 and `value` as JSON.
+pub(crate) fn json_response<T: serde::Serialize>(value: &T) -> hyper::Response<Body> {
+    build_response(200, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Returns a parameter of the query.
+/// Returns a query parameter.
 pub(crate) fn parameter<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     let query = request.uri().query()?;
     query
@@ -162,14 +162,14 @@
         .map(|(_, value)| value)
 }
 
-/// Returns a parameter of the query as a number, 0 when it is missing.
-pub(crate) fn number(request: &Request, name: &str) -> u64 {
+/// Returns a query parameter as a number, or 0 when it is missing or malformed.
+pub(crate) fn number_parameter(request: &Request, name: &str) -> u64 {
     parameter(request, name)
         .and_then(|value| value.parse().ok())
         .unwrap_or(0)
 }
 
-/// Returns a header as text.
+/// Returns the value of a header, if it is valid text.
 pub(crate) fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins of the platform and of backend servers.
+//! Small stand-ins for the platform and for backend servers.
 //!
-//! They speak the same HTTP as the real services and have faults to switch on.
-//! Tests and `fescuerack demo` use them; they are no simulator: each answers
-//! at the interface and knows nothing of the others.
+//! Each stand-in serves the HTTP interface of the real service and has faults that can be switched
+//! on. Tests and `fescuerack demo` use them. Together they do not simulate a deployment: each
+//! stand-in answers at its own interface and shares no state with the others.
 
 mod answer;
 mod engine;
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the stand-in engine: what it has loaded, and its fence.
+//! Load and unload orders to the stand-in engine, with its loaded versions and fencing token.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,47 +6,47 @@
 
 use fescuerack_wire::order::{Action, Loaded, Order};
 
-use crate::http::{answer, json};
+use crate::http::{build_response, json_response};
 use crate::{Body, Request};
 
 #[derive(Debug, Default)]
 struct State {
-    highest: u64,
+    highest_token: u64,
     loaded: BTreeSet<String>,
     executed: Vec<Order>,
 }
 
-/// The orders that an engine took.
+/// Orders of an engine and the versions that it has loaded.
 #[derive(Debug, Default)]
 pub struct Orders {
     ignores_fencing: AtomicBool,
-    busy: AtomicBool,
+    refuses_all: AtomicBool,
     state: Mutex<State>,
 }
 
 impl Orders {
-    /// Whether orders with an old number are carried out all the same.
+    /// Sets whether orders with an outdated fencing token are executed.
     pub fn set_ignores_fencing(&self, ignores: bool) {
         self.ignores_fencing.store(ignores, Ordering::SeqCst);
     }
 
-    /// Whether every order is refused with status 503.
-    pub fn set_refuses_all(&self, busy: bool) {
-        self.busy.store(busy, Ordering::SeqCst);
+    /// Sets whether every order is refused with status 503.
+    pub fn set_refuses_all(&self, refuses: bool) {
+        self.refuses_all.store(refuses, Ordering::SeqCst);
     }
 
-    /// Loses every version, as a restart does.
+    /// Unloads every version, as a restart does.
     pub fn unload_all(&self) {
         self.with(|state| state.loaded.clear());
     }
 
-    /// Returns the versions that are loaded.
+    /// Returns the loaded versions.
     #[must_use]
     pub fn loaded(&self) -> BTreeSet<String> {
         self.with(|state| state.loaded.clone())
     }
 
-    /// Returns the orders that were carried out, in their order.
+    /// Returns the executed orders, in the order of execution.
     #[must_use]
     pub fn executed(&self) -> Vec<Order> {
         self.with(|state| state.executed.clone())
@@ -54,33 +54,33 @@
 
     pub(crate) fn list(&self) -> hyper::Response<Body> {
         let versions = self.loaded().into_iter().collect();
-        json(&Loaded { versions })
+        json_response(&Loaded { versions })
     }
 
-    pub(crate) fn take(&self, request: &Request) -> hyper::Response<Body> {
+    pub(crate) fn execute(&self, request: &Request) -> hyper::Response<Body> {
         let order: Order = match serde_json::from_slice(request.body()) {
             Ok(order) => order,
-            Err(error) => return answer(400, error.to_string()),
+            Err(error) => return build_response(400, error.to_string()),
         };
-        if self.busy.load(Ordering::SeqCst) {
-            return answer(503, "busy");
+        if self.refuses_all.load(Ordering::SeqCst) {
+            return build_response(503, "busy");
         }
-        let fences = !self.ignores_fencing.load(Ordering::SeqCst);
+        let is_fencing = !self.ignores_fencing.load(Ordering::SeqCst);
         self.with(|state| {
-            if fences && order.fencing_token < state.highest {
-                return answer(409, "a higher fencing number was seen");
+            if is_fencing && order.fencing_token < state.highest_token {
+                return build_response(409, "a higher fencing token was seen");
             }
-            state.highest = state.highest.max(order.fencing_token);
+            state.highest_token = state.highest_token.max(order.fencing_token);
             match order.action {
                 Action::Load => state.loaded.insert(order.version.clone()),
                 Action::Unload => state.loaded.remove(&order.version),
             };
             state.executed.push(order);
-            answer(200, "")
+            build_response(200, "")
         })
     }
 
-    fn with<R>(&self, act: impl FnOnce(&mut State) -> R) -> R {
-        act(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
+        f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,4 @@
-//! The platform: key-value service, list of instances and rating service
-//! behind one address.
+//! Stand-in for the platform: key-value service, instance list and rating service at one address.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
@@ -15,12 +14,12 @@
 use tokio::runtime::Handle;
 use tokio::time::sleep;
 
-use crate::http::{answer, json, number, parameter};
+use crate::http::{build_response, json_response, number_parameter, parameter};
 use crate::store::Refusal;
 use crate::{Fault, Faults, Request, Response, Server, Store};
 
-/// Milliseconds between two looks of a waiting watch.
-const WATCH_STEP_MS: u64 = 5;
+/// Interval at which a waiting watch polls the store, in milliseconds.
+const WATCH_POLL_MS: u64 = 5;
 
 struct Shared {
     store: Mutex<Store>,
@@ -31,12 +30,12 @@
     reads: AtomicU64,
     writes: AtomicU64,
     watches: AtomicU64,
-    /// The present second and the calls in it.
-    second: Mutex<(u64, u64)>,
+    /// Current second since the start and the number of calls in it.
+    calls_in_second: Mutex<(u64, u64)>,
     started: std::time::Instant,
 }
 
-/// The platform's stand-in.
+/// A running stand-in platform.
 pub struct Platform {
     shared: Arc<Shared>,
     server: Server,
@@ -51,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn new(runtime: &Handle, listen: &str) -> Result<Self> {
         let shared = Arc::new(Shared {
             store: Mutex::new(Store::new()),
@@ -62,7 +61,7 @@
             reads: AtomicU64::new(0),
             writes: AtomicU64::new(0),
             watches: AtomicU64::new(0),
-            second: Mutex::new((0, 0)),
+            calls_in_second: Mutex::new((0, 0)),
             started: std::time::Instant::now(),
         });
         let for_handler = Arc::clone(&shared);
@@ -74,30 +73,30 @@
         Ok(Self { shared, server })
     }
 
-    /// Returns its address, as `host:port`.
+    /// Returns the address of the platform, as `host:port`.
     #[must_use]
     pub fn address(&self) -> String {
         self.server.address().to_string()
     }
 
-    /// Adds an instance to the list or replaces it.
+    /// Adds an instance to the instance list or replaces it.
     pub fn set_instance(&self, instance: discovery::Instance) {
         lock(&self.shared.instances).insert(instance.id.clone(), instance);
     }
 
-    /// Marks an instance of the list as leaving.
+    /// Marks an instance in the list as leaving.
     pub fn mark_leaving(&self, id: &str) {
         if let Some(instance) = lock(&self.shared.instances).get_mut(id) {
             instance.state = State::Leaving;
         }
     }
 
-    /// Takes an instance from the list.
+    /// Removes an instance from the list.
     pub fn remove_instance(&self, id: &str) {
         lock(&self.shared.instances).remove(id);
     }
 
-    /// Sets the quality that the rating service gives to answers of a version.
+    /// Sets the quality that the rating service returns for answers of a version.
     pub fn set_quality(&self, version: &str, quality: f64) {
         lock(&self.shared.quality).insert(version.to_owned(), quality);
     }
@@ -114,7 +113,7 @@
         &self.shared.rating_faults
     }
 
-    /// Returns how often the key-value service was read, written and watched.
+    /// Returns the numbers of reads, writes and watches that the key-value service received.
     #[must_use]
     pub fn store_calls(&self) -> [u64; 3] {
         let Shared {
@@ -126,9 +125,9 @@
         [reads, writes, watches].map(|count| count.load(Ordering::Relaxed))
     }
 
-    /// Reads the store's state without its network.
-    pub fn with_store<R>(&self, read: impl FnOnce(&mut Store) -> R) -> R {
-        read(&mut lock(&self.shared.store))
+    /// Accesses the state of the store without the network.
+    pub fn with_store<R>(&self, f: impl FnOnce(&mut Store) -> R) -> R {
+        f(&mut lock(&self.shared.store))
     }
 }
 
@@ -140,24 +139,25 @@
     async fn serve(&self, request: Request) -> Response {
         let path = request.uri().path().to_owned();
         match path.as_str() {
-            "/v1/instances" => Some(self.listing(&request)),
+            "/v1/instances" => Some(self.instance_list(&request)),
             "/v1/ratings" => self.rating(&request).await,
-            _ => self.store(&request, &path).await,
+            _ => self.serve_store(&request, &path).await,
         }
     }
 
-    /// Answers with the list, or with 304 to a reader who has it already.
-    fn listing(&self, request: &Request) -> hyper::Response<crate::Body> {
-        let body = serde_json::to_vec(&self.instances()).expect("a list has only plain fields");
+    /// Returns the instance list, or status 304 to a client that already has it.
+    fn instance_list(&self, request: &Request) -> hyper::Response<crate::Body> {
+        let body =
+            serde_json::to_vec(&self.instances()).expect("an instance list serialises to JSON");
         let mut hasher = DefaultHasher::new();
         body.hash(&mut hasher);
         let tag = format!("\"{:016x}\"", hasher.finish());
         let known = request.headers().get("if-none-match");
         if known.is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
-            return answer(304, "");
+            return build_response(304, "");
         }
-        let mut response = answer(200, body);
-        let tag = tag.parse().expect("a tag is plain text");
+        let mut response = build_response(200, body);
+        let tag = tag.parse().expect("an entity tag is a valid header value");
         response.headers_mut().insert("etag", tag);
         response
     }
@@ -169,61 +169,61 @@
     }
 
     async fn rating(&self, request: &Request) -> Response {
-        wait(&self.rating_faults).await?;
-        let asked: rating::Request = match serde_json::from_slice(request.body()) {
-            Ok(asked) => asked,
-            Err(error) => return Some(answer(400, error.to_string())),
+        apply_faults(&self.rating_faults).await?;
+        let parsed: rating::Request = match serde_json::from_slice(request.body()) {
+            Ok(parsed) => parsed,
+            Err(error) => return Some(build_response(400, error.to_string())),
         };
         let quality = lock(&self.quality)
-            .get(&asked.version)
+            .get(&parsed.version)
             .copied()
             .unwrap_or(0.9);
-        Some(json(&rating::Rating { quality }))
+        Some(json_response(&rating::Rating { quality }))
     }
 
-    async fn store(&self, request: &Request, path: &str) -> Response {
-        wait(&self.store_faults).await?;
+    async fn serve_store(&self, request: &Request, path: &str) -> Response {
+        apply_faults(&self.store_faults).await?;
         if self.is_over_rate() {
-            return Some(answer(429, "over the rate"));
+            return Some(build_response(429, "over the rate"));
         }
         let response = if path == "/v1/watch" {
             self.watch(request).await
         } else {
             self.call(request, path)
         };
-        let lost = self.store_faults.get(Fault::DropAnswers) > 0;
-        (!lost).then_some(response)
+        let is_lost = self.store_faults.get(Fault::DropAnswers) > 0;
+        (!is_lost).then_some(response)
     }
 
     fn is_over_rate(&self) -> bool {
         let rate = self.store_faults.get(Fault::RateLimit);
         let now = self.started.elapsed().as_secs();
-        let mut second = lock(&self.second);
-        if second.0 != now {
-            *second = (now, 0);
+        let mut calls = lock(&self.calls_in_second);
+        if calls.0 != now {
+            *calls = (now, 0);
         }
-        second.1 += 1;
-        rate > 0 && second.1 > rate
+        calls.1 += 1;
+        rate > 0 && calls.1 > rate
     }
 
     async fn watch(&self, request: &Request) -> hyper::Response<crate::Body> {
         self.watches.fetch_add(1, Ordering::Relaxed);
         let prefix = parameter(request, "prefix").unwrap_or_default();
-        let after = number(request, "after");
-        let deadline = self.now().plus_millis(number(request, "wait_ms"));
+        let after = number_parameter(request, "after");
+        let deadline = self.now().plus_millis(number_parameter(request, "wait_ms"));
         loop {
             let keys = lock(&self.store).keys(prefix, after);
-            let missed = self.store_faults.get(Fault::DropWatchEvents) > 0;
-            if !keys.items.is_empty() && !missed {
-                let late = self.store_faults.get(Fault::WatchDelayMs);
-                sleep(Duration::from_millis(late)).await;
-                return json(&keys);
+            let is_dropped = self.store_faults.get(Fault::DropWatchEvents) > 0;
+            if !keys.items.is_empty() && !is_dropped {
+                let delay_ms = self.store_faults.get(Fault::WatchDelayMs);
+                sleep(Duration::from_millis(delay_ms)).await;
+                return json_response(&keys);
             }
-            let down = self.store_faults.get(Fault::Down) > 0;
-            if self.now() >= deadline || down {
-                return json(&keys);
+            let is_down = self.store_faults.get(Fault::Down) > 0;
+            if self.now() >= deadline || is_down {
+                return json_response(&keys);
             }
-            sleep(Duration::from_millis(WATCH_STEP_MS)).await;
+            sleep(Duration::from_millis(WATCH_POLL_MS)).await;
         }
     }
 
@@ -242,33 +242,33 @@
         match path {
             "/v1/keys" => {
                 let prefix = parameter(request, "prefix").unwrap_or_default();
-                json(&store.keys(prefix, 0))
+                json_response(&store.keys(prefix, 0))
             }
-            "/v1/leases" => json(&store.grant(now, number(request, "ttl_ms"))),
+            "/v1/leases" => json_response(&store.grant(now, number_parameter(request, "ttl_ms"))),
             _ => renew(&mut store, now, path),
         }
     }
 
     fn get(&self, store: &Store, key: &str) -> hyper::Response<crate::Body> {
-        let each = self.store_faults.get(Fault::StaleReads);
+        let stale_interval = self.store_faults.get(Fault::StaleReads);
         let reads = self.reads.fetch_add(1, Ordering::Relaxed) + 1;
-        let value = if each > 0 && reads.is_multiple_of(each) {
+        let value = if stale_interval > 0 && reads.is_multiple_of(stale_interval) {
             store.get_stale(key)
         } else {
             store.get(key)
         };
         match value {
-            Some(value) => with_version(answer(200, value.bytes), value.version),
-            None => answer(404, "no such key"),
+            Some(value) => with_version(build_response(200, value.bytes), value.version),
+            None => build_response(404, "no such key"),
         }
     }
 }
 
-/// Waits as the faults say; `None` when the service is down.
-async fn wait(faults: &Faults) -> Option<()> {
-    let slow_ms = faults.get(Fault::DelayMs);
-    if slow_ms > 0 {
-        sleep(Duration::from_millis(slow_ms)).await;
+/// Applies the delay of the faults. Returns `None` when the service is down.
+async fn apply_faults(faults: &Faults) -> Option<()> {
+    let delay_ms = faults.get(Fault::DelayMs);
+    if delay_ms > 0 {
+        sleep(Duration::from_millis(delay_ms)).await;
     }
     (faults.get(Fault::Down) == 0).then_some(())
 }
@@ -286,13 +286,13 @@
 fn put(store: &mut Store, request: &Request, key: &str) -> hyper::Response<crate::Body> {
     let lease = parameter(request, "lease").and_then(|lease| lease.parse().ok());
     let value = request.body().clone();
-    match store.swap(key, number(request, "version"), value, lease) {
-        Ok(version) => with_version(answer(200, ""), version),
+    match store.swap(key, number_parameter(request, "version"), value, lease) {
+        Ok(version) => with_version(build_response(200, ""), version),
         Err(Refusal::Conflict(version)) => {
-            with_version(answer(409, "another version stands"), version)
+            with_version(build_response(409, "the key has another version"), version)
         }
-        Err(Refusal::TooLarge) => answer(413, "a value holds at most a megabyte"),
-        Err(Refusal::NoLease) => answer(412, "no such lease"),
+        Err(Refusal::TooLarge) => build_response(413, "the value is larger than one megabyte"),
+        Err(Refusal::NoLease) => build_response(412, "no such lease"),
     }
 }
 
@@ -301,7 +301,7 @@
         .strip_prefix("/v1/leases/")
         .and_then(|id| id.parse().ok());
     match id.and_then(|id| store.renew(now, id)) {
-        Some(lease) => json::<kv::Lease>(&lease),
-        None => answer(404, "no such lease"),
+        Some(lease) => json_response::<kv::Lease>(&lease),
+        None => build_response(404, "no such lease"),
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,5 +1,6 @@
-//! A plain service whose calls must not be repeated. It counts its runs, so
-//! that a test can show that none ran twice.
+//! Stand-in for a service whose calls are not idempotent.
+//!
+//! It counts how often each call runs, so that a test can check that none ran twice.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,7 +11,7 @@
 use tokio::runtime::Handle;
 use tokio::time::sleep;
 
-use crate::http::{header as read_header, json};
+use crate::http::{header as read_header, json_response};
 use crate::{Fault, Faults, Request, Response, Server};
 
 #[derive(Debug)]
@@ -20,7 +21,7 @@
     runs: Mutex<BTreeMap<String, u64>>,
 }
 
-/// The service's stand-in.
+/// A running stand-in service.
 #[derive(Debug)]
 pub struct Service {
     shared: Arc<Shared>,
@@ -32,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// Returns an error when the address cannot be bound.
     pub fn new(runtime: &Handle, listen: &str, delay: Duration) -> Result<Self> {
         let shared = Arc::new(Shared {
             delay,
@@ -48,19 +49,19 @@
         Ok(Self { shared, server })
     }
 
-    /// Returns its address, as `host:port`.
+    /// Returns the address of the service, as `host:port`.
     #[must_use]
     pub fn address(&self) -> String {
         self.server.address().to_string()
     }
 
-    /// Returns its faults.
+    /// Returns the faults of the service.
     #[must_use]
     pub fn faults(&self) -> &Faults {
         &self.shared.faults
     }
 
-    /// Returns how often each body ran.
+    /// Returns how often each request body ran.
     #[must_use]
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.shared
@@ -83,12 +84,12 @@
             *run += 1;
             *run
         };
-        let slow_ms = self.faults.get(Fault::DelayMs);
-        sleep(self.delay + Duration::from_millis(slow_ms)).await;
+        let delay_ms = self.faults.get(Fault::DelayMs);
+        sleep(self.delay + Duration::from_millis(delay_ms)).await;
         if self.faults.get(Fault::DropAnswers) > 0 {
             return None;
         }
-        let mut response = json(&serde_json::json!({"confirmed": true, "run": run}));
+        let mut response = json_response(&serde_json::json!({"confirmed": true, "run": run}));
         if let Some(attempt) = read_header(&request, header::ATTEMPT)
             && let Ok(value) = attempt.parse()
         {
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,7 +1,7 @@
-//! The key-value service: compare-and-swap, leases, watches.
+//! State of the key-value service: keys, versions and leases.
 //!
-//! The state only; [`crate::Platform`] gives it a network and
-//! [`crate::FaultyStore`] gives it seeded faults in one process.
+//! [`crate::Platform`] serves it over HTTP, with a watch. [`crate::FaultyStore`] adds seeded faults
+//! within one process.
 
 use std::collections::BTreeMap;
 
@@ -13,73 +13,75 @@
 #[derive(Clone, Debug)]
 struct Entry {
     value: Value,
-    /// What an old read still shows.
-    before: Option<Value>,
+    /// Value before the last write, which a stale read returns.
+    previous: Option<Value>,
     lease: Option<u64>,
 }
 
-/// Why a swap wrote nothing.
+/// Reason why a compare-and-swap wrote nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another version stands.
+    /// The key has this version instead of the expected one.
     Conflict(u64),
-    /// The value is too large.
+    /// The value exceeds [`MAX_VALUE_BYTES`].
     TooLarge,
-    /// The lease has lapsed or never was.
+    /// The lease has expired or never existed.
     NoLease,
 }
 
-/// The state of the service, without its network.
+/// Key-value store without a network.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     entries: BTreeMap<String, Entry>,
+    /// Deadline and time to live in milliseconds, by lease.
     leases: BTreeMap<u64, (Instant, u64)>,
     version: u64,
     next_lease: u64,
 }
 
 impl Store {
-    /// Returns an empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the latest version of any key.
+    /// Returns the version of the store, which every write and expiry of keys increments.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns how many keys it holds.
+    /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether it holds nothing.
+    /// Returns whether the store has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Reads a value.
+    /// Returns the value of a key.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<Value> {
         self.entries.get(key).map(|entry| entry.value.clone())
     }
 
-    /// Reads the value before the last write, as a replica that lags does.
+    /// Returns the value before the last write of the key, as a replica that lags does.
     #[must_use]
     pub fn get_stale(&self, key: &str) -> Option<Value> {
-        self.entries.get(key)?.before.clone()
+        self.entries.get(key)?.previous.clone()
     }
 
-    /// Writes a value if its version is `expected`.
+    /// Writes a value if the version of the key is `expected`, where 0 stands for a missing key.
+    /// Returns the new version.
     ///
     /// # Errors
     ///
-    /// Why nothing was written.
+    /// Returns the reason why nothing was written.
     pub fn swap(
         &mut self,
         key: &str,
@@ -93,8 +95,8 @@
         if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
             return Err(Refusal::NoLease);
         }
-        let standing = self.get(key);
-        let current = standing.as_ref().map_or(0, |value| value.version);
+        let previous = self.get(key);
+        let current = previous.as_ref().map_or(0, |value| value.version);
         if current != expected {
             return Err(Refusal::Conflict(current));
         }
@@ -104,14 +106,14 @@
                 version: self.version,
                 bytes,
             },
-            before: standing,
+            previous,
             lease,
         };
         self.entries.insert(key.to_owned(), entry);
         Ok(self.version)
     }
 
-    /// Lists keys; `after` leaves out older versions.
+    /// Lists the keys with this prefix whose version is above `after`.
     #[must_use]
     pub fn keys(&self, prefix: &str, after: u64) -> kv::Keys {
         let items = self
@@ -138,7 +140,7 @@
         kv::Lease { id, ttl_ms }
     }
 
-    /// Renews a lease unless it has lapsed.
+    /// Renews a lease, or returns `None` if it has expired.
     pub fn renew(&mut self, now: Instant, id: u64) -> Option<kv::Lease> {
         self.expire(now);
         let (deadline, ttl_ms) = self.leases.get_mut(&id)?;
@@ -149,14 +151,14 @@
         })
     }
 
-    /// Removes lapsed leases and the keys under them.
+    /// Removes expired leases and the keys that are attached to them.
     pub fn expire(&mut self, now: Instant) {
         self.leases.retain(|_, (deadline, _)| *deadline > now);
         let leases = &self.leases;
-        let before = self.entries.len();
+        let count = self.entries.len();
         self.entries
             .retain(|_, entry| entry.lease.is_none_or(|lease| leases.contains_key(&lease)));
-        if self.entries.len() < before {
+        if self.entries.len() < count {
             self.version += 1;
         }
     }
--- a/crates/standin/tests/all/main.rs
+++ b/crates/standin/tests/all/main.rs
@@ -1,7 +1,7 @@
-//! Randomised runs of the store's protocols against a store with faults.
+//! Randomised tests of the protocols over the store, run against a store with faults.
 //!
-//! `FESCUERACK_SEED` and `FESCUERACK_STEPS` choose a run; without them a short
-//! fixed one is made. Each run prints its seeds.
+//! `FESCUERACK_SEED` sets the first seed and `FESCUERACK_STEPS` the number of steps. Without them,
+//! a short run with fixed seeds is made. Each run prints its seeds.
 
 mod activation;
 mod claim;
--- a/crates/standin/tests/all/manifest.rs
+++ b/crates/standin/tests/all/manifest.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration over HTTP.
+//! Reading and changing the configuration over HTTP.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,9 @@
 use fescuerack_standin::{Fault, Platform};
 use tokio::runtime::Runtime;
 
-// Every second read of the store is old. An instance reads the new manifest,
-// then finds the file that it names missing in the copy that lags, and begins
-// again with the manifest: in the same order, for ever. The accepted
-// configuration never comes into force there.
+// Every second read of the store is stale. An instance reads the new manifest, does not find a file
+// of it in the replica that lags, and starts again with the manifest, in the same order each time.
+// It would never activate the accepted configuration.
 #[test]
 fn fetch_every_second_read_old_finds_the_file() {
     let runtime = Runtime::new().expect("a runtime");
@@ -44,9 +43,9 @@
     }
 }
 
-// An operator's tool loses the answer to a change. The change was accepted and
-// a colleague has undone it since. The tool sends it again: the files stand as
-// the operator saw them, and the change would come into force a second time.
+// The answer to a change is lost, the change was accepted, and another operator has reverted it
+// since. The tool sends the change again: the files are as in its base, so that it would be
+// activated a second time.
 #[test]
 fn apply_sent_again_after_it_was_undone_changes_nothing() {
     let runtime = Runtime::new().expect("a runtime");
@@ -54,15 +53,15 @@
     let store = HttpStore::new(&platform.address());
     let folder = Folder::new().with_file("a.yaml", "models: {a: {}}\n");
     manifest::publish(&store, &folder, "test").expect("accepted");
-    let seen = || manifest::read(&store).expect("an answer").expect("one").1;
-    let first = change_request(&seen(), "r-1", Some("models: {b: {}}\n"));
+    let current = || manifest::read(&store).expect("an answer").expect("one").1;
+    let first = change_request(&current(), "r-1", Some("models: {b: {}}\n"));
     let accepted = Applied::Accepted { revision: 2 };
     assert_eq!(manifest::apply(&store, first.clone()), accepted);
-    let undo = change_request(&seen(), "r-2", None);
+    let revert = change_request(&current(), "r-2", None);
     assert_eq!(
-        manifest::apply(&store, undo),
+        manifest::apply(&store, revert),
         Applied::Accepted { revision: 3 }
     );
     assert_eq!(manifest::apply(&store, first), accepted);
-    assert_eq!(seen().revision, 3);
+    assert_eq!(current().revision, 3);
 }
