--- a/crates/replay/src/draw.rs
+++ b/crates/replay/src/draw.rs
@@ -1,20 +1,21 @@
-//! Random numbers of the shapes that load has.
+//! Random distributions for load.
 
 use rand::{Rng, RngExt as _};
 
-/// Draws the time between two arrivals at `rate` a second.
-pub fn gap<R: Rng>(rate: f64, rng: &mut R) -> f64 {
+/// Draws the time in seconds between two arrivals of a Poisson process with `rate` arrivals a
+/// second.
+pub fn interarrival<R: Rng>(rate: f64, rng: &mut R) -> f64 {
     -(1.0 - rng.random::<f64>()).ln() / rate
 }
 
-/// Draws a number whose logarithm is normal, with this median.
+/// Draws from a log-normal distribution. `spread` is the standard deviation of the logarithm.
 pub fn lognormal<R: Rng>(median: f64, spread: f64, rng: &mut R) -> f64 {
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * rng.random::<f64>()).cos();
     median * (spread * normal).exp()
 }
 
-/// Draws one of `count` numbers; with a skew, the first ones more often.
+/// Draws a number below `count`. With `skew` above 0, low numbers are more frequent.
 pub fn skewed<R: Rng>(count: u32, skew: f64, rng: &mut R) -> u32 {
     let uniform = rng.random::<f64>();
     let drawn = uniform.powf(1.0 + skew) * f64::from(count);
--- a/crates/replay/src/figures.rs
+++ b/crates/replay/src/figures.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! Figures of a run, as seen by callers.
 
 use std::collections::BTreeMap;
 
@@ -14,48 +14,48 @@
     pub organisation: String,
     /// Weight of the organisation.
     pub weight: u32,
-    /// Requests, returns not counted again.
+    /// Number of requests. A refused request that returns is not counted again.
     pub offered: u64,
-    /// Answers within their deadline.
+    /// Number of answers within their deadline.
     pub good: u64,
-    /// Requests that ran and were not answered in time.
+    /// Number of requests that ran and were not answered in time.
     pub late: u64,
-    /// Requests turned away for good.
+    /// Number of requests that were refused and did not return.
     pub refused: u64,
-    /// Requests that ended with an error of the servers.
+    /// Number of requests that ended with an error of the servers.
     pub failed: u64,
-    /// Refusals, of returns too.
+    /// Number of refusals, including those of requests that returned.
     pub refusals: u64,
-    /// Attempts at servers.
+    /// Number of attempts at servers.
     pub attempts: u64,
-    /// Prompts that met their prefix in the cache.
+    /// Number of started attempts whose prefix was in the cache of the server.
     pub hits: u64,
-    /// Prompts whose prefix recurs.
+    /// Number of started attempts whose prompt has a recurring prefix.
     pub prefixed: u64,
-    /// Work done in time, in milliseconds of a slot.
+    /// Slot time spent on answers within their deadline, in milliseconds.
     pub useful_ms: u64,
-    /// Microseconds from arrival to the first token.
-    pub first: Histogram<u64>,
-    /// Microseconds from arrival to the end of answers within their deadline.
-    pub whole: Histogram<u64>,
+    /// Time from arrival to the first token, in microseconds.
+    pub first_token_us: Histogram<u64>,
+    /// Time from arrival to the end of answers within their deadline, in microseconds.
+    pub answer_us: Histogram<u64>,
 }
 
 /// Figures of one run.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// By stream.
+    /// Figures by stream.
     pub rows: Vec<Row>,
-    /// Seconds that were counted.
+    /// Duration of the measured period, in seconds.
     pub seconds: f64,
-    /// Milliseconds of slots that there were.
+    /// Slot time of all servers in the measured period, in milliseconds.
     pub capacity_ms: f64,
-    /// Work per server, in milliseconds of a slot.
+    /// Slot time used, by server, in milliseconds.
     pub servers: Vec<f64>,
-    /// Answers within their deadline, by second and stream.
-    pub timeline: Vec<Vec<u64>>,
-    /// First tokens: sum of microseconds and count, by second and stream.
-    pub firsts: Vec<Vec<(u64, u64)>>,
-    /// Sum of the instances' limits, by second.
+    /// Number of answers within their deadline, by second and stream.
+    pub good_by_second: Vec<Vec<u64>>,
+    /// Sum of the times to the first token in microseconds and their count, by second and stream.
+    pub first_tokens_by_second: Vec<Vec<(u64, u64)>>,
+    /// Sum of the concurrency limits of all nodes, by second.
     pub limits: Vec<u64>,
 }
 
@@ -76,21 +76,21 @@
             hits: 0,
             prefixed: 0,
             useful_ms: 0,
-            first: histogram().expect("the bounds are valid"),
-            whole: histogram().expect("the bounds are valid"),
+            first_token_us: histogram().expect("the bounds are valid"),
+            answer_us: histogram().expect("the bounds are valid"),
         }
     }
 
     /// Returns a quantile of the time to the first token, in milliseconds.
     #[must_use]
     pub fn first_token_ms(&self, quantile: f64) -> f64 {
-        number(self.first.value_at_quantile(quantile)) / 1000.0
+        to_f64(self.first_token_us.value_at_quantile(quantile)) / 1000.0
     }
 
-    /// Returns a quantile of the time to the whole answer, in milliseconds.
+    /// Returns a quantile of the time to the complete answer, in milliseconds.
     #[must_use]
     pub fn answer_ms(&self, quantile: f64) -> f64 {
-        number(self.whole.value_at_quantile(quantile)) / 1000.0
+        to_f64(self.answer_us.value_at_quantile(quantile)) / 1000.0
     }
 
     /// Returns the share of requests that were answered in time.
@@ -99,13 +99,13 @@
         ratio(self.good, self.offered)
     }
 
-    /// Returns attempts per request that reached a server.
+    /// Returns the mean number of attempts per request that reached a server.
     #[must_use]
     pub fn attempts_per_request(&self) -> f64 {
         ratio(self.attempts, self.good + self.late + self.failed)
     }
 
-    /// Returns the share of recurring prefixes that were in the cache.
+    /// Returns the cache hit rate of recurring prefixes.
     #[must_use]
     pub fn hit_rate(&self) -> f64 {
         ratio(self.hits, self.prefixed)
@@ -113,16 +113,15 @@
 }
 
 impl Figures {
-    /// Returns the share of capacity that went into answers in time.
+    /// Returns the share of capacity that was used for answers in time.
     #[must_use]
     pub fn goodput(&self) -> f64 {
         let useful: u64 = self.rows.iter().map(|row| row.useful_ms).sum();
-        number(useful) / self.capacity_ms.max(1.0)
+        to_f64(useful) / self.capacity_ms.max(1.0)
     }
 
-    /// Returns the Jain index of the organisations' answers in time over their
-    /// weighted fair shares: 1 when all get the same part of what they may
-    /// have.
+    /// Returns Jain's fairness index of [`Self::shares`]. It is 1 when all organisations get the same
+    /// part of their fair shares.
     #[must_use]
     pub fn jain_index(&self) -> f64 {
         let shares = self.shares();
@@ -134,33 +133,36 @@
         sum * sum / (float(shares.len()) * squares)
     }
 
-    /// Returns, by organisation, the answers in time over the lesser of what it
-    /// asked for and its weighted share of all that were given.
+    /// Returns, by organisation, its answers in time divided by its fair share: the smaller of its
+    /// requests and its weighted share of all answers in time. The result is at most 1.
     #[must_use]
     pub fn shares(&self) -> BTreeMap<&str, f64> {
-        let mut all: BTreeMap<&str, (u64, u64, u32)> = BTreeMap::new();
+        let mut counts: BTreeMap<&str, (u64, u64, u32)> = BTreeMap::new();
         for row in &self.rows {
-            let entry = all.entry(&row.organisation).or_insert((0, 0, row.weight));
+            let entry = counts
+                .entry(&row.organisation)
+                .or_insert((0, 0, row.weight));
             entry.0 += row.good;
             entry.1 += row.offered;
         }
-        let weights: u32 = all.values().map(|(_, _, weight)| *weight).sum();
-        let given: u64 = all.values().map(|(good, _, _)| *good).sum();
+        let total_weight: u32 = counts.values().map(|(_, _, weight)| *weight).sum();
+        let total_good: u64 = counts.values().map(|(good, _, _)| *good).sum();
         let share = |(good, offered, weight): (u64, u64, u32)| {
-            let fair = number(given) * f64::from(weight) / f64::from(weights.max(1));
-            let due = fair.min(number(offered)).max(1.0);
-            (number(good) / due).min(1.0)
+            let weighted = to_f64(total_good) * f64::from(weight) / f64::from(total_weight.max(1));
+            let fair = weighted.min(to_f64(offered)).max(1.0);
+            (to_f64(good) / fair).min(1.0)
         };
-        all.into_iter()
-            .map(|(name, counts)| (name, share(counts)))
+        counts
+            .into_iter()
+            .map(|(name, count)| (name, share(count)))
             .collect()
     }
 
-    /// Returns the row of a stream.
+    /// Returns the figures of a stream.
     ///
     /// # Panics
     ///
-    /// When no stream has this name.
+    /// Panics when no stream has this name.
     #[must_use]
     pub fn row(&self, name: &str) -> &Row {
         let found = self.rows.iter().find(|row| row.name == name);
@@ -168,13 +170,14 @@
     }
 }
 
-pub(crate) fn number(count: u64) -> f64 {
+/// Returns a count as a floating-point number; counts beyond `u32` saturate.
+pub(crate) fn to_f64(count: u64) -> f64 {
     float(usize::try_from(count).unwrap_or(usize::MAX))
 }
 
-fn ratio(part: u64, whole: u64) -> f64 {
-    if whole == 0 {
+fn ratio(part: u64, total: u64) -> f64 {
+    if total == 0 {
         return 0.0;
     }
-    number(part) / number(whole)
+    to_f64(part) / to_f64(total)
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,15 +1,15 @@
-//! Replays a description of load through the decisions of fescuerack.
+//! Load experiments: runs a described load through the decisions of fescuerack.
 //!
-//! An operator who wants to know what a threshold does writes down the load
-//! ([`Scenario`]) and the thresholds, and gets the figures that callers would
-//! see ([`Figures`]) as a table and a plot, before setting it. The benches of
-//! the core drive the same model with the baselines.
+//! Operators use it to see the effect of a threshold before they set it. They describe the load
+//! ([`Scenario`]) with the thresholds to try, and get the figures that callers would see
+//! ([`Figures`]) as a table and a plot. The benches of the core run the same model with baseline
+//! policies.
 //!
-//! The decisions are the product's own, called as the node calls them. Around
-//! them stands a small queue model: servers with slots that run one request
-//! each at a constant pace, callers that come at random and return when they
-//! are told to. There is no network, and time is simulated, so a run of a
-//! minute takes well under one and gives the same figures every time.
+//! The decisions are made by the code of the product, called as the node calls it. Around them is a
+//! small queueing model: servers with slots, each of which runs one request at a constant rate, and
+//! callers that arrive at random and, if they are refused, return at the time that the refusal
+//! gives. There is no network and time is simulated, so a run of one minute takes much less than a
+//! minute and gives the same figures every time.
 
 mod draw;
 mod figures;
--- a/crates/replay/src/model/mod.rs
+++ b/crates/replay/src/model/mod.rs
@@ -1,9 +1,9 @@
-//! The queue model around the decisions.
+//! Queueing model around the decisions, as a discrete-event simulation.
 
-mod clock;
-mod machine;
+mod events;
 mod node;
 mod request;
+mod server;
 
 use fescuerack_config::Names;
 use fescuerack_core::clock::Instant;
@@ -13,35 +13,35 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::draw;
-use crate::figures::{Figures, Row, number};
+use crate::figures::{Figures, Row, to_f64};
 use crate::scenario::{FaultKind, Scenario};
-use clock::{Agenda, Event};
-use machine::{Machine, Start};
+use events::{Event, EventQueue};
 use node::{Entry, Node};
 use request::{Request, Status};
+use server::{Server, Start};
 
-/// Milliseconds after which a connection to a server that is down is refused.
-const REFUSED_MS: u64 = 5;
-/// Milliseconds between two ticks of an instance.
-const TICK_MS: u64 = 500;
-/// Milliseconds after which the instance list shows that a server is down.
-const LISTED_MS: u64 = 5_000;
+/// Time after which a connection to a server that is down is refused, in milliseconds.
+const CONNECTION_REFUSED_MS: u64 = 5;
+/// Interval between two ticks of a node, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 500;
+/// Delay until the instance list shows that a server is down or up again, in milliseconds.
+const LIST_DELAY_MS: u64 = 5_000;
 
-/// Runs a scenario and returns what callers got.
+/// Runs a scenario and returns the figures that callers see.
 #[must_use]
 pub fn run(scenario: &Scenario) -> Figures {
     let mut model = Model::new(scenario);
-    model.play();
+    model.run();
     model.figures
 }
 
 struct Model<'a> {
     scenario: &'a Scenario,
     rng: Pcg64Mcg,
-    agenda: Agenda,
+    events: EventQueue,
     now: Instant,
     nodes: Vec<Node>,
-    machines: Vec<Machine>,
+    servers: Vec<Server>,
     requests: Vec<Request>,
     figures: Figures,
 }
@@ -60,48 +60,48 @@
             .iter()
             .map(|stream| names.classes.intern(&stream.name))
             .collect();
-        let machines: Vec<_> = (0..scenario.servers)
+        let servers: Vec<_> = (0..scenario.servers)
             .map(|index| {
                 let id = format!("server-{index:04}");
-                Machine::new(names.servers.intern(&id), id, index % scenario.zones)
+                Server::new(names.servers.intern(&id), id, index % scenario.zones)
             })
             .collect();
         let nodes = (0..scenario.nodes)
-            .map(|index| Node::new(scenario, index, fleet, &machines, &organisations, &classes));
+            .map(|index| Node::new(scenario, index, fleet, &servers, &organisations, &classes));
         let rows = scenario
             .streams
             .iter()
             .map(|stream| Row::new(&stream.name, &stream.organisation, stream.weight));
         let length = usize::try_from(scenario.seconds).unwrap_or(0);
-        let counted = number(scenario.seconds - scenario.warm_s);
+        let measured_s = to_f64(scenario.seconds - scenario.warm_s);
         let slots = float(scenario.servers) * f64::from(scenario.slots);
         Self {
             rng: Pcg64Mcg::seed_from_u64(scenario.seed),
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             now: Instant::ORIGIN,
             nodes: nodes.collect(),
             figures: Figures {
                 rows: rows.collect(),
-                seconds: counted,
-                capacity_ms: counted * slots * 1000.0,
-                servers: vec![0.0; machines.len()],
-                timeline: vec![vec![0; scenario.streams.len()]; length],
-                firsts: vec![vec![(0, 0); scenario.streams.len()]; length],
+                seconds: measured_s,
+                capacity_ms: measured_s * slots * 1000.0,
+                servers: vec![0.0; servers.len()],
+                good_by_second: vec![vec![0; scenario.streams.len()]; length],
+                first_tokens_by_second: vec![vec![(0, 0); scenario.streams.len()]; length],
                 limits: vec![0; length],
             },
-            machines,
+            servers,
             requests: Vec::new(),
             scenario,
         }
     }
 
-    fn play(&mut self) {
-        self.plan();
-        // Those who came before the end are still answered.
+    fn run(&mut self) {
+        self.schedule_initial_events();
+        // Requests that arrived before the end are still answered.
         let streams = self.scenario.streams.iter();
         let longest = streams.map(|stream| stream.deadline_ms).max().unwrap_or(0);
-        let end = self.over().plus_millis(longest * 2);
-        while let Some((at, event)) = self.agenda.next() {
+        let end = self.end_of_arrivals().plus_millis(longest * 2);
+        while let Some((at, event)) = self.events.pop() {
             if at >= end {
                 break;
             }
@@ -110,266 +110,285 @@
         }
     }
 
-    /// When no one comes any more.
-    fn over(&self) -> Instant {
+    /// Returns the time after which no request arrives.
+    fn end_of_arrivals(&self) -> Instant {
         Instant::from_millis(self.scenario.seconds * 1000)
     }
 
-    /// Whether this moment is counted.
-    fn counts(&self) -> bool {
-        self.now >= Instant::from_millis(self.scenario.warm_s * 1000) && self.now < self.over()
+    /// Returns whether the current time is in the measured period.
+    fn is_measured(&self) -> bool {
+        self.now >= Instant::from_millis(self.scenario.warm_s * 1000)
+            && self.now < self.end_of_arrivals()
     }
 
-    fn plan(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for stream in 0..self.scenario.streams.len() {
             let from = seconds(self.scenario.streams[stream].from_s);
-            let gap = self.gap(stream);
-            self.agenda
-                .add(Instant::ORIGIN + from + gap, Event::Arrive(stream));
+            let gap = self.draw_interarrival(stream);
+            self.events
+                .schedule(Instant::ORIGIN + from + gap, Event::Arrive(stream));
         }
         for (index, fault) in self.scenario.faults.iter().enumerate() {
             let at = |second| Instant::ORIGIN + seconds(second);
-            self.agenda.add(at(fault.from_s), Event::Fault(index, true));
-            self.agenda.add(at(fault.to_s), Event::Fault(index, false));
+            self.events
+                .schedule(at(fault.from_s), Event::Fault(index, true));
+            self.events
+                .schedule(at(fault.to_s), Event::Fault(index, false));
             if fault.kind == FaultKind::Down {
-                let listed = |second| at(second).plus_millis(LISTED_MS);
-                self.agenda.add(listed(fault.from_s), Event::List);
-                self.agenda.add(listed(fault.to_s), Event::List);
+                let listed_at = |second| at(second).plus_millis(LIST_DELAY_MS);
+                self.events
+                    .schedule(listed_at(fault.from_s), Event::ListUpdate);
+                self.events
+                    .schedule(listed_at(fault.to_s), Event::ListUpdate);
             }
         }
-        self.agenda.add(Instant::ORIGIN, Event::Tick);
-        self.agenda.add(Instant::ORIGIN, Event::Report);
+        self.events.schedule(Instant::ORIGIN, Event::Tick);
+        self.events.schedule(Instant::ORIGIN, Event::Report);
     }
 
-    fn gap(&mut self, stream: usize) -> std::time::Duration {
-        seconds(draw::gap(self.scenario.streams[stream].rate, &mut self.rng))
+    fn draw_interarrival(&mut self, stream: usize) -> std::time::Duration {
+        seconds(draw::interarrival(
+            self.scenario.streams[stream].rate,
+            &mut self.rng,
+        ))
     }
 
     fn apply(&mut self, event: Event) {
         match event {
             Event::Arrive(stream) => self.arrive(stream),
             Event::Enter(request) => self.enter(request),
-            Event::Expire(node) => self.turn(node),
+            Event::Expire(node) => self.poll_admission(node),
             Event::Send(request) => self.send(request),
-            Event::First(request, attempt) => self.first(request, attempt),
-            Event::Done(request, attempt) => self.done(request, attempt),
-            Event::Broken(request, attempt) => self.broken(request, attempt, true),
-            Event::Fault(index, begins) => self.fault(index, begins),
-            Event::List => self.list(),
+            Event::FirstToken(request, attempt) => self.handle_first_token(request, attempt),
+            Event::Done(request, attempt) => self.handle_done(request, attempt),
+            Event::Failed(request, attempt) => self.handle_failure(request, attempt, true),
+            Event::Fault(index, starts) => self.apply_fault(index, starts),
+            Event::ListUpdate => self.update_lists(),
             Event::Tick => self.tick(),
-            Event::Report => self.report(),
-            Event::Read(machine, work, requests) => self.read(machine, work, requests),
+            Event::Report => self.send_reports(),
+            Event::ReportArrival(server, work, requests) => {
+                self.deliver_report(server, work, requests);
+            }
         }
     }
 
     fn arrive(&mut self, index: usize) {
         let stream = &self.scenario.streams[index];
-        let over = stream.to_s > 0.0 && self.now >= Instant::ORIGIN + seconds(stream.to_s);
-        if over || self.now >= self.over() {
+        let has_ended = stream.to_s > 0.0 && self.now >= Instant::ORIGIN + seconds(stream.to_s);
+        if has_ended || self.now >= self.end_of_arrivals() {
             return;
         }
-        let gap = self.gap(index);
-        self.agenda.add(self.now + gap, Event::Arrive(index));
+        let gap = self.draw_interarrival(index);
+        self.events.schedule(self.now + gap, Event::Arrive(index));
         let node = self.rng.random_range(0..self.nodes.len());
-        let counted = self.counts();
-        let request = Request::new(index, stream, node, self.now, counted, &mut self.rng);
-        if counted {
+        let is_measured = self.is_measured();
+        let request = Request::new(index, stream, node, self.now, is_measured, &mut self.rng);
+        if is_measured {
             self.figures.rows[index].offered += 1;
         }
         self.requests.push(request);
         self.enter(self.requests.len() - 1);
     }
 
-    fn enter(&mut self, key: usize) {
-        let stream = &self.scenario.streams[self.requests[key].stream];
-        let request = &mut self.requests[key];
+    fn enter(&mut self, id: usize) {
+        let stream = &self.scenario.streams[self.requests[id].stream];
+        let request = &mut self.requests[id];
         request.deadline = self.now.plus_millis(stream.deadline_ms);
         let node = request.node;
-        match self.nodes[node].offer(self.now, stream, key, request, &mut self.rng) {
-            Entry::Run => self.send(key),
+        match self.nodes[node].offer(self.now, stream, id, request, &mut self.rng) {
+            Entry::Run => self.send(id),
             Entry::Wait => {
                 if let Some(at) = self.nodes[node].next_expiry() {
-                    self.agenda.add(at, Event::Expire(node));
+                    self.events.schedule(at, Event::Expire(node));
                 }
             }
-            Entry::Refuse(retry) => self.refused(key, retry),
+            Entry::Refuse(retry_at) => self.handle_refusal(id, retry_at),
         }
     }
 
-    /// Lets in and turns away whom the node's admission names.
-    fn turn(&mut self, node: usize) {
-        let called = self.nodes[node].turn(self.now, &mut self.rng);
-        for (key, grant) in called.run {
-            self.requests[key].grant = grant;
-            self.send(key);
+    /// Applies the decisions of a node's admission control about waiting requests.
+    fn poll_admission(&mut self, node: usize) {
+        let resolutions = self.nodes[node].poll(self.now, &mut self.rng);
+        for (id, grant) in resolutions.run {
+            self.requests[id].grant = grant;
+            self.send(id);
         }
-        for (key, retry) in called.refused {
-            self.refused(key, retry);
+        for (id, retry_at) in resolutions.refused {
+            self.handle_refusal(id, retry_at);
         }
         if let Some(at) = self.nodes[node].next_expiry() {
-            self.agenda.add(at, Event::Expire(node));
+            self.events.schedule(at, Event::Expire(node));
         }
     }
 
-    fn refused(&mut self, key: usize, retry: Instant) {
-        let returns = self.scenario.crowd.returns;
-        let request = &mut self.requests[key];
-        if request.counted {
+    fn handle_refusal(&mut self, id: usize, retry_at: Instant) {
+        let max_returns = self.scenario.crowd.returns;
+        let request = &mut self.requests[id];
+        if request.is_measured {
             self.figures.rows[request.stream].refusals += 1;
         }
-        if request.returns >= returns {
-            self.settle(key, Status::Refused);
+        if request.returns >= max_returns {
+            self.record_end(id, Status::Refused);
             return;
         }
         request.returns += 1;
         request.node = self.rng.random_range(0..self.nodes.len());
-        self.agenda.add(retry.max(self.now), Event::Enter(key));
+        self.events
+            .schedule(retry_at.max(self.now), Event::Enter(id));
     }
 
-    /// Sends the next attempt of a request that holds a place.
-    fn send(&mut self, key: usize) {
+    /// Sends the next attempt of a request that holds a place at its node.
+    fn send(&mut self, id: usize) {
         let now = self.now;
-        let request = &mut self.requests[key];
+        let request = &mut self.requests[id];
         let node = &mut self.nodes[request.node];
         if now >= request.deadline {
-            return self.end(key, Status::Late);
+            return self.end(id, Status::Late);
         }
         let Some(index) = node.choose(now, request, &mut self.rng) else {
-            return self.end(key, Status::Failed);
+            return self.end(id, Status::Failed);
         };
         request.attempt += 1;
-        request.machine = index;
-        request.answered = false;
-        if request.counted {
+        request.server_index = index;
+        request.has_first_token = false;
+        if request.is_measured {
             self.figures.rows[request.stream].attempts += 1;
         }
         let attempt = request.attempt;
-        let machine = &mut self.machines[index];
-        if machine.down {
-            let at = now.plus_millis(REFUSED_MS);
-            self.agenda.add(at, Event::Broken(key, attempt));
+        let server = &mut self.servers[index];
+        if server.is_down {
+            let at = now.plus_millis(CONNECTION_REFUSED_MS);
+            self.events.schedule(at, Event::Failed(id, attempt));
             return;
         }
-        machine.push(key, request.priority, request.work);
-        // The node's time-out, also while the attempt waits at the server.
-        self.agenda.add(request.deadline, Event::Done(key, attempt));
-        self.pump(index);
+        server.push(id, request.priority, request.work);
+        // The time-out of the node also applies while the attempt is queued at the server.
+        self.events
+            .schedule(request.deadline, Event::Done(id, attempt));
+        self.start_queued(index);
     }
 
-    /// Starts what a server has room for.
-    fn pump(&mut self, index: usize) {
-        while let Some(key) = self.machines[index].pop(self.scenario.slots) {
-            let request = &mut self.requests[key];
-            let start = self.machines[index].start(self.scenario, request, &mut self.rng);
-            self.run(key, &start);
+    /// Starts queued attempts while the server has free slots.
+    fn start_queued(&mut self, index: usize) {
+        while let Some(id) = self.servers[index].pop(self.scenario.slots) {
+            let request = &mut self.requests[id];
+            let start = self.servers[index].start(self.scenario, request, &mut self.rng);
+            self.start_attempt(id, &start);
         }
     }
 
-    fn run(&mut self, key: usize, start: &Start) {
-        let request = &mut self.requests[key];
+    fn start_attempt(&mut self, id: usize, start: &Start) {
+        let request = &mut self.requests[id];
         request.slot_from = self.now;
-        if request.counted && request.prefix.is_some() {
+        if request.is_measured && request.prefix.is_some() {
             let row = &mut self.figures.rows[request.stream];
             row.prefixed += 1;
-            row.hits += u64::from(start.hit);
+            row.hits += u64::from(start.is_cache_hit);
         }
         let attempt = request.attempt;
-        let first = self.now + start.first;
+        let first_token_at = self.now + start.first_token;
         if start.fails {
-            self.agenda.add(first, Event::Broken(key, attempt));
+            self.events
+                .schedule(first_token_at, Event::Failed(id, attempt));
             return;
         }
-        // The node's time-out cancels an attempt at its deadline.
-        let done = (first + start.rest).min(request.deadline);
-        self.agenda.add(first.min(done), Event::First(key, attempt));
-        self.agenda.add(done, Event::Done(key, attempt));
+        // The time-out of the node cancels an attempt at its deadline.
+        let done_at = (first_token_at + start.rest).min(request.deadline);
+        self.events
+            .schedule(first_token_at.min(done_at), Event::FirstToken(id, attempt));
+        self.events.schedule(done_at, Event::Done(id, attempt));
     }
 
-    fn first(&mut self, key: usize, attempt: u32) {
-        let request = &mut self.requests[key];
+    fn handle_first_token(&mut self, id: usize, attempt: u32) {
+        let request = &mut self.requests[id];
         if request.attempt != attempt || self.now >= request.deadline {
             return;
         }
-        request.answered = true;
-        request.first = self.now;
-        self.nodes[request.node].first(self.now, request);
-        if request.counted {
-            let waited = micros(self.now.since(request.arrived));
+        request.has_first_token = true;
+        request.first_token_at = self.now;
+        self.nodes[request.node].record_first_token(self.now, request);
+        if request.is_measured {
+            let wait_us = micros(self.now.since(request.arrived));
             let row = &mut self.figures.rows[request.stream];
-            row.first.saturating_record(waited.max(1));
-            if let Some(entry) = self.figures.firsts.get_mut(second(self.now)) {
-                entry[request.stream].0 += waited;
+            row.first_token_us.saturating_record(wait_us.max(1));
+            if let Some(entry) = self
+                .figures
+                .first_tokens_by_second
+                .get_mut(second(self.now))
+            {
+                entry[request.stream].0 += wait_us;
                 entry[request.stream].1 += 1;
             }
         }
     }
 
-    fn done(&mut self, key: usize, attempt: u32) {
-        let counts = self.counts();
-        let request = &mut self.requests[key];
+    fn handle_done(&mut self, id: usize, attempt: u32) {
+        let is_measured = self.is_measured();
+        let request = &mut self.requests[id];
         if request.attempt != attempt {
             return;
         }
-        let index = request.machine;
-        let held = self.now.since(request.slot_from);
-        let ran = self.machines[index].leave(key, request.work);
+        let index = request.server_index;
+        let slot_time = self.now.since(request.slot_from);
+        let was_running = self.servers[index].remove(id, request.work);
         let status = if self.now < request.deadline {
             Status::Good
         } else {
             Status::Late
         };
-        if counts && ran {
-            self.figures.servers[index] += held.as_secs_f64() * 1000.0;
+        if is_measured && was_running {
+            self.figures.servers[index] += slot_time.as_secs_f64() * 1000.0;
             if status == Status::Good {
                 let row = &mut self.figures.rows[request.stream];
-                row.useful_ms += u64::try_from(held.as_millis()).unwrap_or(0);
+                row.useful_ms += u64::try_from(slot_time.as_millis()).unwrap_or(0);
             }
         }
-        self.end(key, status);
-        self.pump(index);
+        self.end(id, status);
+        self.start_queued(index);
     }
 
-    /// Ends an attempt that broke; `held` says that it may hold a slot.
-    fn broken(&mut self, key: usize, attempt: u32, held: bool) {
-        if self.requests[key].attempt != attempt {
+    /// Ends an attempt that failed, and schedules a retry if one is allowed. `is_at_server` is whether
+    /// the server may still run or queue the attempt.
+    fn handle_failure(&mut self, id: usize, attempt: u32, is_at_server: bool) {
+        if self.requests[id].attempt != attempt {
             return;
         }
-        let index = self.requests[key].machine;
-        let work = self.requests[key].work;
-        if held {
-            self.machines[index].leave(key, work);
+        let index = self.requests[id].server_index;
+        let work = self.requests[id].work;
+        if is_at_server {
+            self.servers[index].remove(id, work);
         }
-        let request = &mut self.requests[key];
-        let handed_on = request.answered;
+        let request = &mut self.requests[id];
+        let relayed = request.has_first_token;
         let node = &mut self.nodes[request.node];
-        node.broken(self.now, request);
-        let sent = !self.machines[index].down;
-        match node.next(self.now, request, sent, handed_on, &mut self.rng) {
-            Some(pause) => {
+        node.record_failure(self.now, request);
+        let was_sent = !self.servers[index].is_down;
+        match node.retry_delay(self.now, request, was_sent, relayed, &mut self.rng) {
+            Some(delay) => {
                 request.attempt += 1;
-                self.agenda.add(self.now + pause, Event::Send(key));
+                self.events.schedule(self.now + delay, Event::Send(id));
             }
-            None => self.end(key, Status::Failed),
+            None => self.end(id, Status::Failed),
         }
-        self.pump(index);
+        self.start_queued(index);
     }
 
-    /// Ends a request that holds a place.
-    fn end(&mut self, key: usize, status: Status) {
-        let request = &mut self.requests[key];
+    /// Ends a request that holds a place at its node.
+    fn end(&mut self, id: usize, status: Status) {
+        let request = &mut self.requests[id];
         request.attempt += 1;
         let node = request.node;
         self.nodes[node].end(self.now, request, status);
-        self.settle(key, status);
-        self.turn(node);
+        self.record_end(id, status);
+        self.poll_admission(node);
     }
 
-    /// Counts how a request ended; each does so once.
-    fn settle(&mut self, key: usize, status: Status) {
-        let request = &mut self.requests[key];
+    /// Records how a request ended. A request ends once.
+    fn record_end(&mut self, id: usize, status: Status) {
+        let request = &mut self.requests[id];
         assert_eq!(request.status, Status::Open, "a request ended twice");
         request.status = status;
-        if !request.counted {
+        if !request.is_measured {
             return;
         }
         let row = &mut self.figures.rows[request.stream];
@@ -377,9 +396,9 @@
             Status::Open => unreachable!("a request ends with another status"),
             Status::Good => {
                 row.good += 1;
-                let took = micros(self.now.since(request.arrived));
-                row.whole.saturating_record(took.max(1));
-                if let Some(entry) = self.figures.timeline.get_mut(second(self.now)) {
+                let took_us = micros(self.now.since(request.arrived));
+                row.answer_us.saturating_record(took_us.max(1));
+                if let Some(entry) = self.figures.good_by_second.get_mut(second(self.now)) {
                     entry[request.stream] += 1;
                 }
             }
@@ -389,36 +408,36 @@
         }
     }
 
-    fn fault(&mut self, index: usize, begins: bool) {
+    fn apply_fault(&mut self, index: usize, starts: bool) {
         let fault = self.scenario.faults[index];
-        for machine in 0..fault.servers.min(self.machines.len()) {
+        for server in 0..fault.servers.min(self.servers.len()) {
             match fault.kind {
                 FaultKind::Slow(factor) => {
-                    self.machines[machine].slow = if begins { factor } else { 1.0 };
+                    self.servers[server].slow_factor = if starts { factor } else { 1.0 };
                 }
                 FaultKind::Failing(share) => {
-                    self.machines[machine].failing = if begins { share } else { 0.0 };
+                    self.servers[server].failing_share = if starts { share } else { 0.0 };
                 }
                 FaultKind::Down => {
-                    self.machines[machine].down = begins;
-                    if begins {
-                        self.crash(machine);
+                    self.servers[server].is_down = starts;
+                    if starts {
+                        self.crash(server);
                     }
                 }
             }
         }
     }
 
-    fn crash(&mut self, machine: usize) {
-        for key in self.machines[machine].clear() {
-            let attempt = self.requests[key].attempt;
-            self.broken(key, attempt, false);
+    fn crash(&mut self, server: usize) {
+        for id in self.servers[server].clear() {
+            let attempt = self.requests[id].attempt;
+            self.handle_failure(id, attempt, false);
         }
     }
 
-    fn list(&mut self) {
+    fn update_lists(&mut self) {
         for node in &mut self.nodes {
-            node.list(self.now, &self.machines, self.scenario);
+            node.apply_list(self.now, &self.servers, self.scenario);
         }
     }
 
@@ -430,20 +449,23 @@
         if let Some(entry) = self.figures.limits.get_mut(second(self.now)) {
             *entry = u64::try_from(limit).unwrap_or(0);
         }
-        self.agenda.add(self.now.plus_millis(TICK_MS), Event::Tick);
+        self.events
+            .schedule(self.now.plus_millis(TICK_INTERVAL_MS), Event::Tick);
     }
 
-    fn report(&mut self) {
-        for (index, machine) in self.machines.iter().enumerate() {
+    fn send_reports(&mut self) {
+        for (index, server) in self.servers.iter().enumerate() {
             let at = self.now.plus_millis(self.scenario.lag_ms);
-            self.agenda
-                .add(at, Event::Read(index, machine.work, machine.requests()));
+            self.events.schedule(
+                at,
+                Event::ReportArrival(index, server.work, server.requests()),
+            );
         }
         let next = self.now.plus_millis(self.scenario.report_ms);
-        self.agenda.add(next, Event::Report);
+        self.events.schedule(next, Event::Report);
     }
 
-    fn read(&mut self, index: usize, work: u64, requests: u32) {
+    fn deliver_report(&mut self, index: usize, work: u64, requests: u32) {
         let at = Instant(self.now.0.saturating_sub(self.scenario.lag_ms * 1000));
         for node in &mut self.nodes {
             let report = Report {
@@ -452,7 +474,7 @@
                 requests,
                 ..Report::default()
             };
-            node.report(self.now, self.machines[index].key, report);
+            node.apply_report(self.now, self.servers[index].key, report);
         }
     }
 }
--- a/crates/replay/src/model/node.rs
+++ b/crates/replay/src/model/node.rs
@@ -1,4 +1,4 @@
-//! A node of the model: the decisions, called as the product calls them.
+//! Node of the model. It calls the decisions as a node of the product does.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,46 +17,54 @@
 use fescuerack_core::route::{self, Listed, State, Table};
 use rand::Rng;
 
-use super::machine::Machine;
 use super::request::{Request, Status};
+use super::server::Server;
 use crate::scenario::{Admission, Choice, Retry, Scenario, Stream};
 
-/// Attempts of the product, and of the baseline with its three retries.
-const ATTEMPTS: u32 = 3;
-const ATTEMPTS_OF_THREE: u32 = 4;
+/// Maximum number of attempts per request in the product.
+const MAX_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts per request in the baseline with three retries.
+const MAX_ATTEMPTS_THREE_RETRIES: u32 = 4;
 
+/// Admission control of a node.
 #[derive(Debug)]
 enum Gate {
+    /// Admission controller of the product.
     Fair(Box<Controller>),
+    /// First-in, first-out queue with a fixed concurrency limit.
     Fifo(fifo::Queue),
 }
 
+/// Server choice of a node.
 #[derive(Debug)]
 enum Chooser {
+    /// Server choice of the product, and whether it uses prefix-cache affinity.
     Scored(Box<Table>, bool),
+    /// The less loaded of two random servers, with the number of attempts in flight by server.
     Two(BTreeMap<key::Server, u64>),
+    /// Round robin.
     Round(RoundRobin),
 }
 
-/// What the node says to a request that enters.
+/// Admission decision about a request that arrives at a node.
 pub enum Entry {
-    /// It runs.
+    /// The request runs.
     Run,
-    /// It waits.
+    /// The request waits in the queue.
     Wait,
-    /// It may come back then.
+    /// The request is refused and may return at this time.
     Refuse(Instant),
 }
 
-/// Whom a node calls.
-pub struct Called {
-    /// Who runs now.
+/// Admission decisions about waiting requests.
+pub struct Resolutions {
+    /// Requests that run now, with their grants.
     pub run: Vec<(usize, Option<Grant>)>,
-    /// Who is turned away, and may come back then.
+    /// Requests that are refused, with the times at which they may return.
     pub refused: Vec<(usize, Instant)>,
 }
 
-/// A node.
+/// A node of the router.
 #[derive(Debug)]
 pub struct Node {
     gate: Gate,
@@ -65,12 +73,14 @@
     retry: Retry,
     fleet: key::Fleet,
     servers: Vec<key::Server>,
-    positions: BTreeMap<key::Server, usize>,
+    /// Index of each server in the model.
+    server_indices: BTreeMap<key::Server, usize>,
     organisations: Vec<key::Organisation>,
     classes: Vec<key::Class>,
+    /// Waiting requests, by their tickets.
     waiting: BTreeMap<Ticket, usize>,
-    /// Those to whom a place was given by the baseline's queue.
-    called: Vec<usize>,
+    /// Requests that the queue of the baseline has admitted and that have not started.
+    admitted: Vec<usize>,
 }
 
 impl Node {
@@ -79,12 +89,12 @@
         scenario: &Scenario,
         index: usize,
         fleet: key::Fleet,
-        machines: &[Machine],
+        servers: &[Server],
         organisations: &[key::Organisation],
         classes: &[key::Class],
     ) -> Self {
         let table = || {
-            let mut table = Table::new(&zone(index % scenario.zones));
+            let mut table = Table::new(&zone_name(index % scenario.zones));
             table.set_position(Position {
                 index,
                 instances: scenario.nodes,
@@ -120,50 +130,50 @@
             retry: scenario.policy.retry,
             fleet,
             servers: Vec::new(),
-            positions: BTreeMap::new(),
+            server_indices: BTreeMap::new(),
             organisations: organisations.to_vec(),
             classes: classes.to_vec(),
             waiting: BTreeMap::new(),
-            called: Vec::new(),
+            admitted: Vec::new(),
         };
-        for (position, machine) in machines.iter().enumerate() {
-            node.positions.insert(machine.key, position);
+        for (server_index, server) in servers.iter().enumerate() {
+            node.server_indices.insert(server.key, server_index);
         }
-        node.list(Instant::ORIGIN, machines, scenario);
+        node.apply_list(Instant::ORIGIN, servers, scenario);
         node
     }
 
-    /// Takes over the instance list.
-    pub fn list(&mut self, now: Instant, machines: &[Machine], scenario: &Scenario) {
-        let live = machines.iter().filter(|machine| !machine.down);
-        self.servers = live.clone().map(|machine| machine.key).collect();
+    /// Applies the instance list, which contains the servers that are up.
+    pub fn apply_list(&mut self, now: Instant, servers: &[Server], scenario: &Scenario) {
+        let live = servers.iter().filter(|server| !server.is_down);
+        self.servers = live.clone().map(|server| server.key).collect();
         if let Chooser::Scored(table, _) = &mut self.chooser {
             let fleet = self.fleet;
-            let listed = live.map(|machine| {
+            let listed = live.map(|server| {
                 let listed = Listed {
-                    id: machine.id.clone(),
+                    id: server.id.clone(),
                     fleet,
-                    zone: zone(machine.zone),
+                    zone: zone_name(server.zone),
                     address: String::new(),
                     state: State::Live,
                     slots: scenario.slots,
                 };
-                (machine.key, listed)
+                (server.key, listed)
             });
             table.apply_list(now, listed.collect());
         }
     }
 
-    /// Decides about a request that enters.
+    /// Decides whether a request that arrives runs, waits or is refused.
     pub fn offer<R: Rng>(
         &mut self,
         now: Instant,
         stream: &Stream,
-        key: usize,
+        id: usize,
         request: &mut Request,
         rng: &mut R,
     ) -> Entry {
-        request.attempts = Some(self.attempts(request.deadline));
+        request.attempts = Some(self.new_attempts(request.deadline));
         request.tried.clear();
         let verdict = match &mut self.gate {
             Gate::Fifo(queue) => match queue.offer(now, request.deadline) {
@@ -171,8 +181,8 @@
                 fifo::Verdict::Refuse(retry) => return Entry::Refuse(retry),
                 fifo::Verdict::Wait(ticket) => Verdict::Wait(ticket),
             },
-            Gate::Fair(control) => {
-                let ask = admission::Request {
+            Gate::Fair(controller) => {
+                let admission_request = admission::Request {
                     organisation: self.organisations[request.stream],
                     weight: stream.weight,
                     caller: request.caller,
@@ -181,7 +191,7 @@
                     long: stream.long,
                     deadline: request.deadline,
                 };
-                control.offer(now, &ask, rng)
+                controller.offer(now, &admission_request, rng)
             }
         };
         match verdict {
@@ -191,55 +201,56 @@
             }
             Verdict::Refuse(refusal) => Entry::Refuse(refusal.retry_at),
             Verdict::Wait(ticket) => {
-                self.waiting.insert(ticket, key);
+                self.waiting.insert(ticket, id);
                 Entry::Wait
             }
         }
     }
 
-    fn attempts(&self, deadline: Instant) -> Attempts {
-        let most = match self.retry {
-            Retry::Budget => ATTEMPTS,
-            Retry::Three => ATTEMPTS_OF_THREE,
+    fn new_attempts(&self, deadline: Instant) -> Attempts {
+        let max = match self.retry {
+            Retry::Budget => MAX_ATTEMPTS,
+            Retry::Three => MAX_ATTEMPTS_THREE_RETRIES,
         };
-        Attempts::new(true, deadline, most)
+        Attempts::new(true, deadline, max)
     }
 
-    /// Returns when someone who waits can no longer finish.
+    /// Returns the earliest time at which a waiting request can no longer finish in time.
     pub fn next_expiry(&self) -> Option<Instant> {
         match &self.gate {
-            Gate::Fair(control) => control.next_expiry(),
+            Gate::Fair(controller) => controller.next_expiry(),
             Gate::Fifo(_) => None,
         }
     }
 
-    /// Returns who runs now and who is turned away.
-    pub fn turn<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Called {
+    /// Returns the waiting requests that run now or are refused.
+    pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Resolutions {
         let mut run = Vec::new();
         let mut refused = Vec::new();
         match &mut self.gate {
-            Gate::Fifo(_) => run.extend(self.called.drain(..).map(|key| (key, None))),
-            Gate::Fair(control) => {
-                for turn in control.poll(now, rng) {
-                    match turn {
+            Gate::Fifo(_) => run.extend(self.admitted.drain(..).map(|id| (id, None))),
+            Gate::Fair(controller) => {
+                for resolution in controller.poll(now, rng) {
+                    match resolution {
                         Resolution::Run(ticket, grant) => {
-                            if let Some(key) = self.waiting.remove(&ticket) {
-                                run.push((key, Some(grant)));
+                            if let Some(id) = self.waiting.remove(&ticket) {
+                                run.push((id, Some(grant)));
                             }
                         }
                         Resolution::Refuse(ticket, refusal) => {
-                            if let Some(key) = self.waiting.remove(&ticket) {
-                                refused.push((key, refusal.retry_at));
+                            if let Some(id) = self.waiting.remove(&ticket) {
+                                refused.push((id, refusal.retry_at));
                             }
                         }
                     }
                 }
             }
         }
-        Called { run, refused }
+        Resolutions { run, refused }
     }
 
-    /// Chooses a server for the next attempt and counts it there.
+    /// Chooses a server for the next attempt and counts the attempt there. Returns the index of the
+    /// server, or `None` if no server is available.
     pub fn choose<R: Rng>(
         &mut self,
         now: Instant,
@@ -248,17 +259,17 @@
     ) -> Option<usize> {
         let fleets = [self.fleet];
         let server = match &mut self.chooser {
-            Chooser::Scored(table, homes) => {
-                let ask = route::Request {
+            Chooser::Scored(table, has_affinity) => {
+                let route_request = route::Request {
                     fleets: &fleets,
                     avoid: &request.tried,
                     work: request.work,
-                    prompt_tokens: request.prompt,
-                    prefix: request.prefix.filter(|_| *homes),
+                    prompt_tokens: request.prompt_tokens,
+                    prefix: request.prefix.filter(|_| *has_affinity),
                     adapter: None,
                 };
-                let server = table.choose(now, &ask, rng)?;
-                request.clear = table.start_attempt(now, server, request.work);
+                let server = table.choose(now, &route_request, rng)?;
+                request.had_free_slot = table.start_attempt(now, server, request.work);
                 server
             }
             Chooser::Two(loads) => {
@@ -273,38 +284,38 @@
             self.pools.record_first_attempt(now, self.fleet);
         }
         request.tried.insert(server);
-        request.server = Some(server);
-        request.sent = now;
+        request.counted_server = Some(server);
+        request.sent_at = now;
         if let Some(attempts) = &mut request.attempts {
             attempts.start(server);
         }
-        self.positions.get(&server).copied()
+        self.server_indices.get(&server).copied()
     }
 
-    /// Takes note of a first token.
-    pub fn first(&mut self, now: Instant, request: &Request) {
+    /// Records the first token of an attempt.
+    pub fn record_first_token(&mut self, now: Instant, request: &Request) {
         if let Chooser::Scored(table, _) = &mut self.chooser
-            && let Some(server) = request.server
+            && let Some(server) = request.counted_server
         {
-            let took = now.since(request.sent).as_secs_f64();
-            table.record_first_token(now, server, took, request.clear);
+            let took = now.since(request.sent_at).as_secs_f64();
+            table.record_first_token(now, server, took, request.had_free_slot);
         }
     }
 
-    /// Takes note of an attempt that broke.
-    pub fn broken(&mut self, now: Instant, request: &mut Request) {
-        self.leave(now, request, route::Outcome::Failure);
+    /// Records the failure of an attempt.
+    pub fn record_failure(&mut self, now: Instant, request: &mut Request) {
+        self.end_attempt(now, request, route::Outcome::Failure);
         self.pools.record_result(now, self.fleet, false);
     }
 
-    /// Ends the count of the present attempt, if one runs.
-    fn leave(&mut self, now: Instant, request: &mut Request, ended: route::Outcome) {
-        let Some(server) = request.server.take() else {
+    /// Ends the count of the current attempt at its server, if an attempt is running.
+    fn end_attempt(&mut self, now: Instant, request: &mut Request, outcome: route::Outcome) {
+        let Some(server) = request.counted_server.take() else {
             return;
         };
         match &mut self.chooser {
             Chooser::Scored(table, _) => {
-                table.end_attempt(now, server, request.work, ended, request.answered);
+                table.end_attempt(now, server, request.work, outcome, request.has_first_token);
             }
             Chooser::Two(loads) => {
                 if let Some(load) = loads.get_mut(&server) {
@@ -315,86 +326,86 @@
         }
     }
 
-    /// Returns the pause before another attempt, if one may follow; `sent`
-    /// says that bytes had left.
-    pub fn next<R: Rng>(
+    /// Returns the delay before another attempt, or `None` if none may follow. `was_sent` is whether
+    /// bytes of the failed attempt were sent, `relayed` whether a part of the answer was passed on.
+    pub fn retry_delay<R: Rng>(
         &mut self,
         now: Instant,
         request: &mut Request,
-        sent: bool,
-        handed_on: bool,
+        was_sent: bool,
+        relayed: bool,
         rng: &mut R,
     ) -> Option<Duration> {
-        let end = if sent {
+        let outcome = if was_sent {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::NotRun
         };
         let attempts = request.attempts.as_mut()?;
-        if attempts.end(now, end, handed_on) != Next::Retry {
+        if attempts.end(now, outcome, relayed) != Next::Retry {
             return None;
         }
         match self.retry {
             Retry::Three => Some(Duration::ZERO),
             Retry::Budget => {
-                let may =
-                    end == AttemptOutcome::NotRun || self.pools.try_take_retry(now, self.fleet);
-                may.then(|| attempts.backoff(now, rng))
+                let is_allowed =
+                    outcome == AttemptOutcome::NotRun || self.pools.try_take_retry(now, self.fleet);
+                is_allowed.then(|| attempts.backoff(now, rng))
             }
         }
     }
 
-    /// Takes note of a request's end and frees its place.
+    /// Records the end of a request and releases its place.
     pub fn end(&mut self, now: Instant, request: &mut Request, status: Status) {
-        let ended = match status {
+        let outcome = match status {
             Status::Good => route::Outcome::Success,
             _ => route::Outcome::Ignored,
         };
-        self.leave(now, request, ended);
+        self.end_attempt(now, request, outcome);
         if status == Status::Good {
             self.pools.record_result(now, self.fleet, true);
         }
-        let first = request.first;
+        let first = request.first_token_at;
         match &mut self.gate {
             Gate::Fifo(queue) => {
                 if let Some(ticket) = queue.finish(now)
-                    && let Some(key) = self.waiting.remove(&ticket)
+                    && let Some(id) = self.waiting.remove(&ticket)
                 {
-                    self.called.push(key);
+                    self.admitted.push(id);
                 }
             }
-            Gate::Fair(control) => {
-                let grant = request.grant.take().expect("it holds a place");
-                let ended = match status {
+            Gate::Fair(controller) => {
+                let grant = request.grant.take().expect("the request holds a place");
+                let completion = match status {
                     Status::Good => Completion::Answered { first },
                     Status::Late => Completion::Overloaded,
                     _ => Completion::Ignored,
                 };
-                control.finish(now, grant, ended);
+                controller.finish(now, grant, completion);
             }
         }
     }
 
-    /// Takes note of the time; returns the limit of requests that run.
+    /// Runs periodic work. Returns the current limit on concurrent requests.
     pub fn tick(&mut self, now: Instant, scenario: &Scenario) -> usize {
         if let Chooser::Scored(table, _) = &mut self.chooser {
             table.tick(now);
         }
         match &self.gate {
-            Gate::Fair(control) => control.summary().limit,
+            Gate::Fair(controller) => controller.summary().limit,
             Gate::Fifo(_) => scenario.places,
         }
     }
 
-    /// Takes over a server's report.
-    pub fn report(&mut self, now: Instant, server: key::Server, report: Report) {
+    /// Applies a load report of a server.
+    pub fn apply_report(&mut self, now: Instant, server: key::Server, report: Report) {
         if let Chooser::Scored(table, _) = &mut self.chooser {
             table.apply_report(now, server, report);
         }
     }
 }
 
-fn zone(index: usize) -> String {
+fn zone_name(index: usize) -> String {
     format!("zone-{index}")
 }
 
--- a/crates/replay/src/model/request.rs
+++ b/crates/replay/src/model/request.rs
@@ -1,4 +1,4 @@
-//! One request.
+//! Request of the model.
 
 use std::collections::BTreeSet;
 
@@ -12,82 +12,83 @@
 use crate::draw;
 use crate::scenario::Stream;
 
-/// How a request stands.
+/// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It has not ended.
+    /// The request has not ended.
     Open,
-    /// Answered in time.
+    /// The request was answered in time.
     Good,
-    /// It ran and was not answered in time.
+    /// The request ran and was not answered in time.
     Late,
-    /// Turned away for good.
+    /// The request was refused and does not return.
     Refused,
-    /// It ended with an error of the servers.
+    /// The request ended with an error of the servers.
     Failed,
 }
 
-/// One request.
+/// A request and its current attempt.
 #[derive(Debug)]
 pub struct Request {
-    /// Its stream.
+    /// Index of the stream.
     pub stream: usize,
-    /// Node that it is at.
+    /// Index of the node that handles the request.
     pub node: usize,
-    /// When it first arrived.
+    /// Time of the first arrival.
     pub arrived: Instant,
-    /// When its answer is due.
+    /// Time at which the answer is due, from the last arrival.
     pub deadline: Instant,
-    /// Whether it is counted.
-    pub counted: bool,
-    /// Times it came back.
+    /// Whether the request arrived in the measured period.
+    pub is_measured: bool,
+    /// Number of times that the request returned after a refusal.
     pub returns: u32,
-    /// How it stands.
+    /// State of the request.
     pub status: Status,
-    /// Tokens of its answer.
+    /// Number of tokens in the answer.
     pub tokens: u32,
-    /// Tokens of its prompt.
-    pub prompt: u32,
-    /// Its work in tokens, as the node estimates it.
+    /// Number of tokens in the prompt.
+    pub prompt_tokens: u32,
+    /// Work in tokens, as the node estimates it.
     pub work: u32,
-    /// Priority.
+    /// Priority; lower numbers are served first.
     pub priority: u8,
-    /// Session.
+    /// Session that the request belongs to.
     pub caller: u64,
-    /// Prefix of its prompt, when it recurs.
+    /// Prefix of the prompt, if prefixes recur.
     pub prefix: Option<u64>,
-    /// Number of its present attempt.
+    /// Number of the current attempt. It also increases when an attempt ends, so that events of that
+    /// attempt become invalid.
     pub attempt: u32,
-    /// Server of its present attempt.
-    pub machine: usize,
-    /// Server that counts the present attempt.
-    pub server: Option<key::Server>,
-    /// Whether the present attempt found a slot, by the node's estimate.
-    pub clear: bool,
-    /// Whether the present attempt has brought its first token.
-    pub answered: bool,
-    /// When the first token came.
-    pub first: Instant,
-    /// When the present attempt was sent.
-    pub sent: Instant,
-    /// Since when it holds a slot.
+    /// Index of the server of the current attempt.
+    pub server_index: usize,
+    /// Server at which the node counts the current attempt, or `None` between attempts.
+    pub counted_server: Option<key::Server>,
+    /// Whether the server had a free slot for the current attempt, by the estimate of the node.
+    pub had_free_slot: bool,
+    /// Whether the first token of the current attempt has arrived.
+    pub has_first_token: bool,
+    /// Time of the first token.
+    pub first_token_at: Instant,
+    /// Time at which the current attempt was sent.
+    pub sent_at: Instant,
+    /// Time at which the current attempt started in a slot.
     pub slot_from: Instant,
-    /// Place in the node.
+    /// Admission of the request by its node, while it runs.
     pub grant: Option<Grant>,
-    /// Its attempts.
+    /// Retry state.
     pub attempts: Option<Attempts>,
-    /// Servers that were tried.
+    /// Servers that were tried since the last arrival.
     pub tried: BTreeSet<key::Server>,
 }
 
 impl Request {
-    /// Draws a request of a stream.
+    /// Draws a request of a stream that arrives at a node.
     pub fn new<R: Rng>(
         index: usize,
         stream: &Stream,
         node: usize,
         now: Instant,
-        counted: bool,
+        is_measured: bool,
         rng: &mut R,
     ) -> Self {
         let tokens = draw::lognormal(stream.tokens, stream.spread, rng).clamp(1.0, 1e6);
@@ -102,23 +103,23 @@
             node,
             arrived: now,
             deadline: now,
-            counted,
+            is_measured,
             returns: 0,
             status: Status::Open,
             tokens,
-            prompt: stream.prompt,
-            // A node knows the limit of an answer, not its length.
+            prompt_tokens: stream.prompt,
+            // A node has the token limit of an answer, not its length.
             work: u32::try_from(whole(stream.tokens)).unwrap_or(1).max(1) + stream.prompt / 16,
             priority: stream.priority,
             caller,
             prefix,
             attempt: 0,
-            machine: 0,
-            server: None,
-            clear: false,
-            answered: false,
-            first: now,
-            sent: now,
+            server_index: 0,
+            counted_server: None,
+            had_free_slot: false,
+            has_first_token: false,
+            first_token_at: now,
+            sent_at: now,
             slot_from: now,
             grant: None,
             attempts: None,
--- a/crates/replay/src/model/machine.rs
+++ b/crates/replay/src/model/server.rs
@@ -1,4 +1,4 @@
-//! A server of the model.
+//! Backend server of the model.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,56 +10,59 @@
 use super::request::Request;
 use crate::scenario::Scenario;
 
-/// Part of a prompt's time that remains when its prefix is cached.
-const CACHED: f64 = 0.1;
+/// Share of the time to compute a prompt that remains when its prefix is cached.
+const CACHED_PROMPT_SHARE: f64 = 0.1;
 
-/// A server: slots before a queue in order of priority.
+/// A server with slots and a queue that is ordered by priority.
 #[derive(Debug)]
-pub struct Machine {
-    /// Its key.
+pub struct Server {
+    /// Key in the interned names.
     pub key: key::Server,
-    /// Its identifier.
+    /// Identifier in the instance list.
     pub id: String,
-    /// Its availability zone.
+    /// Index of the availability zone.
     pub zone: usize,
-    /// Whether it is down.
-    pub down: bool,
-    /// How many times slower it is.
-    pub slow: f64,
+    /// Whether the server is down.
+    pub is_down: bool,
+    /// Factor by which attempts are slowed down.
+    pub slow_factor: f64,
     /// Share of attempts that fail.
-    pub failing: f64,
-    /// Work that it runs and queues.
+    pub failing_share: f64,
+    /// Work of the running and queued attempts, in tokens.
     pub work: u64,
     running: BTreeSet<usize>,
+    /// Queued attempts as priority, arrival number and request.
     queue: BTreeSet<(u8, u64, usize)>,
+    /// Priority and arrival number of the queued attempts, by request.
     queued: BTreeMap<usize, (u8, u64)>,
     arrivals: u64,
+    /// Cached prefixes, the least recently used first.
     cache: VecDeque<u64>,
 }
 
-/// What starts in a slot.
+/// An attempt that starts in a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
     /// Time to the first token.
-    pub first: Duration,
-    /// Time from there to the end.
+    pub first_token: Duration,
+    /// Time from the first token to the end.
     pub rest: Duration,
-    /// Whether it fails at the first token.
+    /// Whether the attempt fails at the first token.
     pub fails: bool,
-    /// Whether its prefix was cached.
-    pub hit: bool,
+    /// Whether the prefix of the prompt was cached.
+    pub is_cache_hit: bool,
 }
 
-impl Machine {
-    /// Creates an idle server.
+impl Server {
+    /// Creates an idle server without faults.
     pub fn new(key: key::Server, id: String, zone: usize) -> Self {
         Self {
             key,
             id,
             zone,
-            down: false,
-            slow: 1.0,
-            failing: 0.0,
+            is_down: false,
+            slow_factor: 1.0,
+            failing_share: 0.0,
             work: 0,
             running: BTreeSet::new(),
             queue: BTreeSet::new(),
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Adds an attempt.
+    /// Adds an attempt to the queue.
     pub fn push(&mut self, request: usize, priority: u8, work: u32) {
         self.arrivals += 1;
         self.queue.insert((priority, self.arrivals, request));
@@ -77,7 +80,7 @@
         self.work += u64::from(work);
     }
 
-    /// Takes the next attempt if a slot is free.
+    /// Moves the next queued attempt into a slot, if one is free, and returns its request.
     pub fn pop(&mut self, slots: u32) -> Option<usize> {
         if self.running.len() >= usize::try_from(slots).unwrap_or(usize::MAX) {
             return None;
@@ -88,25 +91,26 @@
         Some(request)
     }
 
-    /// Removes an attempt that ended; returns whether it held a slot.
-    pub fn leave(&mut self, request: usize, work: u32) -> bool {
-        let ran = self.running.remove(&request);
+    /// Removes an attempt that ended. Returns whether it was running in a slot.
+    pub fn remove(&mut self, request: usize, work: u32) -> bool {
+        let was_running = self.running.remove(&request);
         let queued = self.queued.remove(&request);
         if let Some((priority, arrival)) = queued {
             self.queue.remove(&(priority, arrival, request));
         }
-        if ran || queued.is_some() {
+        if was_running || queued.is_some() {
             self.work -= u64::from(work);
         }
-        ran
+        was_running
     }
 
-    /// Returns how many attempts it runs and queues.
+    /// Returns the number of running and queued attempts.
     pub fn requests(&self) -> u32 {
         u32::try_from(self.running.len() + self.queue.len()).unwrap_or(u32::MAX)
     }
 
-    /// Removes all attempts and returns them.
+    /// Removes all attempts and empties the cache, as a crash does. Returns the requests of the
+    /// attempts.
     pub fn clear(&mut self) -> Vec<usize> {
         self.queued.clear();
         let queued = std::mem::take(&mut self.queue).into_iter();
@@ -117,35 +121,40 @@
         running.chain(queued).collect()
     }
 
-    /// Starts an attempt in a slot.
+    /// Draws the times and the result of an attempt that starts in a slot.
     pub fn start<R: Rng>(&mut self, scenario: &Scenario, request: &Request, rng: &mut R) -> Start {
-        let hit = request
+        let is_cache_hit = request
             .prefix
-            .is_some_and(|prefix| self.remember(prefix, scenario.cached));
-        let prompt_ms = f64::from(request.prompt) / 1000.0 * scenario.prefill_ms;
-        let prompt_ms = prompt_ms * if hit { CACHED } else { 1.0 };
-        // Steps of a batch take unlike times.
+            .is_some_and(|prefix| self.cache_prefix(prefix, scenario.cached));
+        let prompt_ms = f64::from(request.prompt_tokens) / 1000.0 * scenario.prefill_ms;
+        let prompt_ms = prompt_ms
+            * if is_cache_hit {
+                CACHED_PROMPT_SHARE
+            } else {
+                1.0
+            };
+        // The steps of a batch differ in duration.
         let noise = rng.random_range(0.8..1.2);
-        let first_ms = (scenario.first_ms * noise + prompt_ms) * self.slow;
-        let rest_ms = f64::from(request.tokens) * scenario.token_ms * self.slow;
+        let first_ms = (scenario.first_ms * noise + prompt_ms) * self.slow_factor;
+        let rest_ms = f64::from(request.tokens) * scenario.token_ms * self.slow_factor;
         Start {
-            first: seconds(first_ms / 1000.0),
+            first_token: seconds(first_ms / 1000.0),
             rest: seconds(rest_ms / 1000.0),
-            fails: rng.random::<f64>() < self.failing,
-            hit,
+            fails: rng.random::<f64>() < self.failing_share,
+            is_cache_hit,
         }
     }
 
-    /// Puts a prefix into the cache; returns whether it was there.
-    fn remember(&mut self, prefix: u64, most: usize) -> bool {
-        let at = self.cache.iter().position(|known| *known == prefix);
-        if let Some(at) = at {
-            self.cache.remove(at);
+    /// Adds a prefix to the cache or marks it as the most recently used. Returns whether it was cached.
+    fn cache_prefix(&mut self, prefix: u64, capacity: usize) -> bool {
+        let position = self.cache.iter().position(|cached| *cached == prefix);
+        if let Some(position) = position {
+            self.cache.remove(position);
         }
         self.cache.push_back(prefix);
-        if self.cache.len() > most {
+        if self.cache.len() > capacity {
             self.cache.pop_front();
         }
-        at.is_some()
+        position.is_some()
     }
 }
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -1,4 +1,6 @@
-//! The description of a load.
+//! Scenario files: description of a load, the servers and the policy.
+//!
+//! The fields have the names of the keys in the file.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,166 +9,167 @@
 use fescuerack_config::limits;
 use serde::Deserialize;
 
-/// A load, the servers before which it comes and the policy to try.
+/// A load, the servers that it runs on and the policy to try.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// Seed of all randomness.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Simulated seconds.
+    /// Simulated time, in seconds.
     pub seconds: u64,
-    /// Seconds at the start that are not counted.
+    /// Warm-up period at the start that is not measured, in seconds.
     pub warm_s: u64,
-    /// Instances of the router.
+    /// Number of router instances.
     pub nodes: usize,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Availability zones over which nodes and servers are spread.
+    /// Number of availability zones over which nodes and servers are spread.
     pub zones: usize,
-    /// Requests that one server runs at a time.
+    /// Number of requests that a server runs at a time.
     pub slots: u32,
-    /// Milliseconds to the first token at an idle server, prompt aside.
+    /// Time to the first token on an idle server without the computation of the prompt, in
+    /// milliseconds.
     pub first_ms: f64,
-    /// Milliseconds for one token.
+    /// Time per token of the answer, in milliseconds.
     pub token_ms: f64,
-    /// Milliseconds to compute 1,000 tokens of a prompt that is not cached.
+    /// Time to compute 1,000 tokens of a prompt that is not cached, in milliseconds.
     pub prefill_ms: f64,
-    /// Prefixes that one server's cache holds.
+    /// Number of prefixes that the cache of a server holds.
     pub cached: usize,
-    /// Requests that one instance runs at a time at most.
+    /// Maximum number of requests that a node runs at a time.
     pub places: usize,
-    /// Milliseconds between two load reports of a server.
+    /// Interval between two load reports of a server, in milliseconds.
     pub report_ms: u64,
-    /// Milliseconds by which a report is late.
+    /// Delay until a report reaches the nodes, in milliseconds.
     pub lag_ms: u64,
-    /// What callers send.
+    /// Requests that callers send.
     pub streams: Vec<Stream>,
-    /// What fails.
+    /// Faults of the servers.
     pub faults: Vec<Fault>,
-    /// What callers do who are turned away.
+    /// Behaviour of callers whose requests are refused.
     pub crowd: RefusedClients,
-    /// The decisions to try.
+    /// Policy to try.
     pub policy: Policy,
 }
 
-/// Requests of one organisation and class of work.
+/// Requests of one organisation and one class of work.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stream {
-    /// Name in the table.
+    /// Name in the table, and class of the requests.
     pub name: String,
-    /// Organisation that sends it.
+    /// Organisation that sends the requests.
     pub organisation: String,
     /// Weight of the organisation.
     pub weight: u32,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Second at which it begins.
+    /// Time at which the stream starts, in seconds.
     pub from_s: f64,
-    /// Second at which it ends; 0 for never.
+    /// Time at which the stream ends, in seconds; 0 for no end.
     pub to_s: f64,
-    /// Tokens of an answer: the median.
+    /// Median number of tokens in an answer.
     pub tokens: f64,
-    /// Spread of the tokens: standard deviation of their logarithm.
+    /// Standard deviation of the logarithm of the number of tokens.
     pub spread: f64,
-    /// Tokens of a prompt.
+    /// Number of tokens in a prompt.
     pub prompt: u32,
-    /// Different prefixes of prompts; 0 for none that recur.
+    /// Number of different prompt prefixes; 0 if prefixes do not recur.
     pub prefixes: u32,
-    /// Sessions; each request belongs to one.
+    /// Number of sessions. Each request belongs to one.
     pub callers: u32,
-    /// Exponent by which few sessions and prefixes get most requests.
+    /// Skew of the requests towards few sessions and prefixes; 0 for a uniform distribution.
     pub skew: f64,
-    /// Milliseconds within which the whole answer is due.
+    /// Time within which the complete answer is due, in milliseconds.
     pub deadline_ms: u64,
-    /// Priority; a lower number goes first.
+    /// Priority; lower numbers are served first.
     pub priority: u8,
-    /// Whether it draws on the budget of long work.
+    /// Whether the requests count against the concurrency share for long work.
     pub long: bool,
 }
 
-/// Something that fails for a while.
+/// A temporary fault of some servers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What fails.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Number of servers it befalls, the first ones.
+    /// Number of affected servers; these are the first in the list.
     pub servers: usize,
-    /// Second at which it begins.
+    /// Time at which the fault starts, in seconds.
     pub from_s: f64,
-    /// Second at which it ends.
+    /// Time at which the fault ends, in seconds.
     pub to_s: f64,
 }
 
-/// Ways to fail.
+/// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultKind {
-    /// Everything takes this many times longer.
+    /// Every attempt takes this many times longer.
     Slow(f64),
     /// This share of attempts fails at the first token.
     Failing(f64),
-    /// Attempts in flight break and new ones are refused connection.
+    /// Running and queued attempts fail, and new connections are refused.
     Down,
 }
 
-/// What callers do who are turned away.
+/// Behaviour of callers whose requests are refused.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RefusedClients {
-    /// How often one comes back.
+    /// Maximum number of times that a refused request returns.
     pub returns: u32,
 }
 
-/// The decisions to try.
+/// Policy to try.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Admission.
+    /// Admission control.
     pub admission: Admission,
-    /// Choice of servers.
+    /// Choice of the server.
     pub choice: Choice,
-    /// Retries.
+    /// Retry policy.
     pub retry: Retry,
-    /// Limits by their name in the configuration.
+    /// Limits that differ from their defaults, by their names in the configuration.
     pub limits: BTreeMap<String, f64>,
 }
 
-/// Admission to try.
+/// Admission control to try.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Admission {
-    /// That of the product.
+    /// Admission control of the product.
     #[default]
     Fair,
-    /// First in, first out before a fixed number of places.
+    /// Baseline: a first-in, first-out queue with a fixed concurrency limit.
     Fifo,
 }
 
-/// Choice of servers to try.
+/// Server choice to try.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Choice {
-    /// That of the product.
+    /// Server choice of the product.
     #[default]
     Scored,
-    /// That of the product without homes of prefixes.
+    /// Server choice of the product without prefix-cache affinity.
     Blind,
-    /// The less loaded of two.
+    /// Baseline: the less loaded of two random servers.
     Two,
-    /// Each in turn.
+    /// Baseline: round robin.
     Round,
 }
 
-/// Retries to try.
+/// Retry policy to try.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Retry {
-    /// Those of the product.
+    /// Retry budget of the product.
     #[default]
     Budget,
-    /// Three for each request.
+    /// Baseline: up to three retries for each request, without a budget or backoff.
     Three,
 }
 
@@ -218,11 +221,11 @@
 }
 
 impl Scenario {
-    /// Reads and checks a description.
+    /// Reads and checks a scenario file.
     ///
     /// # Errors
     ///
-    /// What is wrong with the file, with its line where it is known.
+    /// Returns an error that says what is wrong with the file, with the line where it is known.
     pub fn read(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("read load {}", path.display()))?;
@@ -234,11 +237,11 @@
         Ok(scenario)
     }
 
-    /// Checks that the description makes sense.
+    /// Checks that the values are valid.
     ///
     /// # Errors
     ///
-    /// The first field that does not.
+    /// Returns an error that names the first invalid field.
     pub fn check(&self) -> Result<()> {
         ensure!(self.nodes > 0, "nodes: must be at least 1");
         ensure!(self.servers > 0, "servers: must be at least 1");
@@ -280,11 +283,11 @@
         Ok(())
     }
 
-    /// Returns a limit: the one to try, or its default.
+    /// Returns the value of a limit: the one in the policy, or its default.
     #[must_use]
     pub fn limit(&self, name: &str) -> f64 {
-        let tried = self.policy.limits.get(name).copied();
+        let overridden = self.policy.limits.get(name).copied();
         let default = limits::find(name).map_or(0.0, |limit| limit.default);
-        tried.unwrap_or(default)
+        overridden.unwrap_or(default)
     }
 }
--- a/crates/replay/src/table.rs
+++ b/crates/replay/src/table.rs
@@ -1,10 +1,10 @@
-//! Figures as a table.
+//! Output of figures as a table.
 
 use comfy_table::Table;
 
 use crate::Figures;
 
-/// Returns the figures as a table, one stream a line.
+/// Returns the figures as a Markdown table with one row per stream, followed by a line of totals.
 #[must_use]
 pub fn table(figures: &Figures) -> String {
     let mut table = Table::new();
