--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -24,7 +24,7 @@
 const SERVERS_PER_SERVICE_FLEET: usize = 4;
 /// Token timing of the stand-in engines.
 const ENGINE_PACE: Pace = Pace {
-    first_ms: 30,
+    first_token_ms: 30,
     token_ms: 10,
 };
 /// Time that a plain service takes to answer.
@@ -127,7 +127,7 @@
         };
         for (name, version) in &merged.file.versions {
             let quality = version.quality.get("default").copied().unwrap_or(0.5);
-            deployment.platform.rate(name, quality);
+            deployment.platform.set_quality(name, quality);
         }
         for (fleet, backend) in &merged.file.backends {
             deployment.start_fleet(fleet, backend, &any_port)?;
@@ -177,7 +177,7 @@
                 }
             };
             let zone = backend.zones.get(index % backend.zones.len().max(1));
-            self.platform.list(Instance {
+            self.platform.set_instance(Instance {
                 id: format!("{fleet}-{index}"),
                 fleet: fleet.to_owned(),
                 zone: zone.map_or(DEFAULT_ZONE, String::as_str).to_owned(),
@@ -193,7 +193,7 @@
         let id = format!("entry-{index}");
         let settings = Settings::new(&id, zone, &self.platform.address(), PEER_KEY);
         let node = Node::new(settings.with_listen(Listen::new(listen)))?;
-        self.platform.list(Instance {
+        self.platform.set_instance(Instance {
             id,
             fleet: "fescuerack".to_owned(),
             zone: zone.to_owned(),
