--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -134,13 +134,8 @@
 }
 
 /// Returns the outcome of the request and the line that decided it.
-fn outcome(request_lines: &[&Line]) -> String {
-    let last_with = |event: &str| {
-        request_lines
-            .iter()
-            .rev()
-            .find(|line| line.text("event") == event)
-    };
+fn outcome(lines: &[&Line]) -> String {
+    let last_with = |event: &str| lines.iter().rev().find(|line| line.text("event") == event);
     let last_line = last_with("stream").or(last_with("request"));
     let Some(last_line) = last_line else {
         return "not known: the instance ended, or left its last line out".to_owned();
