--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -9,7 +9,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-use crate::demo::{Scene, once};
+use crate::demo::{Deployment, once};
 
 /// Starts stand-ins of the platform and of backend servers, and instances of
 /// the real router, in one process on loopback.
@@ -37,12 +37,12 @@
 }
 
 impl Demo {
-    /// Runs until a signal, or through one round of requests.
+    /// Runs until SIGTERM or SIGINT or, with `--once`, sends one request of each kind.
     ///
     /// # Errors
     ///
-    /// When something cannot be started or, with `--once`, when an outcome is
-    /// not the right one.
+    /// Fails when something cannot be started or, with `--once`, when an outcome
+    /// is not the expected one.
     pub fn execute(self) -> Result<()> {
         ensure!(self.instances > 0, "--instances must be at least 1");
         let _logger = Logger::try_with_str(if self.verbose { "info" } else { "warn" })?
@@ -50,20 +50,20 @@
             .start()
             .context("start the logger")?;
         let mut signals = Signals::new([SIGTERM, SIGINT]).context("register signals")?;
-        let scene = Scene::new(&self.config, self.instances, &self.listen)?;
+        let deployment = Deployment::new(&self.config, self.instances, &self.listen)?;
         let result = if self.once {
-            once::run(scene.ready())
+            once::run(deployment.ready())
         } else {
             if let Some(path) = &self.env {
-                std::fs::write(path, scene.ready().variables())
+                std::fs::write(path, deployment.ready().variables())
                     .with_context(|| format!("write {}", path.display()))?;
             }
-            println!("{}", serde_json::to_string(scene.ready())?);
+            println!("{}", serde_json::to_string(deployment.ready())?);
             std::io::stdout().flush()?;
             signals.forever().next();
             Ok(())
         };
-        scene.shutdown();
+        deployment.shutdown();
         result
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,8 @@
 //! `fescuerack`: the operators' command line.
 //!
-//! Each subcommand is one file of `commands`. They reach the configuration
-//! through [`access`], change it through [`change`], print through [`mod@print`],
-//! and end with one of the codes of [`exit`].
+//! Each subcommand is one file in `commands`. Subcommands read the configuration
+//! through [`access`], change it through [`change`], print through [`mod@print`]
+//! and exit with one of the codes in [`exit`].
 
 mod access;
 mod change;
@@ -11,7 +11,7 @@
 mod exit;
 mod live;
 mod print;
-mod story;
+mod timeline;
 
 use std::process::ExitCode;
 
@@ -20,8 +20,8 @@
 fn main() -> ExitCode {
     match commands::Arguments::parse().execute() {
         Ok(()) => ExitCode::SUCCESS,
-        // Whoever read the output has seen enough.
-        Err(error) if is_closed(&error) => ExitCode::SUCCESS,
+        // The reader closed the pipe, as `head` does: not a failure.
+        Err(error) if is_broken_pipe(&error) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fescuerack: {error:#}");
             exit::code(&error)
@@ -29,7 +29,8 @@
     }
 }
 
-fn is_closed(error: &anyhow::Error) -> bool {
+/// Returns whether an error is a write to a closed pipe.
+fn is_broken_pipe(error: &anyhow::Error) -> bool {
     let cause = error.downcast_ref::<std::io::Error>();
     cause.is_some_and(|cause| cause.kind() == std::io::ErrorKind::BrokenPipe)
 }
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -53,8 +53,8 @@
     /// Returns a [`Fault`] if the service does not answer.
     fn keys(&self, prefix: &str) -> Result<kv::Keys, Fault>;
 
-    /// Waits until a key under `prefix` has a version above `after` or until `wait` has elapsed, and
-    /// returns the latest version.
+    /// Waits until a key under `prefix` has a version above `after` or until `wait` has elapsed,
+    /// and returns the latest version.
     ///
     /// # Errors
     ///
@@ -162,9 +162,7 @@
         .get(header::KV_VERSION)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok())
-        .ok_or_else(|| {
-            Fault::Malformed(format!("header {} missing or invalid", header::KV_VERSION))
-        })
+        .ok_or_else(|| Fault::Malformed("version header missing or invalid".to_owned()))
 }
 
 fn refused(mut response: Response) -> Fault {
--- a/crates/wire/src/rating.rs
+++ b/crates/wire/src/rating.rs
@@ -1,4 +1,4 @@
-//! The service that rates answers: `POST /v1/ratings`.
+//! Messages of the service that rates answers: `POST /v1/ratings`.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,13 +9,13 @@
     pub class: String,
     /// Version that answered.
     pub version: String,
-    /// The answer.
+    /// Text of the answer.
     pub answer: String,
 }
 
-/// A rating.
+/// Rating of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rating {
-    /// Quality, 0 to 1.
+    /// Quality, in the range 0 to 1.
     pub quality: f64,
 }
