--- a/crates/gateway/src/apply.rs
+++ b/crates/gateway/src/apply.rs
@@ -39,7 +39,10 @@
     node.followed_revision.send_replace(view.revision);
     let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
     node.metrics.revision.set(gauge(view.revision));
-    let version = view.catalog.as_ref().map_or(0, |catalog| catalog.version);
+    let version = view
+        .catalog
+        .as_ref()
+        .map_or(0, |catalog| catalog.config_version);
     node.metrics.configuration.set(gauge(version));
     node.metrics.unreadable.set(gauge(view.unreadable));
     node.metrics
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::pick::{self, InFlight, Pick};
 use crate::platform::{RequestHead, ResponseHead, UpstreamHead};
-use crate::rollout::{self, PendingGuard};
+use crate::rollout::{self, TrackingGuard};
 use crate::upstream::{Answered, Sent};
 use crate::verdict;
 
@@ -47,7 +47,7 @@
     /// When the answer must have been sent.
     pub deadline: Instant,
     /// Digest by which a request that crashes servers is recognised.
-    pub digest: u64,
+    pub fingerprint: u64,
     /// Hash of its session.
     pub session: u64,
 }
@@ -55,7 +55,7 @@
 /// The result of an attempt.
 pub enum AttemptResult {
     /// The server did not execute the request, or no byte of it was sent.
-    NotExecuted(NotExecuted),
+    NotRun(NotRunReason),
     /// The server may have executed the request.
     Unknown,
     /// No head was received before the deadline of the attempt.
@@ -66,7 +66,7 @@
 
 /// Why it is certain that a request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotExecuted {
+pub enum NotRunReason {
     /// No byte was sent: the server could not be reached.
     Unreachable,
     /// The server reported it.
@@ -88,14 +88,14 @@
     /// Counts the request as running on the server.
     pub in_flight: InFlight,
     /// Reports a slow response to the roll-out while it lasts, until its outcome is counted.
-    pub watched: Option<PendingGuard>,
+    pub watched: Option<TrackingGuard>,
 }
 
 /// A response whose head has not been checked yet.
 struct ReceivedResponse {
     answered: Answered,
     in_flight: InFlight,
-    watched: Option<PendingGuard>,
+    watched: Option<TrackingGuard>,
     head_ms: f64,
     expected_head_ms: f64,
 }
@@ -145,7 +145,7 @@
                 "unreached",
                 &reason,
             );
-            AttemptResult::NotExecuted(NotExecuted::Unreachable)
+            AttemptResult::NotRun(NotRunReason::Unreachable)
         }
         Sent::Broken(reason) => {
             record_outcome(
@@ -208,14 +208,14 @@
     let head = node
         .platform
         .parse_response_head(status, answered.response.headers(), &job.head.id);
-    if head.is_not_executed {
+    if head.is_not_run {
         if status == StatusCode::MISDIRECTED_REQUEST {
             // Another server has this address now; the entry is that of its predecessor.
             pick::mark_replaced(&node.view, &pick);
         }
         record_outcome(node, job, &pick, started, None, "not-run", status.as_str());
         node.pool.discard(received.answered);
-        return AttemptResult::NotExecuted(NotExecuted::Reported);
+        return AttemptResult::NotRun(NotRunReason::Reported);
     }
     if !head.is_for_request {
         record_outcome(
--- a/crates/gateway/src/catalog.rs
+++ b/crates/gateway/src/catalog.rs
@@ -45,12 +45,12 @@
     #[serde(default)]
     pub timeout_ms: Option<u64>,
     /// Target latency in milliseconds, within which an answer has its full use.
-    #[serde(default)]
-    pub target_ms: Option<u64>,
+    #[serde(default, rename = "target_ms")]
+    pub target_latency_ms: Option<u64>,
     /// Target inter-token latency: the longest time in milliseconds between two events of a stream
     /// that is still on time.
-    #[serde(default)]
-    pub pause_ms: Option<u64>,
+    #[serde(default, rename = "pause_ms")]
+    pub inter_token_target_ms: Option<u64>,
     /// Maximum number of backend servers to which one request may be sent.
     #[serde(default = "one")]
     pub attempts: u32,
@@ -94,8 +94,8 @@
     #[serde(default)]
     pub connections: Option<u32>,
     /// Number of requests that one of its servers runs concurrently, if it is a model engine.
-    #[serde(default)]
-    pub batch: Option<u32>,
+    #[serde(default, rename = "batch")]
+    pub slots: Option<u32>,
     /// Limit for its servers after a start; `None` if they need no warm-up.
     #[serde(default)]
     pub warmup: Option<Warmup>,
@@ -153,8 +153,9 @@
 /// One version of the configuration, decoded.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Catalog {
-    /// Version of the configuration.
-    pub version: u64,
+    /// Version of the configuration, as the platform numbers it.
+    #[serde(rename = "version")]
+    pub config_version: u64,
     /// Routes.
     pub routes: Routes,
     /// Services by name.
--- a/crates/gateway/src/delta.rs
+++ b/crates/gateway/src/delta.rs
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Serialize};
 
-use crate::difference;
+use crate::delta_codec;
 use crate::large::Notice;
 use crate::message;
 use crate::platform::Item;
@@ -33,7 +33,7 @@
         let notice = Notice::new(item);
         let notice = notice.ok_or_else(|| anyhow::anyhow!("{} is not large", item.key))?;
         let value = item.value.as_deref().unwrap_or_default();
-        let frame = difference::encode(base, value)?;
+        let frame = delta_codec::encode(base, value)?;
         Ok(Self {
             notice,
             base: base_revision,
@@ -79,7 +79,7 @@
             self.base
         );
         let frame = STANDARD.decode(&*self.frame)?;
-        let value = difference::decode(base.unwrap_or_default(), &frame, *length, *digest)?;
+        let value = delta_codec::decode(base.unwrap_or_default(), &frame, *length, *digest)?;
         Ok(Item {
             key: key.clone(),
             value: Some(value),
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -97,7 +97,7 @@
         }
         Ok(Err(_)) => return Err(Refusal::IncompleteBody),
         // The request was not sent to any server.
-        Err(_) => return Err(Refusal::NotExecuted),
+        Err(_) => return Err(Refusal::NotRun),
     };
     let target = parts
         .uri
@@ -115,7 +115,7 @@
     };
     Ok(Job {
         session: pick::session(&head, organisation.as_deref()),
-        digest: digest(organisation.as_deref(), parts.uri.path(), &body),
+        fingerprint: fingerprint(organisation.as_deref(), parts.uri.path(), &body),
         route: admitted.route,
         organisation,
         regions,
@@ -130,7 +130,7 @@
     })
 }
 
-fn digest(organisation: Option<&str>, path: &str, body: &Bytes) -> u64 {
+fn fingerprint(organisation: Option<&str>, path: &str, body: &Bytes) -> u64 {
     let caller = affinity::hash(organisation.unwrap_or_default().as_bytes());
     affinity::mix(affinity::mix(caller ^ affinity::hash(path.as_bytes())) ^ affinity::hash(body))
 }
--- a/crates/gateway/src/large.rs
+++ b/crates/gateway/src/large.rs
@@ -7,7 +7,7 @@
 //!
 //! Nodes therefore send each other small items in full, and for a large item only a [`Notice`] with
 //! its key, revision and digest. A node that lacks the item [fetches](crate::fetch) the
-//! [`difference`] from the value that it has, concurrently with other updates. For this, nodes keep
+//! [delta](crate::delta) against the value that it has, concurrently with other updates. For this, nodes keep
 //! four former values of each key.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -16,7 +16,7 @@
 use fescuerack_core::clock::Instant;
 use serde::{Deserialize, Serialize};
 
-use crate::difference;
+use crate::delta_codec;
 use crate::platform::Item;
 
 /// Minimum size of a large value in bytes: what a link of 10 Mbit/s transfers in 6 ms. Entries of
@@ -57,7 +57,7 @@
             key: item.key.clone(),
             revision: item.revision,
             length: value.len(),
-            digest: difference::digest(value),
+            digest: delta_codec::digest(value),
         })
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod catalog;
 pub mod clock;
 pub mod delta;
-pub mod difference;
+pub mod delta_codec;
 pub mod eligible;
 pub mod entry;
 pub mod events;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::platform::Platform;
 use crate::publisher::Publisher;
-use crate::rollout::PendingAttempt;
+use crate::rollout::TrackedAttempt;
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::upstream::Pool;
@@ -65,7 +65,7 @@
     /// Evidence on roll-outs, by service.
     pub evidence: RefCell<HashMap<Arc<str>, Evidence>>,
     /// Attempts without an answer yet, at services with a roll-out.
-    pub pending_attempts: RefCell<Slab<PendingAttempt>>,
+    pub tracked_attempts: RefCell<Slab<TrackedAttempt>>,
     /// Sessions that this node recently served on versions that are not canaries.
     pub recent_sessions: RefCell<Recent>,
     /// Such sessions of other nodes, restricted to those that a canary would move.
@@ -123,7 +123,7 @@
             retry_budgets: RefCell::default(),
             suspects: RefCell::default(),
             evidence: RefCell::default(),
-            pending_attempts: RefCell::default(),
+            tracked_attempts: RefCell::default(),
             recent_sessions: RefCell::default(),
             peer_sessions: RefCell::default(),
             peer_load: RefCell::default(),
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Whether the server reports that it did not execute the request.
-    pub is_not_executed: bool,
+    pub is_not_run: bool,
     /// Whether the response carries the identifier of the request that was sent.
     pub is_for_request: bool,
     /// The model's confidence in its answer, in percent.
@@ -256,7 +256,7 @@
 
 /// The record of a roll-out, which operators read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RolloutStatus {
+pub struct RolloutRecord {
     /// Service.
     pub service: Arc<str>,
     /// Version that was to be rolled out.
@@ -282,9 +282,9 @@
     /// The order for a roll-out of the service was withdrawn.
     RolloutGone(Arc<str>),
     /// The record of a roll-out was written.
-    RolloutStatus(RolloutStatus),
+    RolloutRecord(RolloutRecord),
     /// The record of a roll-out was removed.
-    RolloutStatusGone(Arc<str>),
+    RolloutRecordGone(Arc<str>),
     /// Operators ordered the evacuation of an availability zone, so that its servers get no
     /// requests, or withdrew the order.
     Evacuation {
@@ -308,8 +308,8 @@
             Self::Server(_) | Self::ServerGone(_) => ChangeKind::Server,
             Self::Rollout(_)
             | Self::RolloutGone(_)
-            | Self::RolloutStatus(_)
-            | Self::RolloutStatusGone(_) => ChangeKind::Rollout,
+            | Self::RolloutRecord(_)
+            | Self::RolloutRecordGone(_) => ChangeKind::Rollout,
             Self::Evacuation { .. } => ChangeKind::Evacuation,
             Self::Internal => ChangeKind::Node,
             Self::ServerUnreadable(..) | Self::Unreadable(_) => ChangeKind::Unreadable,
@@ -342,5 +342,5 @@
     /// Decodes a key of the store.
     fn decode_item(&self, item: &Item) -> Change;
     /// Returns the key and the value of the record of a roll-out.
-    fn encode_rollout_status(&self, status: &RolloutStatus) -> (String, String);
+    fn encode_rollout_record(&self, status: &RolloutRecord) -> (String, String);
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -28,7 +28,7 @@
     /// The body was truncated, or the request was malformed.
     IncompleteBody,
     /// The request was not executed and will not be; no server can take it now.
-    NotExecuted,
+    NotRun,
     /// The request may have been executed; no answer was received.
     OutcomeUnknown,
     /// The request may have been executed; its deadline has passed.
@@ -40,7 +40,7 @@
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
-            Self::NotReady | Self::NotExecuted => StatusCode::SERVICE_UNAVAILABLE,
+            Self::NotReady | Self::NotRun => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -59,7 +59,7 @@
             Self::UnknownKey => "no-key",
             Self::TooLarge => "too-large",
             Self::IncompleteBody => "no-body",
-            Self::NotExecuted => "not-run",
+            Self::NotRun => "not-run",
             Self::OutcomeUnknown => "unknown",
             Self::DeadlineExceeded => "late",
         }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -22,7 +22,7 @@
 use hyper::Response;
 use hyper::body::{Frame, Incoming};
 
-use crate::attempt::{self, AttemptResult, Job, NotExecuted, OpenResponse};
+use crate::attempt::{self, AttemptResult, Job, NotRunReason, OpenResponse};
 use crate::body::{AbortReason, Relayed, ResponseBody};
 use crate::clock::{deadline, now};
 use crate::events::Splitter;
@@ -155,7 +155,7 @@
                     self.node
                         .suspects
                         .borrow_mut()
-                        .record_success(now(), self.job.digest);
+                        .record_success(now(), self.job.fingerprint);
                     return Ok("whole");
                 }
                 Segment::CallerLeft => return Ok("caller-left"),
@@ -170,7 +170,7 @@
                     self.node
                         .suspects
                         .borrow_mut()
-                        .record_crash(now(), self.job.digest);
+                        .record_crash(now(), self.job.fingerprint);
                     tracing::info!(
                         event = "stream-broken",
                         id = self.job.head.id,
@@ -302,7 +302,7 @@
         if !route.resumable {
             return Duration::from_mins(10);
         }
-        match route.pause_ms {
+        match route.inter_token_target_ms {
             Some(pause_ms) => Duration::from_millis(pause_ms).mul_f64(STALL_FACTOR),
             None => Duration::from_millis(DEFAULT_STALL_MS),
         }
@@ -343,7 +343,7 @@
                 {
                     return Some(*response);
                 }
-                AttemptResult::NotExecuted(NotExecuted::Unreachable) => {
+                AttemptResult::NotRun(NotRunReason::Unreachable) => {
                     // No byte was sent, so this does not count as an attempt.
                     self.sent -= 1;
                     self.tried.push(pick.id);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response};
 use rand::RngExt as _;
 
-use crate::attempt::{self, AttemptResult, Job, NotExecuted};
+use crate::attempt::{self, AttemptResult, Job, NotRunReason};
 use crate::body::ResponseBody;
 use crate::catalog::Kind;
 use crate::clock::{deadline, now};
@@ -112,7 +112,7 @@
         .borrow()
         .catalog
         .as_ref()
-        .map_or(0, |catalog| catalog.version);
+        .map_or(0, |catalog| catalog.config_version);
     tracing::info!(
         event = "request",
         id,
@@ -126,15 +126,15 @@
 }
 
 async fn route(node: &Rc<Node>, job: Rc<Job>) -> Result<Response<ResponseBody>, Refusal> {
-    if node.suspects.borrow().is_refused(now(), job.digest) {
+    if node.suspects.borrow().is_refused(now(), job.fingerprint) {
         tracing::warn!(
             event = "crashing-request",
             id = job.head.id,
-            digest = job.digest
+            digest = job.fingerprint
         );
-        return Err(Refusal::NotExecuted);
+        return Err(Refusal::NotRun);
     }
-    let service = pick::choose_service(&job.route, &job.head.id).ok_or(Refusal::NotExecuted)?;
+    let service = pick::choose_service(&job.route, &job.head.id).ok_or(Refusal::NotRun)?;
     node.retry_budgets
         .borrow_mut()
         .entry(service.clone())
@@ -149,7 +149,7 @@
     let result = match tokio::time::timeout_at(until, run_attempts).await {
         Ok(result) => result,
         Err(_) if progress.may_have_run => Err(Refusal::DeadlineExceeded),
-        Err(_) => Err(Refusal::NotExecuted),
+        Err(_) => Err(Refusal::NotRun),
     };
     match (result, progress.fallback) {
         (Err(refusal), Some(fallback)) => Ok(serve_fallback(
@@ -227,15 +227,15 @@
         let outcome =
             attempt::run(node, job, pick.clone(), named, job.head.last_event, until).await;
         match outcome {
-            AttemptResult::NotExecuted(reason) => {
+            AttemptResult::NotRun(reason) => {
                 progress.may_have_run = may_have_run;
                 progress.tried.push(pick.id.clone());
                 let may_continue = match reason {
-                    NotExecuted::Unreachable => {
+                    NotRunReason::Unreachable => {
                         progress.connect_failures += 1;
                         progress.connect_failures < MAX_CONNECT_FAILURES
                     }
-                    NotExecuted::Reported => {
+                    NotRunReason::Reported => {
                         progress.sent += 1;
                         take_retry(node, job, service, progress.sent, "not-run")
                     }
@@ -251,7 +251,9 @@
                 };
                 verdict::count_outcome(node, job, &pick, progress.model, ended);
                 if matches!(outcome, AttemptResult::Unknown) {
-                    node.suspects.borrow_mut().record_crash(now(), job.digest);
+                    node.suspects
+                        .borrow_mut()
+                        .record_crash(now(), job.fingerprint);
                 }
                 progress.tried.push(pick.id.clone());
                 progress.sent += 1;
@@ -281,7 +283,7 @@
     if progress.may_have_run {
         Refusal::OutcomeUnknown
     } else {
-        Refusal::NotExecuted
+        Refusal::NotRun
     }
 }
 
@@ -293,8 +295,11 @@
         .as_ref()
         .map_or(job.deadline, |fallback| fallback.until);
     let is_last = progress.sent + 1 >= job.route.attempts;
-    let (Some(target_ms), false, true) = (job.route.target_ms, is_last, job.route.is_repeatable())
-    else {
+    let (Some(target_ms), false, true) = (
+        job.route.target_latency_ms,
+        is_last,
+        job.route.is_repeatable(),
+    ) else {
         return latest;
     };
     let target = Duration::from_millis(target_ms);
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -17,7 +17,7 @@
 use crate::node::{Evidence, Node};
 use crate::peer;
 use crate::pick::Pick;
-use crate::platform::{Progress, RolloutStatus, StoreRequest, StoreResponse};
+use crate::platform::{Progress, RolloutRecord, StoreRequest, StoreResponse};
 use crate::view::Order;
 
 /// Milliseconds between two evaluations.
@@ -73,7 +73,7 @@
 /// Answers of a slow version end long after those of the other version, many of them after the end
 /// of the canary. An answer that is already slow is therefore counted before it has ended.
 #[derive(Debug)]
-pub struct PendingAttempt {
+pub struct TrackedAttempt {
     service: Arc<str>,
     route: Arc<str>,
     is_new: bool,
@@ -83,22 +83,22 @@
     is_waiting: bool,
 }
 
-/// Keeps an attempt in [`Node::pending_attempts`] until it is dropped.
-pub struct PendingGuard {
+/// Keeps an attempt in [`Node::tracked_attempts`] until it is dropped.
+pub struct TrackingGuard {
     node: Rc<Node>,
     key: usize,
 }
 
-impl Drop for PendingGuard {
+impl Drop for TrackingGuard {
     fn drop(&mut self) {
-        self.node.pending_attempts.borrow_mut().try_remove(self.key);
+        self.node.tracked_attempts.borrow_mut().try_remove(self.key);
     }
 }
 
-impl PendingGuard {
+impl TrackingGuard {
     /// Records that the response head was received: from now on the answer does not become slow.
     pub fn record_head(&mut self) {
-        if let Some(attempt) = self.node.pending_attempts.borrow_mut().get_mut(self.key) {
+        if let Some(attempt) = self.node.tracked_attempts.borrow_mut().get_mut(self.key) {
             attempt.slow_from = attempt.slow_from.filter(|from| now() >= *from);
             attempt.is_waiting = false;
         }
@@ -114,7 +114,7 @@
     route: &Arc<str>,
     latency_class: u64,
     expected_ms: f64,
-) -> Option<PendingGuard> {
+) -> Option<TrackingGuard> {
     let (is_new, is_loaded) = {
         let view = node.view.borrow();
         let order = view.orders.get(&pick.service)?;
@@ -132,15 +132,15 @@
     let slow_ms = baseline.and_then(|baseline| baseline.slow_threshold_ms(expected_ms));
     // Servers under load and cold servers are slower regardless of their version.
     let slow_ms = slow_ms.filter(|_| !is_loaded && !pick.is_cold);
-    let attempt = PendingAttempt {
+    let attempt = TrackedAttempt {
         service: pick.service.clone(),
         route: route.clone(),
         is_new,
         slow_from: slow_ms.map(|millis| now() + Duration::from_secs_f64(millis / 1_000.0)),
         is_waiting: is_loaded,
     };
-    let key = node.pending_attempts.borrow_mut().insert(attempt);
-    Some(PendingGuard {
+    let key = node.tracked_attempts.borrow_mut().insert(attempt);
+    Some(TrackingGuard {
         node: node.clone(),
         key,
     })
@@ -150,7 +150,7 @@
 #[must_use]
 pub fn local_counts(node: &Node, service: &str, evidence: &Evidence) -> canary::Counts {
     let mut counts = evidence.local.clone();
-    let pending = node.pending_attempts.borrow();
+    let pending = node.tracked_attempts.borrow();
     let of_service = pending
         .iter()
         .filter(|(_, attempt)| *attempt.service == *service);
@@ -318,12 +318,12 @@
     if node.view.borrow().outage.is_ongoing() {
         return;
     }
-    let status = RolloutStatus {
+    let status = RolloutRecord {
         service: order.rollout.service.clone(),
         version: order.rollout.version.clone(),
         progress,
     };
-    let (key, value) = node.platform.encode_rollout_status(&status);
+    let (key, value) = node.platform.encode_rollout_record(&status);
     let put = StoreRequest::Put {
         key: &key,
         value: &value,
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -132,7 +132,9 @@
             if head.status.is_server_error() && progress.fallback.is_some() {
                 return Verdict::Refuse(Refusal::OutcomeUnknown);
             }
-            node.suspects.borrow_mut().record_success(now(), job.digest);
+            node.suspects
+                .borrow_mut()
+                .record_success(now(), job.fingerprint);
             headers::strip_hop_by_hop(&mut head.headers);
             Verdict::Answer(Response::from_parts(
                 head,
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -252,7 +252,7 @@
                     revision = item.revision
                 );
             }
-            Change::RolloutStatus(status) => {
+            Change::RolloutRecord(status) => {
                 if let Some(order) = self.orders.get_mut(&status.service) {
                     order.record_revision = item.revision;
                     if order.rollout.version == status.version {
@@ -267,7 +267,7 @@
                     );
                 }
             }
-            Change::RolloutStatusGone(service) => {
+            Change::RolloutRecordGone(service) => {
                 if let Some(order) = self.orders.get_mut(&service) {
                     order.progress = None;
                     order.record_revision = 0;
@@ -303,10 +303,13 @@
     }
 
     fn apply_catalog(&mut self, catalog: Arc<Catalog>) {
-        let before = self.catalog.as_ref().map_or(0, |previous| previous.version);
+        let before = self
+            .catalog
+            .as_ref()
+            .map_or(0, |previous| previous.config_version);
         tracing::info!(
             event = "configuration",
-            version = catalog.version,
+            version = catalog.config_version,
             before,
             routes = catalog.routes.len(),
             organisations = catalog.organisations.len()
--- a/crates/gateway/tests/all/difference.rs
+++ b/crates/gateway/tests/all/delta_codec.rs
@@ -1,6 +1,6 @@
 //! Tests of delta compression.
 
-use fescuerack_gateway::difference::{decode, digest, encode};
+use fescuerack_gateway::delta_codec::{decode, digest, encode};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/gateway/tests/all/main.rs
+++ b/crates/gateway/tests/all/main.rs
@@ -1,7 +1,7 @@
 //! Tests of gateway modules without a network.
 
 mod arrival;
-mod difference;
+mod delta_codec;
 mod events;
 mod large;
 mod logs;
--- a/crates/gateway/tests/all/refusal.rs
+++ b/crates/gateway/tests/all/refusal.rs
@@ -16,7 +16,7 @@
     let deadline = NOW.plus_millis(left_ms);
     let mut seconds: Vec<f64> = (0..100_u8)
         .map(|step| {
-            let response = Refusal::NotExecuted.response(NOW, deadline, f64::from(step) / 100.0);
+            let response = Refusal::NotRun.response(NOW, deadline, f64::from(step) / 100.0);
             let value = response.headers()[RETRY_AFTER]
                 .to_str()
                 .expect("text")
@@ -35,7 +35,7 @@
 
 /// Only a request that was certainly not executed may be reported as retryable.
 #[rstest]
-#[case(Refusal::NotExecuted, 503, true)]
+#[case(Refusal::NotRun, 503, true)]
 #[case(Refusal::NotReady, 503, true)]
 #[case(Refusal::OutcomeUnknown, 502, false)]
 #[case(Refusal::DeadlineExceeded, 504, false)]
