--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -23,7 +23,7 @@
 /// A caller's request with its whole body.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Route.
+    /// Route that matched the request.
     pub route: Arc<Route>,
     /// Organisation of the caller.
     pub organisation: Option<Arc<str>>,
@@ -34,19 +34,19 @@
     pub priority: Option<u32>,
     /// Headers of the caller, parsed.
     pub head: RequestHead,
-    /// Method.
+    /// Method as received.
     pub method: Method,
     /// Path and query as received.
     pub target: Uri,
     /// Headers of the caller. Hop-by-hop headers are removed for each attempt.
     pub headers: HeaderMap,
-    /// Body.
+    /// Whole body, which each attempt sends.
     pub body: Bytes,
     /// When its head was received.
     pub arrived: Instant,
     /// When the answer must have been sent.
     pub deadline: Instant,
-    /// Digest by which a request that crashes servers is recognised.
+    /// Hash of caller, path and body, by which a request that crashes servers is recognised.
     pub fingerprint: u64,
     /// Hash of its session.
     pub session: u64,
@@ -54,9 +54,9 @@
 
 /// The result of an attempt.
 pub enum AttemptResult {
-    /// The server did not execute the request, or no byte of it was sent.
+    /// The server did not run the request, or no byte of it was sent.
     NotRun(NotRunReason),
-    /// The server may have executed the request.
+    /// The server may have run the request.
     Unknown,
     /// No head was received before the deadline of the attempt.
     TimedOut,
@@ -64,7 +64,7 @@
     Responded(Box<OpenResponse>),
 }
 
-/// Why it is certain that a request was not executed.
+/// Why it is certain that a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunReason {
     /// No byte was sent: the server could not be reached.
@@ -87,42 +87,61 @@
     pub expected_head_ms: f64,
     /// Counts the request as running on the server.
     pub in_flight: InFlight,
-    /// Reports a slow response to the roll-out while it lasts, until its outcome is counted.
-    pub watched: Option<TrackingGuard>,
+    /// Keeps the attempt among [`Node::tracked_attempts`] until its outcome is counted.
+    pub tracking_guard: Option<TrackingGuard>,
 }
 
 /// A response whose head has not been checked yet.
 struct ReceivedResponse {
     answered: Answered,
     in_flight: InFlight,
-    watched: Option<TrackingGuard>,
+    tracking_guard: Option<TrackingGuard>,
     head_ms: f64,
     expected_head_ms: f64,
 }
 
-/// Sends `job` to `pick` and waits for the head of the response until `until`.
+/// A model that the gateway has chosen for a request.
+#[derive(Clone, Copy, Debug)]
+pub struct ChosenModel<'a> {
+    /// Index among the models of the route, which begin with the smallest.
+    pub rank: usize,
+    /// Name of the model.
+    pub name: &'a str,
+}
+
+/// Sends `job` to `pick` and waits for the head of the response until `until`. `model` is `None` if
+/// the gateway does not choose it. `last_event` identifies the last event that the caller has
+/// received.
 pub async fn run(
     node: &Rc<Node>,
     job: &Job,
     pick: Pick,
-    model: Option<(usize, &str)>,
+    model: Option<ChosenModel<'_>>,
     last_event: Option<u64>,
     until: Instant,
 ) -> AttemptResult {
     let models = job.route.models.len();
-    let work = pick::work(&job.head, model.map(|(rank, _)| (rank, models)));
+    let rank = model.map(|model| model.rank);
+    let work = pick::work(&job.head, rank.map(|rank| (rank, models)));
     let mut in_flight = InFlight::new(node, &pick, work);
     let started = now();
-    let kind = verdict::latency_class(job, model.map(|(rank, _)| rank));
+    let latency_class = verdict::latency_class(job, rank);
     let expected_head_ms = expected_head_ms(node, &pick, work);
-    let mut watched = rollout::track(node, &pick, &job.route.name, kind, expected_head_ms);
-    let request = request(node, job, &pick, model.map(|(_, name)| name), last_event);
+    let mut tracking_guard = rollout::track(
+        node,
+        &pick,
+        &job.route.name,
+        latency_class,
+        expected_head_ms,
+    );
+    let request = request(node, job, &pick, model.map(|model| model.name), last_event);
     let sent = node
         .pool
         .send(pick.address, request, job.route.is_repeatable());
     let Ok(sent) = tokio::time::timeout_at(deadline(until), sent).await else {
         // An overloaded server is silent too. Ejecting it at once would move its work to the other
-        // servers, which would become silent in turn.
+        // servers, which would become silent in turn. A time-out is therefore one failure in the
+        // average of `health` and is not recorded in the attempt counts that all nodes share.
         record_outcome(
             node,
             job,
@@ -163,13 +182,13 @@
             in_flight.mark_prefill_done();
             let head_ms = now().since(started).as_secs_f64() * 1_000.0;
             record_wait(node, &pick, work, head_ms);
-            if let Some(watched) = &mut watched {
-                watched.record_head();
+            if let Some(tracking_guard) = &mut tracking_guard {
+                tracking_guard.record_head();
             }
             let received = ReceivedResponse {
                 answered,
                 in_flight,
-                watched,
+                tracking_guard,
                 head_ms,
                 expected_head_ms,
             };
@@ -259,7 +278,7 @@
         head_ms: received.head_ms,
         expected_head_ms: received.expected_head_ms,
         in_flight: received.in_flight,
-        watched: received.watched,
+        tracking_guard: received.tracking_guard,
     }))
 }
 
@@ -270,10 +289,10 @@
     model: Option<&str>,
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
-    let left = job.deadline.since(now()).as_millis();
-    let order = UpstreamHead {
+    let remaining = job.deadline.since(now()).as_millis();
+    let head = UpstreamHead {
         server: &pick.id,
-        remaining_ms: Some(u64::try_from(left).unwrap_or(u64::MAX)),
+        remaining_ms: Some(u64::try_from(remaining).unwrap_or(u64::MAX)),
         organisation: job.organisation.as_deref(),
         priority: Some(job.priority.unwrap_or(job.route.priority)),
         model,
@@ -285,7 +304,7 @@
     *request.headers_mut() = job.headers.clone();
     headers::strip_hop_by_hop(request.headers_mut());
     node.platform
-        .write_upstream_head(request.headers_mut(), &order);
+        .write_upstream_head(request.headers_mut(), &head);
     request
 }
 
@@ -311,7 +330,7 @@
     // The outcome of a request before a restart does not count for the restarted server.
     if let Some(server) = server.filter(|server| server.identity == pick.identity) {
         running = server.running;
-        // A server may be silent because it is overloaded.
+        // A server may be silent because it is overloaded; see `run`.
         if let Some(outcome) = outcome
             && label != "silent"
         {
@@ -324,6 +343,7 @@
         if let Some(outcome) = outcome
             && server.health.observe(ended, outcome)
         {
+            // This is the event of an ejection.
             tracing::warn!(
                 event = "server-left-out",
                 server = &*pick.id,
--- a/crates/gateway/src/delta.rs
+++ b/crates/gateway/src/delta.rs
@@ -12,19 +12,19 @@
 use crate::message;
 use crate::platform::Item;
 
-/// A value, encoded as its difference from an earlier one.
+/// A value, encoded as a delta against an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Key, revision, length and digest of the encoded value.
     pub notice: Notice,
-    /// Revision of the base, the value from which it differs; zero for none.
+    /// Revision of the base, the value that it was encoded against; zero for none.
     pub base: u64,
-    /// The difference, in base64.
+    /// The frame of [`delta_codec`], in base64.
     pub frame: Arc<str>,
 }
 
 impl Delta {
-    /// Encodes `item` as its difference from `base`, its value at `base_revision`.
+    /// Encodes `item` as a delta against `base`, its value at `base_revision`.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/delta_codec.rs
+++ b/crates/gateway/src/delta_codec.rs
@@ -1,9 +1,9 @@
 //! Delta compression of a text against an earlier text.
 //!
 //! A configuration of 2,000 routes has 0.4 MB, and most changes concern one route. Encoded as a
-//! Zstandard frame with the earlier text as its prefix, such a change has some hundred bytes, and
-//! 1,400 new routes have a tenth of their text. Without an earlier text the frame is
-//! self-contained.
+//! Zstandard frame with the earlier text as its prefix, such a change has a few hundred bytes, and
+//! the frame of 1,400 new routes has a tenth of the size of their text. Without an earlier text the
+//! frame is self-contained.
 
 use std::io::{Cursor, Read as _};
 
@@ -11,8 +11,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 use zstd::stream::{read, write};
 
-/// Compression level, the lowest of the library's usual range: a higher one makes a large change no
-/// smaller and takes longer for a small one.
+/// Compression level, the lowest of the library's usual range. A higher one takes longer for a
+/// small change and makes the frame of a large change no smaller.
 const LEVEL: i32 = 1;
 /// Range of the window sizes that the format supports, as powers of two.
 const WINDOW_LOG: std::ops::RangeInclusive<u32> = 10..=27;
@@ -23,7 +23,7 @@
     xxh3_64(text.as_bytes())
 }
 
-/// Encodes `text` as its difference from `base`, which is empty if there is none.
+/// Encodes `text` as a delta against `base`, which is empty if there is none.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/large.rs
+++ b/crates/gateway/src/large.rs
@@ -7,8 +7,8 @@
 //!
 //! Nodes therefore send each other small items in full, and for a large item only a [`Notice`] with
 //! its key, revision and digest. A node that lacks the item [fetches](crate::fetch) the
-//! [delta](crate::delta) against the value that it has, concurrently with other updates. For this, nodes keep
-//! four former values of each key.
+//! [delta](crate::delta) against the value that it has, concurrently with other updates. For this,
+//! nodes keep four former values of each key.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::platform::Item;
 
 /// Minimum size of a large value in bytes: what a link of 10 Mbit/s transfers in 6 ms. Entries of
-/// servers and nodes have some hundred bytes.
+/// servers and nodes have a few hundred bytes.
 pub const MIN_LARGE_BYTES: usize = 8_192;
 /// Maximum number of former values that are kept of a key. Nodes request an item within seconds of a
 /// change, and operators make a few changes in that time. Values have a megabyte at most, so these
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,8 @@
 //! The gateway: routes callers' requests to backend servers and returns their answers.
 //!
-//! A process has one thread and runs on a [`Platform`](platform::Platform), whose names and formats
-//! an adapter supplies. [`process`] starts the tasks of a [`node`]:
+//! An instance is a machine of the router; the process on it is a node. A node has one thread and
+//! runs on a [`Platform`](platform::Platform), whose names and formats an adapter supplies.
+//! [`process`] starts the tasks of a [`node`]:
 //!
 //! - [`listeners`] accepts connections of callers and peers.
 //! - [`follow`] receives changes of the store from a [`source`], the store itself or a peer that is
--- a/crates/gateway/src/load_report.rs
+++ b/crates/gateway/src/load_report.rs
@@ -39,7 +39,7 @@
     tables: Tables,
 }
 
-/// Reports that a node has received as a hub or as the top.
+/// Reports that a node has received as a hub of its group, or as the top of the hubs.
 #[derive(Clone, Debug, Default)]
 pub struct Aggregator {
     load: Hub,
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -64,7 +64,7 @@
     pub suspects: RefCell<Suspects>,
     /// Evidence on roll-outs, by service.
     pub evidence: RefCell<HashMap<Arc<str>, Evidence>>,
-    /// Attempts without an answer yet, at services with a roll-out.
+    /// Attempts at services with a roll-out whose outcome has not been counted.
     pub tracked_attempts: RefCell<Slab<TrackedAttempt>>,
     /// Sessions that this node recently served on versions that are not canaries.
     pub recent_sessions: RefCell<Recent>,
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -1,9 +1,9 @@
 //! Exchange of state with peers, and the server for all messages from peers.
 //!
 //! The request of an exchange carries the revision of the sending node, its counts for running
-//! roll-outs and the digests of the requests that it saw crash servers. The reply carries newer
-//! items, the sums of the counts that the other node has received, and its own suspects. Nodes
-//! exchange only in two cases:
+//! roll-outs and the fingerprints of the requests that it observed to crash servers. The reply
+//! carries newer items, the sums of the counts that the other node has received, and its own
+//! suspects. Nodes exchange only in two cases:
 //!
 //! - The store does not answer: the node asks a random peer for newer items.
 //! - A roll-out is running: once a second, each node reports to the collector of the service, which
@@ -152,6 +152,12 @@
     (member.name != local).then(|| (member.name.to_owned(), address))
 }
 
+/// Returns whether this node is the collector of a service.
+#[must_use]
+pub fn is_collector(node: &Node, service: &str) -> bool {
+    collector(node, service).is_none()
+}
+
 fn peers(node: &Node) -> Vec<(String, SocketAddr)> {
     let local = node.settings.borrow().instance.clone();
     let view = node.view.borrow();
@@ -270,8 +276,8 @@
 
 fn receive_suspects(node: &Node, suspects: &[(u64, u32)]) {
     let mut known = node.suspects.borrow_mut();
-    for &(digest, crashes) in suspects {
-        known.receive(now(), digest, crashes);
+    for &(fingerprint, crashes) in suspects {
+        known.receive(now(), fingerprint, crashes);
     }
 }
 
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -66,7 +66,7 @@
 /// The head of a backend server's response, parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Whether the server reports that it did not execute the request.
+    /// Whether the server reports that it did not run the request.
     pub is_not_run: bool,
     /// Whether the response carries the identifier of the request that was sent.
     pub is_for_request: bool,
@@ -322,7 +322,7 @@
     /// Parses the headers of a caller's request.
     fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
     /// Replaces the headers that only the gateway may set.
-    fn write_upstream_head(&self, headers: &mut HeaderMap, order: &UpstreamHead<'_>);
+    fn write_upstream_head(&self, headers: &mut HeaderMap, head: &UpstreamHead<'_>);
     /// Parses the head of a backend server's response to the request `id`.
     fn parse_response_head(
         &self,
@@ -342,5 +342,5 @@
     /// Decodes a key of the store.
     fn decode_item(&self, item: &Item) -> Change;
     /// Returns the key and the value of the record of a roll-out.
-    fn encode_rollout_record(&self, status: &RolloutRecord) -> (String, String);
+    fn encode_rollout_record(&self, record: &RolloutRecord) -> (String, String);
 }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -21,7 +21,7 @@
     pub sent: u32,
     /// Attempts at servers that could not be reached.
     pub connect_failures: u32,
-    /// Whether the request may have been executed.
+    /// Whether the request may have been run.
     pub may_have_run: bool,
     /// Index of the model for the next attempt.
     pub model: Option<usize>,
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn new(mut response: OpenResponse, model: usize, job: &Job) -> Self {
         // Its outcome was counted when it was found to be of low confidence.
-        response.watched = None;
+        response.tracking_guard = None;
         let rest = job.deadline.since(job.arrived) / FALLBACK_RESERVE_DIVISOR;
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
         Self {
--- a/crates/gateway/src/publisher.rs
+++ b/crates/gateway/src/publisher.rs
@@ -14,9 +14,9 @@
 /// Path on which a node serves large items.
 pub const PATH: &str = "/large";
 /// Maximum number of encoded deltas that are cached. The nodes of a zone receive a change within a
-/// second of each other, so most have one of the last few revisions as their base; a delta has some
-/// ten kilobytes.
-const MAX_CACHED: usize = 4;
+/// second of each other, so most have one of the last few revisions as their base. At 2,000 routes
+/// the delta of one changed route has less than 1 KB and that of 1,400 new routes 21 KB.
+const MAX_CACHED_DELTAS: usize = 4;
 
 /// Request for a large item.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 
     fn insert(&self, delta: Delta) {
         let mut cache = self.cache.borrow_mut();
-        if cache.len() >= MAX_CACHED {
+        if cache.len() >= MAX_CACHED_DELTAS {
             cache.remove(0);
         }
         cache.push(delta);
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -27,11 +27,11 @@
     TooLarge,
     /// The body was truncated, or the request was malformed.
     IncompleteBody,
-    /// The request was not executed and will not be; no server can take it now.
+    /// The request was not run and will not be; no server can take it now.
     NotRun,
-    /// The request may have been executed; no answer was received.
+    /// The request may have been run; no answer was received.
     OutcomeUnknown,
-    /// The request may have been executed; its deadline has passed.
+    /// The request may have been run; its deadline has passed.
     DeadlineExceeded,
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -22,7 +22,7 @@
 use hyper::Response;
 use hyper::body::{Frame, Incoming};
 
-use crate::attempt::{self, AttemptResult, Job, NotRunReason, OpenResponse};
+use crate::attempt::{self, AttemptResult, ChosenModel, Job, NotRunReason, OpenResponse};
 use crate::body::{AbortReason, Relayed, ResponseBody};
 use crate::clock::{deadline, now};
 use crate::events::Splitter;
@@ -39,8 +39,8 @@
 const STALL_FACTOR: f64 = 1.6;
 /// Minimum number of events for a meaningful mean time between events.
 const MIN_EVENTS: u32 = 4;
-/// Milliseconds without an event before a hedged request is sent, if the route states no longest
-/// pause.
+/// Milliseconds without an event before a hedged request is sent, if the route states no target
+/// inter-token latency.
 const DEFAULT_STALL_MS: u64 = 5_000;
 
 struct Stream {
@@ -213,7 +213,7 @@
         let OpenResponse {
             answered,
             in_flight,
-            watched: _watched,
+            tracking_guard: _tracking_guard,
             pick,
             ..
         } = response;
@@ -303,7 +303,7 @@
             return Duration::from_mins(10);
         }
         match route.inter_token_target_ms {
-            Some(pause_ms) => Duration::from_millis(pause_ms).mul_f64(STALL_FACTOR),
+            Some(target_ms) => Duration::from_millis(target_ms).mul_f64(STALL_FACTOR),
             None => Duration::from_millis(DEFAULT_STALL_MS),
         }
     }
@@ -328,11 +328,12 @@
                 &self.tried,
             )?;
             let named = self.model.zip(name.as_deref());
+            let model = named.map(|(rank, name)| ChosenModel { rank, name });
             let result = attempt::run(
                 &self.node,
                 &self.job,
                 pick.clone(),
-                named,
+                model,
                 self.splitter.last(),
                 self.job.deadline,
             )
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response};
 use rand::RngExt as _;
 
-use crate::attempt::{self, AttemptResult, Job, NotRunReason};
+use crate::attempt::{self, AttemptResult, ChosenModel, Job, NotRunReason};
 use crate::body::ResponseBody;
 use crate::catalog::Kind;
 use crate::clock::{deadline, now};
@@ -222,10 +222,12 @@
         };
         let may_have_run = progress.may_have_run;
         progress.may_have_run = true;
-        let named = model.as_ref().map(|(rank, name)| (*rank, &**name));
+        let chosen = model
+            .as_ref()
+            .map(|(rank, name)| ChosenModel { rank: *rank, name });
         let until = attempt_deadline(job, progress);
         let outcome =
-            attempt::run(node, job, pick.clone(), named, job.head.last_event, until).await;
+            attempt::run(node, job, pick.clone(), chosen, job.head.last_event, until).await;
         match outcome {
             AttemptResult::NotRun(reason) => {
                 progress.may_have_run = may_have_run;
@@ -310,9 +312,9 @@
     (now() + timeout).min(latest)
 }
 
-/// Returns the time-out until the head of a stream, with `left` until the deadline. Unless the
-/// minimum is longer, it is at most half of `left`, since the next server needs as long.
-fn stream_attempt_timeout(target: Duration, left: Duration) -> Duration {
-    let upper = target.mul_f64(STREAM_MAX_TIMEOUT_FACTOR).min(left / 2);
+/// Returns the time-out until the head of a stream, with `remaining` until the deadline. Unless
+/// the minimum is longer, it is at most half of `remaining`, since the next server needs as long.
+fn stream_attempt_timeout(target: Duration, remaining: Duration) -> Duration {
+    let upper = target.mul_f64(STREAM_MAX_TIMEOUT_FACTOR).min(remaining / 2);
     upper.max(target.mul_f64(STREAM_MIN_TIMEOUT_FACTOR))
 }
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -3,6 +3,12 @@
 //! Any node may write the record of a roll-out, on the condition that it has not changed since this
 //! node read it. A record with an outcome is never written again. No lease is therefore needed, and
 //! if a node fails in between, the next node that evaluates the roll-out continues it.
+//!
+//! The version that is rolled out is the new version and the other one the old version, as in
+//! [`canary::Pair`]. If the evidence is against the new version, the verdict is
+//! [`Verdict::Reject`]. The node then halts the roll-out locally ([`Order::is_halted`]): it sends
+//! no more requests to the new version, even if the record cannot be written. The state in the
+//! record is [`Progress::RolledBack`].
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,8 +28,8 @@
 
 /// Milliseconds between two evaluations.
 const EVALUATION_INTERVAL_MS: u64 = 300;
-/// Milliseconds for which the other nodes leave it to the collector to open the record and to record
-/// a completion.
+/// Head start of the collector in milliseconds. The other nodes create the record, or record a
+/// completion, only after it, so that usually one node writes.
 const COLLECTOR_LEAD_MS: u64 = 1_500;
 
 /// Outcome of an answer, as it counts for a roll-out.
@@ -68,7 +74,7 @@
     }
 }
 
-/// An attempt without an answer yet, at a server of a service with a roll-out.
+/// An attempt at a server of a service with a roll-out, whose outcome has not been counted.
 ///
 /// Answers of a slow version end long after those of the other version, many of them after the end
 /// of the canary. An answer that is already slow is therefore counted before it has ended.
@@ -79,7 +85,8 @@
     is_new: bool,
     /// From when the answer counts as slow.
     slow_from: Option<Instant>,
-    /// Whether the attempt started in the stage under load and has no response head yet.
+    /// Whether the attempt started in the stage under load ([`Stage::Loaded`]) and has no response
+    /// head yet.
     is_waiting: bool,
 }
 
@@ -96,7 +103,8 @@
 }
 
 impl TrackingGuard {
-    /// Records that the response head was received: from now on the answer does not become slow.
+    /// Records that the response head was received. An answer that is not slow yet is no longer
+    /// counted as slow by its waiting time.
     pub fn record_head(&mut self) {
         if let Some(attempt) = self.node.tracked_attempts.borrow_mut().get_mut(self.key) {
             attempt.slow_from = attempt.slow_from.filter(|from| now() >= *from);
@@ -150,8 +158,8 @@
 #[must_use]
 pub fn local_counts(node: &Node, service: &str, evidence: &Evidence) -> canary::Counts {
     let mut counts = evidence.local.clone();
-    let pending = node.tracked_attempts.borrow();
-    let of_service = pending
+    let tracked = node.tracked_attempts.borrow();
+    let of_service = tracked
         .iter()
         .filter(|(_, attempt)| *attempt.service == *service);
     for (_, attempt) in of_service {
@@ -201,8 +209,9 @@
         }
         return;
     }
-    // Servers under load and cold servers are slower regardless of their version, but not so slow
-    // that they do not answer within twice the target.
+    // Servers under load and cold servers are slower regardless of their version, so their slow
+    // answers are not counted. They are not so slow that an attempt times out, so an attempt that
+    // timed out is counted even there.
     let is_loaded = canary(node, &order).stage(now()) == Stage::Loaded;
     let counts_slow = outcome == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
     let pair = evidence.local.entry(route.to_owned()).or_default();
@@ -263,7 +272,7 @@
 fn may_complete(node: &Node, order: &Order, now: Instant) -> bool {
     let canary = canary(node, order);
     let is_overdue = canary.is_completion_allowed(now.minus_millis(COLLECTOR_LEAD_MS));
-    peer::collector(node, &order.rollout.service).is_none() || is_overdue
+    peer::is_collector(node, &order.rollout.service) || is_overdue
 }
 
 /// Returns the evidence on a roll-out from all nodes: the sum of the counts that this node has
@@ -318,22 +327,22 @@
     if node.view.borrow().outage.is_ongoing() {
         return;
     }
-    let status = RolloutRecord {
+    let record = RolloutRecord {
         service: order.rollout.service.clone(),
         version: order.rollout.version.clone(),
         progress,
     };
-    let (key, value) = node.platform.encode_rollout_record(&status);
+    let (key, value) = node.platform.encode_rollout_record(&record);
     let put = StoreRequest::Put {
         key: &key,
         value: &value,
         revision: Some(order.record_revision),
         lease: None,
     };
-    // The collector opens the record, so that not every node writes it. The other nodes do so only
+    // The collector creates the record, so that not every node writes it. The other nodes do so only
     // if it is still missing after a while.
     let is_due = now() >= order.ordered_at.plus_millis(COLLECTOR_LEAD_MS);
-    let is_collector = peer::collector(node, &order.rollout.service).is_none();
+    let is_collector = peer::is_collector(node, &order.rollout.service);
     if progress == Progress::Running && !is_collector && !is_due {
         return;
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -14,15 +14,14 @@
     /// Entry in the list of servers.
     pub entry: ServerEntry,
     /// Hash of its identifier and start time. All that is recorded or reported about a server is
-    /// keyed by this. So nothing that concerns an earlier start counts for or against a server that
-    /// restarted under the same identifier, even if a peer's report about the earlier one arrives
-    /// later.
+    /// keyed by this. A server that restarts under the same identifier has another identity, so a
+    /// report about its earlier start is ignored, even if a peer's report arrives after the restart.
     pub identity: u64,
     /// Outcomes of attempts at it.
     pub health: Health,
     /// Requests of this node that are running on it.
     pub running: u32,
-    /// Work of these requests, in requests of usual size.
+    /// Work of these requests, in the unit of [`pick::work`](crate::pick::work).
     pub work: f64,
     /// When the server counts as gone, if its entry vanished during an outage.
     pub expires_at: Option<Instant>,
@@ -31,8 +30,7 @@
     pub is_replaced: bool,
     /// Until when it can take only few requests, if it is cold.
     cold_until: Option<Instant>,
-    /// Entries before this revision do not make it warm, since a change at this revision made it
-    /// cold.
+    /// Revision of the change that made it cold. An entry older than it does not change the warm-up.
     cold_revision: u64,
 }
 
@@ -79,7 +77,7 @@
         self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Marks the server as warm if its warm-up time is over. Returns whether it was cold before.
+    /// Ends the warm-up if its time is over. Returns whether this call ended it.
     pub fn expire_cold(&mut self, now: Instant) -> bool {
         let is_over = self.cold_until.is_some_and(|until| now >= until);
         if is_over {
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -25,7 +25,7 @@
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// The store did not execute the call.
+    /// The store did not run the call.
     #[error("the store did nothing: {0}")]
     NotDone(String),
     /// The store may have executed the call, or may still do so.
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -252,17 +252,17 @@
                     revision = item.revision
                 );
             }
-            Change::RolloutRecord(status) => {
-                if let Some(order) = self.orders.get_mut(&status.service) {
+            Change::RolloutRecord(record) => {
+                if let Some(order) = self.orders.get_mut(&record.service) {
                     order.record_revision = item.revision;
-                    if order.rollout.version == status.version {
-                        order.progress = Some(status.progress);
+                    if order.rollout.version == record.version {
+                        order.progress = Some(record.progress);
                     }
                     tracing::info!(
                         event = "rollout-progress",
-                        service = &*status.service,
-                        version = &*status.version,
-                        progress = ?status.progress,
+                        service = &*record.service,
+                        version = &*record.version,
+                        progress = ?record.progress,
                         revision = item.revision
                     );
                 }
--- a/crates/gateway/tests/all/refusal.rs
+++ b/crates/gateway/tests/all/refusal.rs
@@ -33,7 +33,7 @@
     assert!(seconds[99] > 2.0 * seconds[0]);
 }
 
-/// Only a request that was certainly not executed may be reported as retryable.
+/// Only a request that was certainly not run may be reported as retryable.
 #[rstest]
 #[case(Refusal::NotRun, 503, true)]
 #[case(Refusal::NotReady, 503, true)]
