--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -339,7 +339,7 @@
         revision: Some(order.record_revision),
         lease: None,
     };
-    // The collector creates the record, so that not every node writes it. The other nodes do so only
+    // The collector creates the record, so that not every node writes it. The others do so only
     // if it is still missing after a while.
     let is_due = now() >= order.ordered_at.plus_millis(COLLECTOR_LEAD_MS);
     let is_collector = peer::is_collector(node, &order.rollout.service);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -14,8 +14,9 @@
     /// Entry in the list of servers.
     pub entry: ServerEntry,
     /// Hash of its identifier and start time. All that is recorded or reported about a server is
-    /// keyed by this. A server that restarts under the same identifier has another identity, so a
-    /// report about its earlier start is ignored, even if a peer's report arrives after the restart.
+    /// keyed by this. A server that restarts under the same identifier has another identity if its
+    /// entries state the start time, so a report about its earlier start is ignored, even if a
+    /// peer's report arrives after the restart.
     pub identity: u64,
     /// Outcomes of attempts at it.
     pub health: Health,
