--- a/crates/core/src/routed/canary.rs
+++ b/crates/core/src/gateway/canary.rs
@@ -6,7 +6,7 @@
 //! in time.
 //!
 //! - Until [`LOADED_FROM`] of its time the new version gets [`SAMPLE_SHARE`] of the allowed
-//!   exposure, on so few of its servers ([`Canary::server_count`]) that each is somewhat busier
+//!   exposure, on so few of its servers ([`CanaryPlan::server_count`]) that each is somewhat busier
 //!   than the old ones. A hash decides which sessions go there, so nodes agree without messages
 //!   and a session stays on its version.
 //! - Then it gets most of the remaining exposure, on servers that are `LOAD_FACTOR` times as busy
@@ -156,9 +156,9 @@
     Complete,
 }
 
-/// Canary of one roll-out.
+/// Plan of one canary: its time and its maximum exposure.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Canary {
+pub struct CanaryPlan {
     /// When the roll-out was ordered.
     pub ordered: Instant,
     /// When it must be completed or rejected.
@@ -168,7 +168,7 @@
     pub exposure: f64,
 }
 
-impl Canary {
+impl CanaryPlan {
     /// Returns the stage at `now`.
     #[must_use]
     pub fn stage(&self, now: Instant) -> Stage {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,6 +4,12 @@
 //! returned as values, so every decision can run in a test, a benchmark or the replay of a recorded
 //! trace. Each module defines its own state, messages and invariants; a violated invariant stops
 //! the process.
+//!
+//! [`gateway`] serves the gateway crate and [`clock`] serves both; the other modules serve the node
+//! crate and the crates around it. Both products solve some of the same problems with different
+//! evidence.
+//!
+//! An *instance* is a machine of the router; the process on it is a *node*.
 
 pub mod activation;
 pub mod admission;
@@ -11,6 +17,7 @@
 pub mod cascade;
 pub mod claim;
 pub mod clock;
+pub mod gateway;
 pub mod ledger;
 pub mod member;
 pub mod num;
@@ -18,7 +25,6 @@
 pub mod poison;
 pub mod rollout;
 pub mod route;
-pub mod routed;
 pub mod session;
 pub mod store;
 
--- a/crates/core/tests/all/routed/affinity.rs
+++ b/crates/core/tests/all/gateway/affinity.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use fescuerack_core::routed::affinity::{self, Candidate};
+use fescuerack_core::gateway::affinity::{self, Candidate};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 
--- a/crates/core/tests/all/routed/budget.rs
+++ b/crates/core/tests/all/gateway/budget.rs
@@ -1,7 +1,7 @@
 //! Tests of the retry budget over all nodes.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::budget::{Bound, Budget};
+use fescuerack_core::gateway::budget::{Bound, Budget};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
--- a/crates/core/tests/all/routed/canary.rs
+++ b/crates/core/tests/all/gateway/canary.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::canary::{Canary, Count, Counts, Evidence, Pair, Stage, Verdict};
+use fescuerack_core::gateway::affinity;
+use fescuerack_core::gateway::canary::{CanaryPlan, Count, Counts, Evidence, Pair, Stage, Verdict};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
 const ORDERED: Instant = Instant::from_millis(2_000);
 
-const fn canary() -> Canary {
-    Canary {
+const fn canary() -> CanaryPlan {
+    CanaryPlan {
         ordered: ORDERED,
         due: ORDERED.plus_millis(24_000),
         exposure: 0.15,
--- a/crates/core/tests/all/routed/crash.rs
+++ b/crates/core/tests/all/gateway/crash.rs
@@ -1,7 +1,7 @@
 //! Tests of the detection of requests that crash servers.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::crash::{CRASH_LIMIT, MEMORY_MS, Suspects};
+use fescuerack_core::gateway::crash::{CRASH_LIMIT, MEMORY_MS, Suspects};
 
 const NOW: Instant = Instant::from_millis(1_000);
 
--- a/crates/core/tests/all/routed/escalation.rs
+++ b/crates/core/tests/all/gateway/escalation.rs
@@ -1,6 +1,6 @@
 //! Tests of the escalation to a larger model.
 
-use fescuerack_core::routed::escalation;
+use fescuerack_core::gateway::escalation;
 use rstest::rstest;
 
 #[rstest]
--- a/crates/core/tests/all/routed/health.rs
+++ b/crates/core/tests/all/gateway/health.rs
@@ -1,7 +1,7 @@
 //! Tests of the ejection of servers by one node.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::health::{Health, Outcome};
+use fescuerack_core::gateway::health::{Health, Outcome};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 
--- a/crates/core/tests/all/routed/lease_expiry.rs
+++ b/crates/core/tests/all/gateway/lease_expiry.rs
@@ -1,7 +1,7 @@
 //! Tests of removals during and after an outage of the store.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::lease_expiry::{Outage, REREGISTRATION_MS};
+use fescuerack_core::gateway::lease_expiry::{Outage, REREGISTRATION_MS};
 
 /// Leases expire in an outage, and the removals are received when the store is back. They are held
 /// while servers may register again; without an outage a removal takes effect immediately.
--- a/crates/core/tests/all/routed/load.rs
+++ b/crates/core/tests/all/gateway/load.rs
@@ -1,9 +1,9 @@
 //! Tests of the exchange of load between nodes.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::load::{self, Duty, Hub, MAX_GROUP_NODES, PeerLoad};
-use fescuerack_core::routed::rank::Instance;
+use fescuerack_core::gateway::affinity;
+use fescuerack_core::gateway::load::{self, Duty, Hub, MAX_GROUP_NODES, PeerLoad};
+use fescuerack_core::gateway::rank::Instance;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
--- a/crates/core/tests/all/routed/outlier.rs
+++ b/crates/core/tests/all/gateway/outlier.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::outlier::{AttemptCounts, Detector, WINDOW_MS, Window};
+use fescuerack_core::gateway::outlier::{AttemptCounts, Detector, WINDOW_MS, Window};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg64;
 use rstest::rstest;
--- a/crates/core/tests/all/routed/session.rs
+++ b/crates/core/tests/all/gateway/session.rs
@@ -1,7 +1,7 @@
 //! Tests of sessions that stay on their version.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::session::Recent;
+use fescuerack_core::gateway::session::Recent;
 
 const NOW: Instant = Instant::from_millis(1_000);
 
--- a/crates/core/tests/all/routed/slowness.rs
+++ b/crates/core/tests/all/gateway/slowness.rs
@@ -1,7 +1,7 @@
 //! Tests of which answers of a canary version count as slow.
 
-use fescuerack_core::routed::slowness::{Baseline, Timing};
-use fescuerack_core::routed::wait::Wait;
+use fescuerack_core::gateway::slowness::{Baseline, Timing};
+use fescuerack_core::gateway::wait::Wait;
 use rstest::rstest;
 
 /// Returns a baseline of answers that took 200 ms at a load of 10.
--- a/crates/core/tests/all/routed/wait.rs
+++ b/crates/core/tests/all/gateway/wait.rs
@@ -1,6 +1,6 @@
 //! Tests of the estimate of how long requests wait behind the load on a server.
 
-use fescuerack_core::routed::wait::Wait;
+use fescuerack_core::gateway::wait::Wait;
 
 /// Engines of one deployment take 8 ms for a load of 1, those of another 24 ms, and within a day
 /// prompts become three times as long to process. The estimate must follow after a few dozen
--- a/crates/core/tests/all/routed/warmup.rs
+++ b/crates/core/tests/all/gateway/warmup.rs
@@ -1,7 +1,7 @@
 //! Tests of the rate limit for servers that are warming up.
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::warmup::{Limit, Pacer, is_sender};
+use fescuerack_core::gateway::warmup::{Limit, Pacer, is_sender};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/core/tests/all/routed/watcher.rs
+++ b/crates/core/tests/all/gateway/watcher.rs
@@ -1,7 +1,7 @@
 //! Tests of the selection of the nodes that watch the store.
 
-use fescuerack_core::routed::rank::Instance;
-use fescuerack_core::routed::watcher::{self, MAX_DIRECT_NODES, Role, WATCHER_COUNT};
+use fescuerack_core::gateway::rank::Instance;
+use fescuerack_core::gateway::watcher::{self, MAX_DIRECT_NODES, Role, WATCHER_COUNT};
 
 fn nodes(count: usize) -> Vec<(String, String)> {
     (0..count)
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::health::Outcome;
-use fescuerack_core::routed::load;
+use fescuerack_core::gateway::health::Outcome;
+use fescuerack_core::gateway::load;
 use http_body_util::Full;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
 
--- a/crates/gateway/src/eligible.rs
+++ b/crates/gateway/src/eligible.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::canary::Stage;
-use fescuerack_core::routed::load;
+use fescuerack_core::gateway::affinity;
+use fescuerack_core::gateway::canary::Stage;
+use fescuerack_core::gateway::load;
 
 use crate::attempt::Job;
 use crate::clock::now;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fescuerack_core::routed::watcher;
+use fescuerack_core::gateway::watcher;
 use rand::RngExt as _;
 use tokio::task::JoinSet;
 
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::affinity;
+use fescuerack_core::gateway::affinity;
 use http_body_util::{BodyExt as _, Limited};
 use hyper::Request;
 use hyper::body::Incoming;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -20,7 +20,7 @@
 //! [`pick`] selects from the [`eligible`] ones; servers that are [`warming`] up get few requests.
 //! [`progress`] holds the state of the request and its retry budget, [`verdict`] decides what happens
 //! to an answer, and [`relay`] forwards streams. All of them share the HTTP client in [`upstream`].
-//! The load-balancing decisions are in `fescuerack_core::routed`.
+//! The load-balancing decisions are in `fescuerack_core::gateway`.
 
 pub mod apply;
 pub mod arrival;
--- a/crates/gateway/src/load_report.rs
+++ b/crates/gateway/src/load_report.rs
@@ -1,15 +1,15 @@
 //! Exchange of load and of attempt counts with the peers, through hubs.
 //!
 //! [`load`] describes how hubs aggregate the reports, and
-//! [`outlier`](fescuerack_core::routed::outlier) what the attempt counts are used for.
+//! [`outlier`](fescuerack_core::gateway::outlier) what the attempt counts are used for.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use fescuerack_core::routed::load::{self, Duty, Hub, Table};
-use fescuerack_core::routed::outlier::AttemptCounts;
+use fescuerack_core::gateway::load::{self, Duty, Hub, Table};
+use fescuerack_core::gateway::outlier::AttemptCounts;
 use serde::{Deserialize, Serialize};
 
 use crate::clock::now;
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -20,9 +20,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::canary::{self, Counts, Stage};
-use fescuerack_core::routed::session::Recent;
+use fescuerack_core::gateway::affinity;
+use fescuerack_core::gateway::canary::{self, Counts, Stage};
+use fescuerack_core::gateway::session::Recent;
 use http_body_util::{BodyExt as _, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
--- a/crates/gateway/src/pick.rs
+++ b/crates/gateway/src/pick.rs
@@ -1,12 +1,12 @@
 //! Selection of the backend server for an attempt: passes the node's view to the load-balancing
-//! decisions in `fescuerack_core::routed`.
+//! decisions in `fescuerack_core::gateway`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 
-use fescuerack_core::routed::affinity::{self, Candidate};
+use fescuerack_core::gateway::affinity::{self, Candidate};
 
 use crate::attempt::Job;
 use crate::catalog::{Kind, Route};
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -16,7 +16,7 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::slowness::Timing;
+use fescuerack_core::gateway::slowness::Timing;
 use http_body_util::BodyExt as _;
 use http_body_util::channel::{Channel, Sender};
 use hyper::Response;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::escalation;
+use fescuerack_core::gateway::escalation;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use rand::RngExt as _;
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::canary::{self, Canary, Stage, Verdict};
-use fescuerack_core::routed::load;
-use fescuerack_core::routed::slowness::Timing;
+use fescuerack_core::gateway::canary::{self, CanaryPlan, Stage, Verdict};
+use fescuerack_core::gateway::load;
+use fescuerack_core::gateway::slowness::Timing;
 
 use crate::clock::now;
 use crate::node::{Evidence, Node};
@@ -60,8 +60,8 @@
 
 /// Returns the canary of an order.
 #[must_use]
-pub fn canary(node: &Node, order: &Order) -> Canary {
-    Canary {
+pub fn canary(node: &Node, order: &Order) -> CanaryPlan {
+    CanaryPlan {
         ordered: order.ordered_at,
         due: order.ordered_at.plus_millis(order.rollout.within_ms),
         exposure: node.settings.borrow().exposure,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::affinity;
-use fescuerack_core::routed::health::Health;
+use fescuerack_core::gateway::affinity;
+use fescuerack_core::gateway::health::Health;
 
 use crate::platform::{ServerEntry, ServerState};
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use fescuerack_core::routed::budget::Bound;
+use fescuerack_core::gateway::budget::Bound;
 
 /// Addresses and limits of one node.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::watcher::{self, Role};
+use fescuerack_core::gateway::watcher::{self, Role};
 
 use crate::clock::now;
 use crate::node::Node;
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/updates.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fescuerack_core::routed::watcher;
+use fescuerack_core::gateway::watcher;
 use serde::{Deserialize, Serialize};
 
 use crate::arrival::Arrival;
--- a/crates/gateway/src/verdict.rs
+++ b/crates/gateway/src/verdict.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use fescuerack_core::routed::slowness::Timing;
-use fescuerack_core::routed::{affinity, escalation};
+use fescuerack_core::gateway::slowness::Timing;
+use fescuerack_core::gateway::{affinity, escalation};
 use http_body_util::{BodyExt as _, Limited};
 use hyper::{HeaderMap, Response, StatusCode};
 
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::lease_expiry::Outage;
-use fescuerack_core::routed::rank::Instance;
+use fescuerack_core::gateway::lease_expiry::Outage;
+use fescuerack_core::gateway::rank::Instance;
 
 use crate::arrival::ChangeKind;
 use crate::catalog::Catalog;
--- a/crates/gateway/src/warming.rs
+++ b/crates/gateway/src/warming.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::warmup::{self, Limit, Pacer, SETTLE_MS};
+use fescuerack_core::gateway::warmup::{self, Limit, Pacer, SETTLE_MS};
 
 use crate::node::Node;
 use crate::server::Server;
--- a/crates/node/tests/soak/backend.rs
+++ b/crates/node/tests/soak/backend.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use fescuerack_core::routed::affinity;
+use fescuerack_core::gateway::affinity;
 use serde_json::json;
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::{TcpListener, TcpStream};
