--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -318,7 +318,7 @@
     }
 }
 
-/// Counts a running request and its remaining tokens in the load report until it is dropped.
+/// Counts a running request and the tokens of its stream in the load report until it is dropped.
 struct WorkGuard<'a> {
     shared: &'a Shared,
     tokens: u64,
