--- a/crates/core/benches/decision.rs
+++ b/crates/core/benches/decision.rs
@@ -45,7 +45,7 @@
         let id = BenchmarkId::from_parameter(format!("{servers} servers, subset {subset}"));
         group.bench_function(id, |bencher| {
             bencher.iter(|| {
-                let ask = route::Request {
+                let request = route::Request {
                     fleets: &fleets,
                     avoid: &avoid,
                     work: 300,
@@ -54,9 +54,9 @@
                     adapter: None,
                 };
                 let now = Instant::from_millis(1);
-                let server = table.choose(now, &ask, &mut rng).expect("a server");
-                table.start_attempt(now, server, ask.work);
-                table.end_attempt(now, server, ask.work, route::Outcome::Ignored, false);
+                let server = table.choose(now, &request, &mut rng).expect("a server");
+                table.start_attempt(now, server, request.work);
+                table.end_attempt(now, server, request.work, route::Outcome::Ignored, false);
                 black_box(server)
             });
         });
@@ -71,33 +71,33 @@
         .collect();
     let mut control = Controller::new(Thresholds::new(64));
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let mut grants = Vec::new();
+    let mut permits = Vec::new();
     let mut now = Instant::ORIGIN;
     criterion.bench_function("admission, 100 organisations, saturated", |bencher| {
         bencher.iter(|| {
             now = now.plus_millis(1);
-            let ask = Request {
+            let request = Request {
                 organisation: organisations[rng.random_range(0..100)],
                 weight: 1,
-                caller: rng.random_range(0..1_000),
+                session_hash: rng.random_range(0..1_000),
                 class: None,
                 priority: 1,
                 long: false,
                 deadline: now.plus_millis(10_000),
             };
-            if let Verdict::Run(grant) = control.offer(now, &ask, &mut rng) {
-                grants.push(grant);
+            if let Verdict::Run(permit) = control.offer(now, &request, &mut rng) {
+                permits.push(permit);
             }
-            if grants.len() >= 64 {
-                let grant = grants.swap_remove(0);
-                control.finish(now, grant, Completion::Answered { first: now });
+            if permits.len() >= 64 {
+                let permit = permits.swap_remove(0);
+                control.finish(now, permit, Completion::Answered { first: now });
             }
-            for turn in control.poll(now, &mut rng) {
-                if let fescuerack_core::admission::Resolution::Run(_, grant) = turn {
-                    grants.push(grant);
+            for resolution in control.poll(now, &mut rng) {
+                if let fescuerack_core::admission::Resolution::Run(_, permit) = resolution {
+                    permits.push(permit);
                 }
             }
-            black_box(grants.len())
+            black_box(permits.len())
         });
     });
 }
--- a/crates/core/src/admission/fair.rs
+++ b/crates/core/src/admission/fair.rs
@@ -29,7 +29,7 @@
     pub weight: u32,
     /// Priority; lower numbers go first.
     pub priority: u8,
-    /// Hash of the session or caller.
+    /// Hash of the session, by which callers are distinguished.
     pub caller: u64,
 }
 
--- a/crates/core/src/admission/fifo.rs
+++ b/crates/core/src/admission/fifo.rs
@@ -1,4 +1,4 @@
-//! Baseline admission: a first-in, first-out queue before a fixed number of places.
+//! Baseline admission: a first-in, first-out queue before a fixed number of permits.
 //!
 //! It serves requests in order of arrival, even if the answer can no longer be in time. Benches
 //! compare [`super::Controller`] with it.
@@ -25,10 +25,10 @@
     deadline: Instant,
 }
 
-/// First-in, first-out queue before a fixed number of places.
+/// First-in, first-out queue before a fixed number of permits.
 #[derive(Clone, Debug)]
 pub struct Queue {
-    places: usize,
+    max_running: usize,
     running: usize,
     max_waiting: usize,
     waiting: VecDeque<Waiter>,
@@ -39,13 +39,13 @@
     /// Milliseconds after which a refused caller may retry.
     const RETRY_AFTER_MS: u64 = 1000;
 
-    /// Creates a queue before `places` places.
+    /// Creates a queue before `max_running` permits.
     #[must_use]
-    pub fn new(places: usize) -> Self {
+    pub fn new(max_running: usize) -> Self {
         Self {
-            places,
+            max_running,
             running: 0,
-            max_waiting: places * 4,
+            max_waiting: max_running * 4,
             waiting: VecDeque::new(),
             next_ticket: 0,
         }
@@ -53,7 +53,7 @@
 
     /// Decides whether an arriving request runs, waits or is refused.
     pub fn offer(&mut self, now: Instant, deadline: Instant) -> Verdict {
-        if self.running < self.places {
+        if self.running < self.max_running {
             self.running += 1;
             return Verdict::Run;
         }
@@ -66,7 +66,7 @@
         Verdict::Wait(ticket)
     }
 
-    /// Frees a place and returns the ticket that takes it, if any.
+    /// Releases a permit and returns the ticket of the request that takes it, if any.
     ///
     /// # Panics
     ///
--- a/crates/core/src/admission/limit.rs
+++ b/crates/core/src/admission/limit.rs
@@ -6,7 +6,7 @@
 //!
 //! The mean time to first token of a window is compared with the minimum over recent windows; the
 //! excess is time spent in the engines' queues. Divided by the mean time that a request holds a
-//! place, it gives the share of the limit that is queued there (Little's law). While that share
+//! permit, it gives the share of the limit that is queued there (Little's law). While that share
 //! is below [`QUEUED_SHARE_LOW`] the limit grows; above [`QUEUED_SHARE_HIGH`] it shrinks. A refusal
 //! or timeout of a backend server shrinks it at once. The limit grows more slowly than it shrinks,
 //! so that all instances together probe for capacity gently.
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,7 +1,7 @@
 //! Admission control: which requests run at once, which wait and which are refused.
 //!
-//! [`Controller`] decides for every request of one instance. A *place* is one unit of the
-//! instance's concurrency limit; a running request holds one. The load patterns that the
+//! [`Controller`] decides for every request of one instance. A running request holds a *permit*;
+//! the instance's concurrency limit is the number of permits. The load patterns that the
 //! controller handles, and what goes wrong without it:
 //!
 //! * **Saturation.** A first-come, first-served queue delays every request: at twice the
@@ -11,9 +11,10 @@
 //!   is refused immediately as not run, with a time to retry at ([`Reason::TooLate`]).
 //! * **Most of the load from a few callers or organisations.** [`fair`] gives organisations
 //!   their weighted shares and the callers of one organisation equal turns.
-//! * **Long work mixed with short work.** A dossier holds its place a hundred times longer than
-//!   a chat reply. Long work may hold at most [`Thresholds::long_share`] of the places, and short
-//!   work leaves [`Thresholds::long_floor`] of them free for long work that waits.
+//! * **Long work mixed with short work.** The processing of a document holds its permit a hundred
+//!   times longer than a chat reply. Long work may hold at most [`Thresholds::long_share`] of the
+//!   permits, and short work leaves [`Thresholds::long_floor`] of them free for long work that
+//!   waits.
 //! * **Backend servers that slow down.** A fixed limit is too high when a third of the pool is
 //!   lost and too low when it is back. [`limit`] adapts to what the backend servers finish.
 //! * **Synchronised retries.** Equal `Retry-After` values make all refused callers retry at the
@@ -42,10 +43,10 @@
 use limit::{Limit, Sample};
 use request::Lane;
 pub use request::{
-    Completion, Grant, Reason, Refusal, Request, Resolution, Summary, Thresholds, Ticket, Verdict,
+    Completion, Permit, Reason, Refusal, Request, Resolution, Summary, Thresholds, Ticket, Verdict,
 };
 
-/// A request that waits for a place.
+/// A request that waits for a permit.
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     flow: Flow,
@@ -85,7 +86,7 @@
     #[must_use]
     pub fn new(thresholds: Thresholds) -> Self {
         Self {
-            limit: Limit::new(thresholds.places),
+            limit: Limit::new(thresholds.max_running),
             thresholds,
             short: LaneQueue::default(),
             long: LaneQueue::default(),
@@ -98,7 +99,7 @@
 
     /// Applies the thresholds of a new configuration.
     pub fn set_thresholds(&mut self, thresholds: Thresholds) {
-        self.limit.set_max(thresholds.places);
+        self.limit.set_max(thresholds.max_running);
         self.thresholds = thresholds;
     }
 
@@ -113,11 +114,11 @@
             organisation: request.organisation,
             weight: request.weight.max(1),
             priority: request.priority,
-            caller: request.caller,
+            caller: request.session_hash,
         };
-        // A free place is given without consulting the estimate: the estimate may come from a
+        // A free permit is granted without consulting the estimate: the estimate may come from a
         // time when the pool was slow, and refusing because of it would prevent its correction.
-        let idle = self.queue(lane).waiting.is_empty() && self.has_place(lane);
+        let idle = self.queue(lane).waiting.is_empty() && self.has_free_permit(lane);
         if idle && now < request.deadline {
             self.queue_mut(lane).waiting.charge(flow);
             return Verdict::Run(self.grant(now, lane, request.class));
@@ -134,30 +135,30 @@
         Verdict::Wait(self.enqueue(flow, lane, request.class, latest_start))
     }
 
-    /// Frees the place of a request that has ended; [`Self::poll`] then gives it to a waiting
-    /// request.
+    /// Releases the permit of a request that has ended; [`Self::poll`] then grants a waiting
+    /// request one.
     ///
     /// # Panics
     ///
-    /// Panics if no request of the grant's lane is running.
-    pub fn finish(&mut self, now: Instant, grant: Grant, ended: Completion) {
+    /// Panics if no request of the permit's lane is running.
+    pub fn finish(&mut self, now: Instant, permit: Permit, ended: Completion) {
         let running = self.short.running + self.long.running;
-        let queue = self.queue_mut(grant.lane);
+        let queue = self.queue_mut(permit.lane);
         assert!(queue.running > 0, "a request finished that never ran");
         queue.running -= 1;
         match ended {
             Completion::Answered { first } => {
-                let took = now.since(grant.start).as_secs_f64();
+                let took = now.since(permit.start).as_secs_f64();
                 queue.service_s.add(took);
-                if let Some(class) = grant.class
+                if let Some(class) = permit.class
                     && let Some(entry) = self.class_service_s.entry(class)
                 {
                     entry.or_default().add(took);
                 }
                 // Prompts of long work differ too much in length for their time to first token
                 // to indicate load.
-                if grant.lane == Lane::Short {
-                    let first = first.since(grant.start).as_secs_f64();
+                if permit.lane == Lane::Short {
+                    let first = first.since(permit.start).as_secs_f64();
                     let sample = Sample::Answered { first, whole: took };
                     self.limit.add(now, sample, running);
                 }
@@ -186,13 +187,13 @@
             turns.push(Resolution::Refuse(ticket, refusal));
         }
         for lane in [Lane::Short, Lane::Long] {
-            while self.has_place(lane) {
+            while self.has_free_permit(lane) {
                 let Some(ticket) = self.queue_mut(lane).waiting.pop() else {
                     break;
                 };
                 let waiter = self.unregister(ticket).expect("a queued ticket waits");
-                let grant = self.grant(now, lane, waiter.class);
-                turns.push(Resolution::Run(ticket, grant));
+                let permit = self.grant(now, lane, waiter.class);
+                turns.push(Resolution::Run(ticket, permit));
             }
         }
         turns
@@ -222,9 +223,9 @@
     pub fn summary(&self) -> Summary {
         Summary {
             limit: self.limit.get(),
-            running: self.short.running,
+            running_short: self.short.running,
             running_long: self.long.running,
-            waiting: self.short.waiting.len(),
+            waiting_short: self.short.waiting.len(),
             waiting_long: self.long.waiting.len(),
         }
     }
@@ -243,8 +244,8 @@
         }
     }
 
-    /// Returns the number of places that the lane may hold now.
-    fn places(&self, lane: Lane) -> usize {
+    /// Returns the maximum number of permits that the lane may hold now.
+    fn max_running(&self, lane: Lane) -> usize {
         let limit = self.limit.get();
         let share = |share: f64| whole(float(limit) * share).max(1);
         match lane {
@@ -260,7 +261,7 @@
         }
     }
 
-    fn has_place(&self, lane: Lane) -> bool {
+    fn has_free_permit(&self, lane: Lane) -> bool {
         let all = self.short.running + self.long.running;
         let free = match lane {
             // The bound of the short lane already keeps the floor of long work free, so the
@@ -268,12 +269,12 @@
             Lane::Long => all < self.limit.get().max(2),
             Lane::Short => true,
         };
-        free && self.queue(lane).running < self.places(lane)
+        free && self.queue(lane).running < self.max_running(lane)
     }
 
-    fn grant(&mut self, now: Instant, lane: Lane, class: Option<key::Class>) -> Grant {
+    fn grant(&mut self, now: Instant, lane: Lane, class: Option<key::Class>) -> Permit {
         self.queue_mut(lane).running += 1;
-        Grant {
+        Permit {
             class,
             lane,
             start: now,
@@ -292,10 +293,10 @@
 
     /// Returns the expected wait of a request of this flow, in seconds: the requests of its
     /// organisation ahead of it, divided by the organisation's share of the rate at which the
-    /// lane's places become free (Little's law).
+    /// lane's permits become free (Little's law).
     fn expected_wait_s(&self, lane: Lane, flow: Flow) -> f64 {
         let queue = self.queue(lane);
-        let rate = float(self.places(lane)) / queue.service_s.value.max(1e-6);
+        let rate = float(self.max_running(lane)) / queue.service_s.value.max(1e-6);
         let ahead = float(queue.waiting.ahead(flow) + 1);
         ahead / (rate * queue.waiting.share(flow))
     }
--- a/crates/core/src/admission/request.rs
+++ b/crates/core/src/admission/request.rs
@@ -12,35 +12,35 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
     /// Maximum number of requests that run at a time, the upper bound of the adaptive limit.
-    pub places: usize,
-    /// Share of the places that long work may hold. With 0.3, any number of dossiers leaves chat
-    /// at least 0.7 of the places.
+    pub max_running: usize,
+    /// Share of the permits that long work, such as the nightly processing of documents, may hold.
+    /// With 0.3, any amount of it leaves short work at least 0.7 of the permits.
     pub long_share: f64,
-    /// Share of the places reserved for long work that waits, so that heavy chat traffic does not
-    /// starve the nightly dossiers.
+    /// Share of the permits reserved for long work that waits, so that heavy short traffic does not
+    /// starve it.
     pub long_floor: f64,
     /// Maximum number of waiting requests.
     pub queue_length: usize,
-    /// Share of the time until its latest start that a request's expected wait may take. The
-    /// estimate is a mean: at 1.0, half of the queued requests would be refused later, after a
+    /// Share of the remaining time until its latest start that a request's expected wait may take.
+    /// The estimate is a mean: at 1.0, half of the queued requests would be refused later, after a
     /// useless wait.
     pub slack: f64,
-    /// Mean deviations above the mean service time that a request is expected to take. Two cover
-    /// about 95 in 100 of the usual spread of answer lengths.
+    /// Safety margin of the expected service time, as a number of mean deviations above its mean.
+    /// Two cover about 95 in 100 of the usual spread of answer lengths.
     pub margin: f64,
     /// Maximum `Retry-After`, in seconds.
     pub max_retry_after_s: f64,
 }
 
 impl Thresholds {
-    /// Returns the default thresholds for `places` places.
+    /// Returns the default thresholds for at most `max_running` running requests.
     #[must_use]
-    pub fn new(places: usize) -> Self {
+    pub fn new(max_running: usize) -> Self {
         Self {
-            places,
+            max_running,
             long_share: 0.3,
             long_floor: 0.1,
-            queue_length: places * 4,
+            queue_length: max_running * 4,
             slack: 0.5,
             margin: 2.0,
             max_retry_after_s: 30.0,
@@ -55,13 +55,14 @@
     pub organisation: key::Organisation,
     /// Weight of the organisation relative to others, at least 1.
     pub weight: u32,
-    /// Hash of its session, or of the caller if it has none.
-    pub caller: u64,
+    /// Hash of its session, by which callers are distinguished. The requests of an organisation
+    /// without a session share one value and count as one caller.
+    pub session_hash: u64,
     /// Class of work, if the request names one.
     pub class: Option<key::Class>,
     /// Priority; lower numbers go first.
     pub priority: u8,
-    /// Whether it is long work, which has its own bounds.
+    /// Whether it is long work, to which `long_share` and `long_floor` apply.
     pub long: bool,
     /// When its answer is due.
     pub deadline: Instant,
@@ -71,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// The request runs at once.
-    Run(Grant),
+    Run(Permit),
     /// The request waits; [`super::Controller::poll`] returns the ticket later.
     Wait(Ticket),
     /// The request is refused.
@@ -96,10 +97,10 @@
     pub retry_at: Instant,
 }
 
-/// A place held by a running request.
+/// Right of a request to run, held until it ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[must_use]
-pub struct Grant {
+pub struct Permit {
     pub(super) class: Option<key::Class>,
     pub(super) lane: Lane,
     pub(super) start: Instant,
@@ -120,11 +121,11 @@
     Ignored,
 }
 
-/// Outcome of waiting for a place.
+/// Outcome of waiting for a permit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Resolution {
     /// The request runs now.
-    Run(Ticket, Grant),
+    Run(Ticket, Permit),
     /// The request can no longer finish in time and is refused.
     Refuse(Ticket, Refusal),
 }
@@ -142,11 +143,13 @@
     /// Current limit of running requests.
     pub limit: usize,
     /// Running short requests.
-    pub running: usize,
+    #[serde(rename = "running")]
+    pub running_short: usize,
     /// Running long requests.
     pub running_long: usize,
     /// Waiting short requests.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub waiting_short: usize,
     /// Waiting long requests.
     pub waiting_long: usize,
 }
--- a/crates/core/src/attempt/hedge.rs
+++ b/crates/core/src/attempt/hedge.rs
@@ -4,8 +4,8 @@
 //! once. A hedge is sent when the first token is later than nearly all others, so hedges add only a
 //! few attempts per hundred.
 //!
-//! A hedge is useful only while there is free capacity: when requests wait for a place, it takes
-//! one from another request. Only idempotent requests are hedged, at most once each, and every
+//! A hedge is useful only while there is free capacity: when requests wait, it takes capacity
+//! from another request. Only idempotent requests are hedged, at most once each, and every
 //! hedge is taken from the retry budget.
 //!
 //! Hedges are off unless the configuration sets `attempt.hedge-ms`: with one server that is ten
--- a/crates/core/tests/all/admission.rs
+++ b/crates/core/tests/all/admission.rs
@@ -2,7 +2,7 @@
 
 use fescuerack_config::{Names, key};
 use fescuerack_core::admission::{
-    Completion, Controller, Grant, Reason, Request, Resolution, Thresholds, Verdict,
+    Completion, Controller, Permit, Reason, Request, Resolution, Thresholds, Verdict,
 };
 use fescuerack_core::clock::Instant;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-const PLACES: usize = 8;
+const MAX_RUNNING: usize = 8;
 
 struct Fixture {
     control: Controller,
@@ -22,7 +22,7 @@
 impl Fixture {
     fn new() -> Self {
         Self {
-            control: Controller::new(Thresholds::new(PLACES)),
+            control: Controller::new(Thresholds::new(MAX_RUNNING)),
             rng: Pcg64Mcg::seed_from_u64(7),
             names: Names::new(),
         }
@@ -32,7 +32,7 @@
         Request {
             organisation: self.names.organisations.intern(organisation),
             weight: 1,
-            caller: 0,
+            session_hash: 0,
             class: None,
             priority: 1,
             long: false,
@@ -50,30 +50,30 @@
         self.control.poll(now, &mut self.rng)
     }
 
-    /// Fills every place, after a first round of requests that each ran for `service_ms`.
-    fn saturate(&mut self, service_ms: u64) -> Vec<Grant> {
+    /// Takes every permit, after a first round of requests that each ran for `service_ms`.
+    fn saturate(&mut self, service_ms: u64) -> Vec<Permit> {
         let request = self.request("filler", 1_000_000);
-        let mut grants = Vec::new();
+        let mut permits = Vec::new();
         for round in 0..2 {
             let now = round * service_ms;
-            for grant in grants.drain(..) {
+            for permit in permits.drain(..) {
                 let at = Instant::from_millis(now);
                 self.control
-                    .finish(at, grant, Completion::Answered { first: at });
+                    .finish(at, permit, Completion::Answered { first: at });
             }
-            for _ in 0..PLACES {
-                let Verdict::Run(grant) = self.offer(now, &request) else {
-                    panic!("a place is free");
+            for _ in 0..MAX_RUNNING {
+                let Verdict::Run(permit) = self.offer(now, &request) else {
+                    panic!("a permit is free");
                 };
-                grants.push(grant);
+                permits.push(permit);
             }
         }
-        grants
+        permits
     }
 }
 
-// A request waits for a place while all are taken, until its answer could no longer be in time.
-// Served after that it would use a place for nothing, so it must be refused at that moment and not
+// A request waits for a permit while all are taken, until its answer could no longer be in time.
+// Served after that it would use a permit for nothing, so it must be refused at that moment and not
 // only at its deadline.
 #[test]
 fn poll_refuses_when_too_late_to_finish() {
@@ -132,7 +132,7 @@
 #[case::heavier(3, 2)]
 fn pop_shares_between_organisations(#[case] weight: u32, #[case] within: usize) {
     let mut fixture = Fixture::new();
-    let mut grants = fixture.saturate(1_000);
+    let mut permits = fixture.saturate(1_000);
     let greedy = fixture.request("greedy", 1_000_000);
     for _ in 0..20 {
         fixture.offer(1_000, &greedy);
@@ -145,9 +145,9 @@
         panic!("it waits");
     };
     let mut position = 0;
-    for (index, grant) in grants.drain(..3).enumerate() {
+    for (index, permit) in permits.drain(..3).enumerate() {
         let now = Instant::from_millis(2_000);
-        fixture.control.finish(now, grant, Completion::Ignored);
+        fixture.control.finish(now, permit, Completion::Ignored);
         if fixture
             .poll(2_000)
             .iter()
@@ -167,23 +167,23 @@
 #[test]
 fn pop_shares_between_callers() {
     let mut fixture = Fixture::new();
-    let mut grants = fixture.saturate(1_000);
+    let mut permits = fixture.saturate(1_000);
     let script = fixture.request("one", 1_000_000);
     for _ in 0..30 {
         fixture.offer(1_000, &script);
     }
     let parent = Request {
-        caller: 9,
+        session_hash: 9,
         ..script
     };
     let Verdict::Wait(ticket) = fixture.offer(1_000, &parent) else {
         panic!("it waits");
     };
     let mut run = Vec::new();
-    for grant in grants.drain(..2) {
+    for permit in permits.drain(..2) {
         fixture
             .control
-            .finish(Instant::from_millis(2_000), grant, Completion::Ignored);
+            .finish(Instant::from_millis(2_000), permit, Completion::Ignored);
         run.extend(fixture.poll(2_000));
     }
     assert!(
@@ -192,25 +192,25 @@
     );
 }
 
-// Dossiers hold their places a hundred times longer than chat. Any number of them must leave places
-// for chat, and chat must leave some places for them.
+// Long work holds its permits a hundred times longer than chat. Any amount of it must leave permits
+// for chat, and chat must leave some permits for it.
 #[test]
 fn offer_bounds_long_work_and_keeps_its_floor() {
     let mut fixture = Fixture::new();
-    let dossier = Request {
+    let long_request = Request {
         long: true,
         ..fixture.request("one", 1_000_000)
     };
     let running = |verdict: &Verdict| matches!(verdict, Verdict::Run(_));
     let long = (0..20)
-        .filter(|_| running(&fixture.offer(0, &dossier)))
+        .filter(|_| running(&fixture.offer(0, &long_request)))
         .count();
-    assert_eq!(long, 2, "0.3 of 8 places");
+    assert_eq!(long, 2, "0.3 of 8 permits");
     let chat = fixture.request("one", 1_000_000);
     let short = (0..20)
         .filter(|_| running(&fixture.offer(0, &chat)))
         .count();
-    assert_eq!(short, PLACES - 2);
+    assert_eq!(short, MAX_RUNNING - 2);
 }
 
 // Backend servers refuse work for a while (a third of the pool is lost), then answer as before. The
@@ -222,34 +222,37 @@
     let mut now = 0;
     for _ in 0..50 {
         now += 300;
-        if let Verdict::Run(grant) = fixture.offer(now, &request) {
+        if let Verdict::Run(permit) = fixture.offer(now, &request) {
             let at = Instant::from_millis(now);
-            fixture.control.finish(at, grant, Completion::Overloaded);
+            fixture.control.finish(at, permit, Completion::Overloaded);
         }
     }
     let lowest = fixture.control.summary().limit;
-    assert!((1..PLACES).contains(&lowest), "the limit fell to {lowest}");
-    let mut grants = Vec::new();
+    assert!(
+        (1..MAX_RUNNING).contains(&lowest),
+        "the limit fell to {lowest}"
+    );
+    let mut permits = Vec::new();
     for _ in 0..400 {
         now += 100;
         let at = Instant::from_millis(now);
-        for grant in grants.drain(..) {
+        for permit in permits.drain(..) {
             fixture
                 .control
-                .finish(at, grant, Completion::Answered { first: at });
+                .finish(at, permit, Completion::Answered { first: at });
         }
-        for _ in 0..PLACES {
-            if let Verdict::Run(grant) = fixture.offer(now, &request) {
-                grants.push(grant);
+        for _ in 0..MAX_RUNNING {
+            if let Verdict::Run(permit) = fixture.offer(now, &request) {
+                permits.push(permit);
             }
         }
         for resolution in fixture.poll(now) {
-            if let Resolution::Run(_, grant) = resolution {
-                grants.push(grant);
+            if let Resolution::Run(_, permit) = resolution {
+                permits.push(permit);
             }
         }
     }
-    assert_eq!(fixture.control.summary().limit, PLACES);
+    assert_eq!(fixture.control.summary().limit, MAX_RUNNING);
 }
 
 #[derive(Clone, Debug)]
@@ -289,7 +292,7 @@
 /// Requests by state, as the callers of a random run see them.
 #[derive(Default)]
 struct Callers {
-    running: Vec<Grant>,
+    running: Vec<Permit>,
     waiting: Vec<fescuerack_core::admission::Ticket>,
     offered: usize,
     refused: usize,
@@ -300,7 +303,7 @@
     fn record_verdict(&mut self, verdict: Verdict) {
         self.offered += 1;
         match verdict {
-            Verdict::Run(grant) => self.running.push(grant),
+            Verdict::Run(permit) => self.running.push(permit),
             Verdict::Wait(ticket) => self.waiting.push(ticket),
             Verdict::Refuse(_) => self.refused += 1,
         }
@@ -309,8 +312,8 @@
     /// Records a resolution. It must belong to a waiting request, so that none is answered twice.
     fn record_resolution(&mut self, resolution: Resolution) {
         let ticket = match resolution {
-            Resolution::Run(ticket, grant) => {
-                self.running.push(grant);
+            Resolution::Run(ticket, permit) => {
+                self.running.push(permit);
                 ticket
             }
             Resolution::Refuse(ticket, _) => {
@@ -344,7 +347,7 @@
                 let request = Request {
                     organisation: organisations[organisation],
                     weight: u32::try_from(organisation).unwrap_or(0) + 1,
-                    caller,
+                    session_hash: caller,
                     class: None,
                     priority,
                     long,
@@ -353,13 +356,13 @@
                 callers.record_verdict(control.offer(now, &request, &mut rng));
             }
             Step::Finish { index, how } if !callers.running.is_empty() => {
-                let grant = callers.running.swap_remove(index % callers.running.len());
+                let permit = callers.running.swap_remove(index % callers.running.len());
                 let ended = match how {
                     0 => Completion::Answered { first: now },
                     1 => Completion::Overloaded,
                     _ => Completion::Ignored,
                 };
-                control.finish(now, grant, ended);
+                control.finish(now, permit, ended);
                 callers.ended += 1;
             }
             Step::Cancel { index } if !callers.waiting.is_empty() => {
@@ -381,7 +384,7 @@
             accounted, callers.offered,
             "a request was lost or answered twice"
         );
-        assert!(known.0 <= 6 + 1, "more requests run than there are places");
+        assert!(known.0 <= 6 + 1, "more requests run than there are permits");
         assert!(control.next_expiry().is_none_or(|expiry| expiry > now));
     }
 }
--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -325,7 +325,7 @@
         let request = admission::Request {
             organisation: names[usize::try_from(index).unwrap_or(0) % names.len()],
             weight: 1,
-            caller: u64::from(index),
+            session_hash: u64::from(index),
             class: None,
             priority: 5,
             long: false,
--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -7,7 +7,7 @@
 
 use fescuerack_config::Catalog;
 use fescuerack_core::admission::{
-    Completion, Controller, Grant, Reason, Refusal, Request, Resolution, Summary, Thresholds,
+    self, Completion, Controller, Reason, Refusal, Request, Resolution, Summary, Thresholds,
     Ticket, Verdict,
 };
 use fescuerack_core::clock::Instant;
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::node_state::lock;
 
-type Decision = Result<Grant, Refusal>;
+type Decision = Result<admission::Permit, Refusal>;
 
 /// Admits requests up to a number of places; shared by all connections.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 enum Status {
     /// Runs and holds a place.
-    Running(Grant),
+    Running(admission::Permit),
     /// Waits for a decision.
     Waiting(Ticket, oneshot::Receiver<Decision>),
     /// Has nothing to release.
@@ -101,7 +101,7 @@
 /// Returns the thresholds of the configuration for a limit of `places` places.
 pub fn thresholds(places: usize, catalog: &Catalog) -> Thresholds {
     Thresholds {
-        places,
+        max_running: places,
         long_share: catalog.limit("admission.long-share"),
         long_floor: catalog.limit("admission.long-floor"),
         queue_length: num::whole(num::float(places) * catalog.limit("admission.queue")),
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -42,7 +42,7 @@
     Request {
         organisation: call.organisation,
         weight: organisation.map_or(1, |organisation| organisation.weight),
-        caller: caller_id(call),
+        session_hash: caller_id(call),
         class,
         priority: entry.map_or(DEFAULT_PRIORITY, |class| class.priority),
         long: entry.is_some_and(|class| class.long),
--- a/crates/replay/src/model/node.rs
+++ b/crates/replay/src/model/node.rs
@@ -5,7 +5,7 @@
 
 use fescuerack_config::key;
 use fescuerack_core::admission::{
-    self, Completion, Controller, Grant, Resolution, Thresholds, Ticket, Verdict, fifo,
+    self, Completion, Controller, Permit, Resolution, Thresholds, Ticket, Verdict, fifo,
 };
 use fescuerack_core::attempt::pools::Pools;
 use fescuerack_core::attempt::{AttemptOutcome, Attempts, Next, budget};
@@ -59,7 +59,7 @@
 /// Admission decisions about waiting requests.
 pub struct Resolutions {
     /// Requests that run now, with their grants.
-    pub run: Vec<(usize, Option<Grant>)>,
+    pub run: Vec<(usize, Option<Permit>)>,
     /// Requests that are refused, with the times at which they may return.
     pub refused: Vec<(usize, Instant)>,
 }
@@ -185,7 +185,7 @@
                 let admission_request = admission::Request {
                     organisation: self.organisations[request.stream],
                     weight: stream.weight,
-                    caller: request.caller,
+                    session_hash: request.caller,
                     class: Some(self.classes[request.stream]),
                     priority: stream.priority,
                     long: stream.long,
@@ -411,7 +411,7 @@
 
 fn thresholds(scenario: &Scenario) -> Thresholds {
     Thresholds {
-        places: scenario.places,
+        max_running: scenario.places,
         long_share: scenario.limit("admission.long-share"),
         long_floor: scenario.limit("admission.long-floor"),
         queue_length: whole(float(scenario.places) * scenario.limit("admission.queue")),
--- a/crates/replay/src/model/request.rs
+++ b/crates/replay/src/model/request.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use fescuerack_config::key;
-use fescuerack_core::admission::Grant;
+use fescuerack_core::admission::Permit;
 use fescuerack_core::attempt::Attempts;
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num::whole;
@@ -74,7 +74,7 @@
     /// Time at which the current attempt started in a slot.
     pub slot_from: Instant,
     /// Admission of the request by its node, while it runs.
-    pub grant: Option<Grant>,
+    pub grant: Option<Permit>,
     /// Retry state.
     pub attempts: Option<Attempts>,
     /// Servers that were tried since the last arrival.
