--- a/crates/cli/src/access.rs
+++ b/crates/cli/src/access.rs
@@ -192,7 +192,7 @@
         let configuration = self.configuration()?;
         let files = configuration.files.into_iter();
         Ok(Proposal {
-            seen: files.map(|(name, file)| (name, file.digest)).collect(),
+            base: files.map(|(name, file)| (name, file.digest)).collect(),
             action: Some(action),
             ..Proposal::default()
         })
--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -21,8 +21,8 @@
 #[derive(Clone, Debug, Args)]
 pub struct Record {
     /// Why the change is made; kept in the history.
-    #[arg(long, value_name = "TEXT")]
-    why: String,
+    #[arg(long = "why", value_name = "TEXT")]
+    reason: String,
     /// Identifier of the request; give the same one to send a request again
     /// whose outcome is not known.
     #[arg(long, value_name = "ID")]
@@ -72,7 +72,7 @@
     record: &Record,
     mut proposal: Proposal,
 ) -> Result<()> {
-    proposal.why.clone_from(&record.why);
+    proposal.reason.clone_from(&record.reason);
     proposal.request = record.request.clone().unwrap_or_else(new_request_id);
     let accepted = send(client, &proposal)?;
     if output == Output::Table {
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -66,7 +66,7 @@
     );
     let current = client.configuration()?;
     let mut proposal = Proposal {
-        seen: read_seen(path)?.unwrap_or_else(|| {
+        base: read_seen(path)?.unwrap_or_else(|| {
             let files = current.files.iter();
             files
                 .map(|(name, file)| (name.clone(), file.digest.clone()))
--- a/crates/cli/src/commands/history.rs
+++ b/crates/cli/src/commands/history.rs
@@ -37,7 +37,7 @@
             change.revision.to_string(),
             print::time(change.at),
             change.author.clone(),
-            change.why.clone(),
+            change.reason.clone(),
             files.join("\n"),
         ]
     });
--- a/crates/cli/src/commands/ledger.rs
+++ b/crates/cli/src/commands/ledger.rs
@@ -91,6 +91,6 @@
     let table = print::table(header, rows);
     format!(
         "{table}\n{} entries dropped as doubles of a request",
-        ledger.doubles
+        ledger.duplicates
     )
 }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -213,7 +213,8 @@
     /// Waits until every instance is ready and has all others in its list.
     fn wait_until_ready(&self) -> Result<()> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
+        let is_complete =
+            |node: &Node| node.is_ready() && node.instance_count() == self.nodes.len();
         while !self.nodes.iter().all(is_complete) {
             ensure!(
                 Instant::now() < deadline,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -102,7 +102,7 @@
             Kind::TooLarge | Kind::Refused => REFUSED,
             Kind::Unauthorized | Kind::Forbidden => FORBIDDEN,
             Kind::Conflict => CONFLICT,
-            Kind::StoreOut => UNREACHABLE,
+            Kind::StoreUnavailable => UNREACHABLE,
             Kind::OutcomeUnknown => UNKNOWN,
         };
         Self {
--- a/crates/cli/tests/all/support.rs
+++ b/crates/cli/tests/all/support.rs
@@ -122,7 +122,8 @@
         };
         // The platform's list lags. An instance that does not list the other one yet
         // would report a change as active everywhere after checking only itself.
-        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == cluster.nodes.len();
+        let is_complete =
+            |node: &Node| node.is_ready() && node.instance_count() == cluster.nodes.len();
         Cluster::wait(|| cluster.nodes.iter().all(is_complete));
         cluster
     }
--- a/crates/cli/tests/all/unknown.rs
+++ b/crates/cli/tests/all/unknown.rs
@@ -88,7 +88,7 @@
 fn step_unknown_then_refused_stays_unknown() {
     let node = start_instance(&[
         Reply::Refusal(Kind::OutcomeUnknown),
-        Reply::Refusal(Kind::StoreOut),
+        Reply::Refusal(Kind::StoreUnavailable),
     ]);
     let step = ["rollout", "step", "kaisla-mini", "--why", "w"];
     let result = run_at(&node, ADMIN_TOKEN, &step);
@@ -100,7 +100,7 @@
 #[test]
 fn step_unanswered_then_refused_elsewhere_stays_unknown() {
     let silent = start_instance(&[Reply::Silence]);
-    let refusing = start_instance(&[Reply::Refusal(Kind::StoreOut)]);
+    let refusing = start_instance(&[Reply::Refusal(Kind::StoreUnavailable)]);
     let step = ["rollout", "step", "kaisla-mini", "--why", "w"];
     let result = run_at(&format!("{silent},{refusing}"), ADMIN_TOKEN, &step);
     assert_eq!(result.code, EXIT_UNKNOWN, "{result:?}");
--- a/crates/client/src/admin/draft.rs
+++ b/crates/client/src/admin/draft.rs
@@ -15,7 +15,7 @@
 /// Maximum length of the reason for a change.
 const MAX_REASON_BYTES: usize = 500;
 /// Maximum length of the identifier of a request.
-const MAX_REQUEST_BYTES: usize = 64;
+const MAX_REQUEST_ID_BYTES: usize = 64;
 
 /// Result of applying a proposal to the active configuration.
 #[derive(Clone, Debug)]
@@ -66,11 +66,11 @@
     /// Checks that no file has changed since the sender read it.
     fn check_conflicts(&self, proposal: &Proposal) -> Result<(), Error> {
         for name in self.files.keys() {
-            let Some(seen) = proposal.seen.get(name) else {
+            let Some(base) = proposal.base.get(name) else {
                 continue;
             };
             let current = self.manifest.files.get(name);
-            if current.is_some_and(|file| file.digest == *seen) {
+            if current.is_some_and(|file| file.digest == *base) {
                 continue;
             }
             let by = current.map_or("somebody removed it".to_owned(), |file| {
@@ -111,12 +111,15 @@
     let refuse = |message: String| Err(Error::new(Kind::InvalidRequest, message));
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     let request = &proposal.request;
-    if request.is_empty() || request.len() > MAX_REQUEST_BYTES || !request.bytes().all(is_allowed) {
+    if request.is_empty()
+        || request.len() > MAX_REQUEST_ID_BYTES
+        || !request.bytes().all(is_allowed)
+    {
         return refuse(format!(
-            "request: an identifier of 1 to {MAX_REQUEST_BYTES} letters, digits, `-`, `_` and `.`"
+            "request: an identifier of 1 to {MAX_REQUEST_ID_BYTES} letters, digits, `-`, `_` and `.`"
         ));
     }
-    if proposal.why.trim().is_empty() || proposal.why.len() > MAX_REASON_BYTES {
+    if proposal.reason.trim().is_empty() || proposal.reason.len() > MAX_REASON_BYTES {
         return refuse(format!(
             "why: say in 1 to {MAX_REASON_BYTES} bytes why the change is made"
         ));
--- a/crates/client/src/admin/mod.rs
+++ b/crates/client/src/admin/mod.rs
@@ -19,14 +19,14 @@
 
 fn store_unavailable(error: &anyhow::Error) -> Error {
     let message = format!("the store gives no answer; nothing was changed ({error:#})");
-    Error::new(Kind::StoreOut, message)
+    Error::new(Kind::StoreUnavailable, message)
 }
 
 /// Reads the configuration that was accepted last, or an empty one if there is none.
 ///
 /// # Errors
 ///
-/// Returns [`Kind::StoreOut`] if the configuration cannot be read from the store.
+/// Returns [`Kind::StoreUnavailable`] if the configuration cannot be read from the store.
 pub fn configuration(store: &dyn Store) -> Result<Configuration, Error> {
     let read = manifest::read(store).map_err(|error| store_unavailable(&error))?;
     let Some((_, manifest)) = read else {
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Kind::StoreOut`] if the history cannot be read from the store.
+/// Returns [`Kind::StoreUnavailable`] if the history cannot be read from the store.
 pub fn history(store: &dyn Store, max_changes: usize) -> Result<History, Error> {
     let changes =
         manifest::history(store, max_changes).map_err(|error| store_unavailable(&error))?;
@@ -67,7 +67,7 @@
         Change {
             revision: change.revision,
             author: change.author,
-            why: change.reason,
+            reason: change.reason,
             at: change.at,
             request: change.request,
             put: names(put),
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Kind::StoreOut`] if the ledger cannot be read from the store.
+/// Returns [`Kind::StoreUnavailable`] if the ledger cannot be read from the store.
 pub fn totals(store: &dyn Store) -> Result<Ledger, Error> {
     let totals = ledger::totals(store).map_err(|error| store_unavailable(&error))?;
     let mut sums = Vec::new();
@@ -101,6 +101,6 @@
     }
     Ok(Ledger {
         sums,
-        doubles: totals.duplicates,
+        duplicates: totals.duplicates,
     })
 }
--- a/crates/client/src/admin/submit.rs
+++ b/crates/client/src/admin/submit.rs
@@ -53,7 +53,7 @@
             base: draft.manifest.clone(),
             files: draft.files.clone(),
             author: author.to_owned(),
-            reason: proposal.why.clone(),
+            reason: proposal.reason.clone(),
             at: manifest::unix_seconds(),
             request: request.clone(),
         };
@@ -90,7 +90,7 @@
             let message = format!("{file} was changed meanwhile; nothing was changed");
             Err(Error::new(Kind::Conflict, message))
         }
-        Applied::Broken(what) => Err(Error::new(Kind::StoreOut, what)),
+        Applied::Broken(what) => Err(Error::new(Kind::StoreUnavailable, what)),
         Applied::Unavailable => Err(store_unavailable(&anyhow::anyhow!(
             "no answer until the deadline"
         ))),
@@ -116,7 +116,7 @@
 /// proposal under the same identifier.
 fn identifying_part(proposal: &Proposal) -> Proposal {
     let mut part = proposal.clone();
-    part.seen.clear();
+    part.base.clear();
     if let Some(Action::RolloutClose { stepped, .. }) = &mut part.action {
         *stepped = false;
     }
--- a/crates/client/src/order.rs
+++ b/crates/client/src/order.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fescuerack_wire::order::{Loaded, Order};
+use fescuerack_wire::order::{EngineOrder, Loaded};
 
 use crate::http::{json, refused};
 use crate::{Agent, Fault};
@@ -36,7 +36,12 @@
 /// Returns [`Fault::Refused`] with [`FENCED_STATUS`] if the engine has received a higher fencing
 /// token, or with another status if it accepts no order at present. Returns [`Fault::Unknown`] if
 /// the order may have taken effect.
-pub fn send(agent: &Agent, address: &str, order: &Order, timeout: Duration) -> Result<(), Fault> {
+pub fn send(
+    agent: &Agent,
+    address: &str,
+    order: &EngineOrder,
+    timeout: Duration,
+) -> Result<(), Fault> {
     let response = agent
         .post(format!("http://{address}/v1/orders"))
         .config()
--- a/crates/config/src/edit/lines.rs
+++ b/crates/config/src/edit/lines.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-/// Lines of a text; line numbers count from 1, as in [`crate::tree::Node`].
+/// Lines of a text; line numbers count from 1, as in [`crate::tree::YamlNode`].
 pub struct Lines {
     lines: Vec<String>,
 }
--- a/crates/config/src/edit/mod.rs
+++ b/crates/config/src/edit/mod.rs
@@ -11,7 +11,7 @@
 
 use serde_json::{Map, Value as Json};
 
-use crate::tree::{Field, Node, Value};
+use crate::tree::{Field, Value, YamlNode};
 use lines::Lines;
 
 /// Reason why a text was not changed.
@@ -83,11 +83,11 @@
     }
 }
 
-fn parse(text: &str) -> Result<Node, Refusal> {
-    Node::new(text).map_err(|error| Refusal::Malformed(error.line, error.message))
+fn parse(text: &str) -> Result<YamlNode, Refusal> {
+    YamlNode::new(text).map_err(|error| Refusal::Malformed(error.line, error.message))
 }
 
-fn entry<'a>(root: &'a Node, section: &str, name: &str) -> Option<&'a Field> {
+fn entry<'a>(root: &'a YamlNode, section: &str, name: &str) -> Option<&'a Field> {
     root.field(section)?.node.field(name)
 }
 
@@ -126,7 +126,7 @@
 /// Returns the text with one entry added, replaced or removed.
 fn change_entry(
     text: &str,
-    root: &Node,
+    root: &YamlNode,
     section: &str,
     name: &str,
     desired: Option<&Map<String, Json>>,
@@ -201,12 +201,12 @@
 /// content is `desired`.
 fn is_only_change(
     changed: &str,
-    before: &Node,
+    before: &YamlNode,
     section: &str,
     name: &str,
     desired: Option<&Map<String, Json>>,
 ) -> bool {
-    let Ok(after) = Node::new(changed) else {
+    let Ok(after) = YamlNode::new(changed) else {
         return false;
     };
     let mut expected = match to_json(before) {
@@ -230,7 +230,7 @@
 }
 
 /// Returns the value of a node, without positions.
-fn to_json(node: &Node) -> Json {
+fn to_json(node: &YamlNode) -> Json {
     match &node.value {
         Value::Null => Json::Null,
         Value::Bool(value) => Json::from(*value),
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -18,7 +18,7 @@
 
 use bytes::Bytes;
 
-use crate::tree::{self, Node, ParseError, Value};
+use crate::tree::{self, ParseError, Value, YamlNode};
 use crate::{File, Folder, Problem};
 
 /// The merge of a folder, with the file that owns each entry.
@@ -163,7 +163,7 @@
 fn line_numbers(content: &[u8]) -> BTreeMap<String, usize> {
     let mut lines = BTreeMap::new();
     let text = std::str::from_utf8(content).unwrap_or_default();
-    if let Ok(root) = Node::new(text) {
+    if let Ok(root) = YamlNode::new(text) {
         root.walk("", &mut |path, line| {
             lines.insert(path.to_owned(), line);
         });
@@ -179,7 +179,7 @@
         Err(error) => error,
     };
     let problem = |error: ParseError| vec![Problem::new(name, error.line, error.message)];
-    let root = Node::new(text).map_err(problem)?;
+    let root = YamlNode::new(text).map_err(problem)?;
     if matches!(root.value, Value::Null) {
         return Ok(File::default());
     }
--- a/crates/config/src/tree/diagnose.rs
+++ b/crates/config/src/tree/diagnose.rs
@@ -7,7 +7,7 @@
 
 use serde::de::DeserializeOwned;
 
-use super::{Field, Node, ParseError, Value};
+use super::{Field, ParseError, Value, YamlNode};
 use crate::{Problem, file};
 
 /// Sections of a file, in the order of the documentation.
@@ -25,7 +25,7 @@
 
 /// Returns every error of the file `name`, whose tree is `root`.
 #[must_use]
-pub fn diagnose(name: &str, root: &Node) -> Vec<Problem> {
+pub fn diagnose(name: &str, root: &YamlNode) -> Vec<Problem> {
     let mut problems = Vec::new();
     if !matches!(root.value, Value::Mapping(_) | Value::Null) {
         let message = format!("expected a mapping of sections: {}", SECTIONS.join(", "));
@@ -38,7 +38,7 @@
 }
 
 fn diagnose_section(name: &str, section: &Field, problems: &mut Vec<Problem>) {
-    let parse: fn(&Node) -> Result<(), ParseError> = match section.name.as_str() {
+    let parse: fn(&YamlNode) -> Result<(), ParseError> = match section.name.as_str() {
         "operators" => try_parse::<file::Operator>,
         "organisations" => try_parse::<file::Organisation>,
         "models" => try_parse::<file::Model>,
@@ -81,7 +81,7 @@
 }
 
 /// Parses a node as `T` and drops the value.
-fn try_parse<T: DeserializeOwned>(node: &Node) -> Result<(), ParseError> {
+fn try_parse<T: DeserializeOwned>(node: &YamlNode) -> Result<(), ParseError> {
     T::deserialize(node).map(|_| ())
 }
 
@@ -89,7 +89,10 @@
 ///
 /// A field with an error gets a value that parses, so that the next run reaches
 /// the next field. A field for which no value parses is removed.
-fn collect_errors(mut node: Node, parse: fn(&Node) -> Result<(), ParseError>) -> Vec<ParseError> {
+fn collect_errors(
+    mut node: YamlNode,
+    parse: fn(&YamlNode) -> Result<(), ParseError>,
+) -> Vec<ParseError> {
     let mut found = Vec::new();
     let mut removed: Vec<String> = Vec::new();
     while let Err(error) = parse(&node) {
@@ -116,9 +119,9 @@
 
 /// Gives a field a value that parses and returns whether one was found.
 fn substitute_valid_value(
-    node: &mut Node,
+    node: &mut YamlNode,
     name: &str,
-    parse: fn(&Node) -> Result<(), ParseError>,
+    parse: fn(&YamlNode) -> Result<(), ParseError>,
 ) -> bool {
     let values = [
         Value::Unsigned(1),
--- a/crates/config/src/tree/mod.rs
+++ b/crates/config/src/tree/mod.rs
@@ -16,7 +16,7 @@
 
 /// One value with its position.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Node {
+pub struct YamlNode {
     /// Line of the value, from 1.
     pub line: usize,
     /// Byte range of a scalar value in the text; empty if unknown.
@@ -41,7 +41,7 @@
     /// Text.
     Text(String),
     /// A sequence.
-    Sequence(Vec<Node>),
+    Sequence(Vec<YamlNode>),
     /// A mapping, in the order of the text.
     Mapping(Vec<Field>),
 }
@@ -56,10 +56,10 @@
     /// Byte range of the name in the text.
     pub bytes: Range<usize>,
     /// Value.
-    pub node: Node,
+    pub node: YamlNode,
 }
 
-impl Node {
+impl YamlNode {
     /// Parses the text of one file.
     ///
     /// # Errors
--- a/crates/config/src/tree/parse.rs
+++ b/crates/config/src/tree/parse.rs
@@ -6,14 +6,14 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 
-use super::{Field, Node, ParseError, Value};
+use super::{Field, ParseError, Value, YamlNode};
 
 /// Parses the text of one file.
 ///
 /// # Errors
 ///
 /// The first syntax error.
-pub fn parse(text: &str) -> Result<Node, ParseError> {
+pub fn parse(text: &str) -> Result<YamlNode, ParseError> {
     let spanned: Spanned<Value> =
         serde_saphyr::from_str(text).map_err(|error| ParseError::from(&error))?;
     Ok(to_node(spanned))
@@ -61,8 +61,8 @@
     }
 }
 
-fn to_node(spanned: Spanned<Value>) -> Node {
-    Node {
+fn to_node(spanned: Spanned<Value>) -> YamlNode {
+    YamlNode {
         line: line_number(spanned.referenced),
         bytes: byte_range(spanned.referenced),
         value: spanned.value,
--- a/crates/config/src/tree/typed.rs
+++ b/crates/config/src/tree/typed.rs
@@ -8,7 +8,7 @@
     VariantAccess, Visitor,
 };
 
-use super::{Field, Node, Value};
+use super::{Field, Value, YamlNode};
 
 /// An error in a text or in the type of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     }
 }
 
-impl<'de> Deserializer<'de> for &'de Node {
+impl<'de> Deserializer<'de> for &'de YamlNode {
     type Error = ParseError;
 
     fn deserialize_any<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, ParseError> {
@@ -113,7 +113,7 @@
     }
 }
 
-struct SequenceItems<'a>(std::iter::Enumerate<std::slice::Iter<'a, Node>>);
+struct SequenceItems<'a>(std::iter::Enumerate<std::slice::Iter<'a, YamlNode>>);
 
 impl<'de> SeqAccess<'de> for SequenceItems<'de> {
     type Error = ParseError;
--- a/crates/config/tests/all/edit.rs
+++ b/crates/config/tests/all/edit.rs
@@ -82,7 +82,7 @@
     fn set_field_any_text_reads_back(text in "\\PC{0,12}") {
         let value = json!(text);
         if let Ok(changed) = set_field(TEXT, "rollouts", "mini", "current", Some(&value)) {
-            let root = fescuerack_config::tree::Node::new(&changed).expect("valid");
+            let root = fescuerack_config::tree::YamlNode::new(&changed).expect("valid");
             let entry = &root.field("rollouts").expect("kept").node;
             let entry = &entry.field("mini").expect("kept").node;
             let read = &entry.field("current").expect("kept").node.value;
--- a/crates/node/src/activation.rs
+++ b/crates/node/src/activation.rs
@@ -205,7 +205,7 @@
 fn update_store_share(shared: &NodeState) {
     shared
         .store
-        .set_node_count(peer_fallback::fleet_size(shared));
+        .set_node_count(peer_fallback::instance_count(shared));
 }
 
 fn record_store_state(shared: &NodeState, is_out: bool) {
@@ -241,7 +241,7 @@
 
 /// Returns a random delay that spreads the reads of the fleet after a change.
 fn jitter(shared: &NodeState) -> Duration {
-    let nodes = u64::from(peer_fallback::fleet_size(shared));
+    let nodes = u64::from(peer_fallback::instance_count(shared));
     let width_ms = nodes * CALLS_PER_CHANGE * 1000 / FLEET_CALLS_PER_SECOND;
     Duration::from_millis(shared.random() % (width_ms + 1))
 }
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -71,7 +71,7 @@
 }
 
 /// An attempt whose first part has not been received.
-struct PendingAttempt {
+struct UnansweredAttempt {
     events: Events,
 }
 
@@ -122,7 +122,7 @@
             let Some(pending) = self.send() else {
                 return Err(Failure::NoServer(self.attempts.outcome()));
             };
-            match self.hedged_first(pending).await {
+            match self.wait_with_hedge(pending).await {
                 Ok(started) => return Ok(started),
                 Err(outcome) => self.record_end(outcome)?,
             }
@@ -131,7 +131,7 @@
 
     /// Sends an attempt to a server that was not tried; returns `None` when
     /// there is none or the request may no longer run.
-    fn send(&mut self) -> Option<PendingAttempt> {
+    fn send(&mut self) -> Option<UnansweredAttempt> {
         let fleets = &self.active.catalog.versions[self.spec.version].fleets;
         let fingerprint = self.spec.fingerprint;
         let avoid = suspects::avoid(&self.shared, fingerprint, self.attempts.tried());
@@ -151,35 +151,35 @@
         self.fleet = Some(running.fleet);
         let spec = self.spec.clone();
         let events = upstream::start(&self.shared, running, spec, self.meter.clone());
-        Some(PendingAttempt { events })
+        Some(UnansweredAttempt { events })
     }
 
     /// Waits for the first part of an attempt and, once the attempt is late, of
     /// a hedge beside it. The slower of the two is cancelled.
-    async fn hedged_first(
+    async fn wait_with_hedge(
         &mut self,
-        mut pending: PendingAttempt,
+        mut pending: UnansweredAttempt,
     ) -> Result<StartedAnswer, AttemptOutcome> {
         let Some(delay) = self.hedge_delay() else {
-            return pending.first().await;
+            return pending.into_answer().await;
         };
-        if let Ok(first) = tokio::time::timeout(delay, pending.first_part()).await {
-            return pending.started(first);
+        if let Ok(first) = tokio::time::timeout(delay, pending.receive_first_part()).await {
+            return pending.into_started(first);
         }
         let Some(mut hedge) = self.send_hedge() else {
-            return pending.first().await;
+            return pending.into_answer().await;
         };
         tokio::select! {
-            first = pending.first_part() => match first {
-                Ok(_) => pending.started(first),
-                Err(_) => hedge.first().await,
+            first = pending.receive_first_part() => match first {
+                Ok(_) => pending.into_started(first),
+                Err(_) => hedge.into_answer().await,
             },
-            first = hedge.first_part() => match first {
+            first = hedge.receive_first_part() => match first {
                 Ok(_) => {
                     self.shared.metrics.count("attempts.hedge_won");
-                    hedge.started(first)
+                    hedge.into_started(first)
                 }
-                Err(_) => pending.first().await,
+                Err(_) => pending.into_answer().await,
             },
         }
     }
@@ -200,7 +200,7 @@
     }
 
     /// Sends a hedge if the hedge budget allows it.
-    fn send_hedge(&mut self) -> Option<PendingAttempt> {
+    fn send_hedge(&mut self) -> Option<UnansweredAttempt> {
         let now = self.shared.now();
         if !lock(&self.shared.pools).try_take_hedge(now, self.fleet?) {
             return None;
@@ -233,8 +233,8 @@
     }
 }
 
-impl PendingAttempt {
-    async fn first_part(&mut self) -> Result<Completion, AttemptOutcome> {
+impl UnansweredAttempt {
+    async fn receive_first_part(&mut self) -> Result<Completion, AttemptOutcome> {
         match self.events.recv().await {
             Some(Ok(Event::Part(first))) => Ok(first),
             Some(Ok(Event::End)) | None => Err(AttemptOutcome::Unknown),
@@ -242,12 +242,12 @@
         }
     }
 
-    async fn first(mut self) -> Result<StartedAnswer, AttemptOutcome> {
-        let first = self.first_part().await;
-        self.started(first)
+    async fn into_answer(mut self) -> Result<StartedAnswer, AttemptOutcome> {
+        let first = self.receive_first_part().await;
+        self.into_started(first)
     }
 
-    fn started(
+    fn into_started(
         self,
         first: Result<Completion, AttemptOutcome>,
     ) -> Result<StartedAnswer, AttemptOutcome> {
--- a/crates/node/src/callers/upstream.rs
+++ b/crates/node/src/callers/upstream.rs
@@ -28,7 +28,7 @@
 
 /// Number of events that are buffered for a slow reader before the engine's
 /// thread waits; bounds the memory of a stream whose caller reads slowly.
-const BUFFERED_EVENTS: usize = 16;
+const MAX_BUFFERED_EVENTS: usize = 16;
 
 /// Maximum number of resumptions in a row without a new event. A cut can lose
 /// events in transit, but an engine that cuts every stream must not hold the
@@ -67,7 +67,7 @@
     spec: AttemptSpec,
     meter: Meter,
 ) -> Events {
-    let (sender, receiver) = mpsc::channel(BUFFERED_EVENTS);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let attempt = Attempt {
         address: running.address.clone(),
         path: spec.path,
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -31,7 +31,7 @@
 const MAX_BACKLOG_BYTES: usize = 4 << 20;
 /// One in this many places may wait for a claim while the store is unavailable.
 /// The rest is left to requests that need no claim.
-const PLACES_PER_WAITING_CLAIM: usize = 4;
+const PERMITS_PER_WAITING_CLAIM: usize = 4;
 
 /// A record that is still to be written.
 #[derive(Clone, Debug)]
@@ -135,7 +135,7 @@
 
 /// Claims `name`; while the store is unavailable, tries until `deadline`.
 pub fn claim(shared: &NodeState, name: &Name, deadline: Instant) -> Outcome {
-    let max_waiting = (shared.settings.limits.concurrency / PLACES_PER_WAITING_CLAIM).max(1);
+    let max_waiting = (shared.settings.limits.concurrency / PERMITS_PER_WAITING_CLAIM).max(1);
     let waiting = shared.claims.waiting.fetch_add(1, Ordering::SeqCst);
     let outcome = if waiting < max_waiting {
         try_claim(shared, name, deadline)
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -106,7 +106,7 @@
 
     /// Returns the number of known instances, including this one.
     #[must_use]
-    pub fn fleet_size(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         crate::node_state::lock(&self.shared.member).view.size()
     }
 
--- a/crates/node/src/node_state.rs
+++ b/crates/node/src/node_state.rs
@@ -103,7 +103,7 @@
 
 impl NodeState {
     /// Maximum number of idle connections to one backend server.
-    const MAX_IDLE_CONNECTIONS: usize = 32;
+    const MAX_IDLE_CONNECTIONS_PER_SERVER: usize = 32;
 
     /// Creates the state of a process that has no configuration yet.
     ///
@@ -127,7 +127,7 @@
             ledger_store: store.for_ledger(),
             store,
             discovery: HttpDiscovery::new(&settings.platform),
-            upstream: agent(Self::MAX_IDLE_CONNECTIONS),
+            upstream: agent(Self::MAX_IDLE_CONNECTIONS_PER_SERVER),
             // The other side may close an idle connection while a request is
             // being written, and the outcome would be unknown. A call that must
             // not be repeated therefore gets a new connection.
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -17,7 +17,7 @@
 use fescuerack_core::member;
 use fescuerack_core::order::{self, Engine, GracePeriod, LeaseHolder, Permit, PlannedOrder};
 use fescuerack_core::route::State;
-use fescuerack_wire::order::{Action, Order};
+use fescuerack_wire::order::{Action, EngineOrder};
 
 use crate::node_state::{ActiveConfiguration, NodeState, lock};
 use crate::stop::Stop;
@@ -246,7 +246,7 @@
     let Some(target) = targets.iter().find(|target| target.server == server) else {
         return;
     };
-    let order = Order {
+    let order = EngineOrder {
         fencing_token: permit.fencing_token,
         action,
         version: active.names.versions.name(version).to_string(),
--- a/crates/node/src/peer_fallback.rs
+++ b/crates/node/src/peer_fallback.rs
@@ -163,7 +163,7 @@
 }
 
 /// Returns the number of instances that share the store's request rate.
-pub fn fleet_size(shared: &NodeState) -> u32 {
+pub fn instance_count(shared: &NodeState) -> u32 {
     let size = lock(&shared.member).view.size();
     u32::try_from(size).unwrap_or(u32::MAX)
 }
--- a/crates/node/src/settings/read.rs
+++ b/crates/node/src/settings/read.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context as _, Result, bail};
 use fescuerack_config::Problem;
-use fescuerack_config::tree::{Field, Node, ParseError, Value};
+use fescuerack_config::tree::{Field, ParseError, Value, YamlNode};
 use serde::Deserialize as _;
 
 use super::{Settings, check};
@@ -18,7 +18,7 @@
 /// Boolean settings. All other settings outside the limits are texts.
 const BOOLEANS: [&str; 2] = ["logs.json", "operators.open_reads"];
 /// Every setting, prefixed by its group.
-const SETTINGS: [&str; 22] = [
+const SETTING_NAMES: [&str; 22] = [
     "instance",
     "zone",
     "platform",
@@ -47,7 +47,7 @@
 #[must_use]
 pub fn variables() -> Vec<(&'static str, String)> {
     let variable = |setting: &&'static str| (*setting, variable(setting));
-    SETTINGS.iter().map(variable).collect()
+    SETTING_NAMES.iter().map(variable).collect()
 }
 
 fn variable(setting: &str) -> String {
@@ -82,7 +82,7 @@
         text: &str,
         variables: impl IntoIterator<Item = (String, String)>,
     ) -> Result<Self, Vec<Problem>> {
-        let mut root = Node::new(text).map_err(|failure| vec![problem(name, &failure)])?;
+        let mut root = YamlNode::new(text).map_err(|failure| vec![problem(name, &failure)])?;
         let mut origins = Origins::new(name);
         for (variable, value) in variables {
             origins.override_setting(&mut root, variable, &value)?;
@@ -125,11 +125,11 @@
     /// Overrides a setting of the file by a variable.
     fn override_setting(
         &mut self,
-        root: &mut Node,
+        root: &mut YamlNode,
         variable: String,
         value: &str,
     ) -> Result<(), Vec<Problem>> {
-        let known = SETTINGS
+        let known = SETTING_NAMES
             .iter()
             .find(|setting| self::variable(setting) == variable);
         let Some(setting) = known else {
@@ -163,7 +163,9 @@
         // Variables of the command line and of tests have the same prefix.
         return Ok(());
     };
-    let known = SETTINGS.iter().filter(|setting| setting.starts_with(group));
+    let known = SETTING_NAMES
+        .iter()
+        .filter(|setting| setting.starts_with(group));
     let known: Vec<_> = known.map(|setting| self::variable(setting)).collect();
     let message = format!("no such setting; accepted are {}", known.join(", "));
     Err(vec![Problem::new(
@@ -178,16 +180,16 @@
 }
 
 /// Parses the value of a variable: as YAML if the setting is not a text.
-fn scalar(setting: &str, value: &str) -> Node {
+fn scalar(setting: &str, value: &str) -> YamlNode {
     let is_text = !setting.starts_with("limits.") && !BOOLEANS.contains(&setting);
-    let parsed = Node::new(value).ok().filter(|_| !is_text);
+    let parsed = YamlNode::new(value).ok().filter(|_| !is_text);
     let value = match parsed.map(|node| node.value) {
         Some(Value::Mapping(_) | Value::Sequence(_) | Value::Null) | None => {
             Value::Text(value.to_owned())
         }
         Some(scalar) => scalar,
     };
-    Node {
+    YamlNode {
         line: 0,
         bytes: 0..0,
         value,
@@ -195,9 +197,9 @@
 }
 
 /// Returns a field of a mapping, which is inserted as an empty mapping if it is missing.
-fn field_or_insert<'a>(root: &'a mut Node, name: &str) -> &'a mut Node {
+fn field_or_insert<'a>(root: &'a mut YamlNode, name: &str) -> &'a mut YamlNode {
     if root.field(name).is_none() {
-        let empty = Node {
+        let empty = YamlNode {
             line: 0,
             bytes: 0..0,
             value: Value::Mapping(Vec::new()),
@@ -212,7 +214,7 @@
 }
 
 /// Sets a field of `root`, which becomes a mapping if it is not one.
-fn set_field(root: &mut Node, name: &str, node: Node) {
+fn set_field(root: &mut YamlNode, name: &str, node: YamlNode) {
     if !matches!(root.value, Value::Mapping(_)) {
         root.value = Value::Mapping(Vec::new());
     }
@@ -230,7 +232,7 @@
 
 /// Returns the line of a setting. If the file does not contain it, returns the
 /// line of its group, or the first line if the group is missing too.
-fn line(root: &Node, setting: &str) -> usize {
+fn line(root: &YamlNode, setting: &str) -> usize {
     let mut node = root;
     let mut line = 1;
     for name in setting.split('.') {
--- a/crates/node/tests/all/claims.rs
+++ b/crates/node/tests/all/claims.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::support::{KEY, Process, World, client, wait_until};
+use crate::support::{Cluster, KEY, Process, client, wait_until};
 
 type Response = ureq::http::Response<ureq::Body>;
 
@@ -41,8 +41,8 @@
         .to_owned()
 }
 
-fn runs(world: &World) -> u64 {
-    world.services[0].runs().values().sum()
+fn runs(cluster: &Cluster) -> u64 {
+    cluster.services[0].runs().values().sum()
 }
 
 /// Step at which an instance is killed.
@@ -64,11 +64,11 @@
 #[case::recording(Step::Recording)]
 #[case::answered(Step::Answered)]
 fn booking_killed_runs_once(#[case] step: Step) {
-    let world = World::new();
-    let mut first = world.start("entry-0");
-    let second = world.start("entry-1");
-    let service = world.services[0].faults();
-    let store = world.platform.store_faults();
+    let cluster = Cluster::new();
+    let mut first = cluster.start("entry-0");
+    let second = cluster.start("entry-1");
+    let service = cluster.services[0].faults();
+    let store = cluster.platform.store_faults();
     match step {
         Step::Claiming => store.set(Fault::DelayMs, 400),
         Step::Running | Step::Recording => service.set(Fault::DelayMs, 400),
@@ -85,9 +85,9 @@
     });
     match step {
         Step::Claiming => std::thread::sleep(Duration::from_millis(150)),
-        Step::Running => wait_until("the service works", || runs(&world) == 1),
+        Step::Running => wait_until("the service works", || runs(&cluster) == 1),
         Step::Recording => {
-            wait_until("the service works", || runs(&world) == 1);
+            wait_until("the service works", || runs(&cluster) == 1);
             store.set(Fault::Down, 1);
             std::thread::sleep(Duration::from_millis(600));
         }
@@ -113,16 +113,16 @@
             assert!(response.headers().contains_key(header::REPLAYED));
         }
     }
-    assert!(runs(&world) <= 1, "{step:?}: booked twice");
+    assert!(runs(&cluster) <= 1, "{step:?}: booked twice");
 }
 
 // The store accepts a claim but its answers are lost repeatedly. An instance that
 // took this for a failure would either never run the booking or run it twice.
 #[test]
 fn booking_lost_answers_runs_once() {
-    let world = World::new();
-    let [first, second] = world.start_fleet(["entry-0", "entry-1"]);
-    let store = world.platform.store_faults();
+    let cluster = Cluster::new();
+    let [first, second] = cluster.start_fleet(["entry-0", "entry-1"]);
+    let store = cluster.platform.store_faults();
     store.set(Fault::DropAnswers, 1);
     let address = Process::address_of(&first);
     let caller = std::thread::spawn(move || {
@@ -135,7 +135,7 @@
         outcome(&response.expect("an answer"))
     });
     let claims = || {
-        world
+        cluster
             .platform
             .with_store(|store| store.keys("claim/", 0).items.len())
     };
@@ -144,15 +144,15 @@
     assert_eq!(caller.join().expect("the caller ends"), "done");
     let again = book(&second, Some("lost"), "korhonen", DEADLINE_MS).expect("an answer");
     assert!(again.headers().contains_key(header::REPLAYED));
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 // Another booking is sent under a key that was already used. Replaying the first
 // answer would confirm a booking that was never made.
 #[test]
 fn booking_other_body_is_refused() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let first = book(&process, Some("one"), "virtanen", DEADLINE_MS).expect("an answer");
     assert_eq!(outcome(&first), "done");
     let other = book(&process, Some("one"), "korhonen", DEADLINE_MS).expect("an answer");
@@ -160,7 +160,7 @@
         (other.status().as_u16(), outcome(&other).as_str()),
         (409, "not-run")
     );
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
 
 // A client without an idempotency key times out and sends its booking again. A
@@ -168,34 +168,34 @@
 // at once.
 #[test]
 fn booking_without_key_is_refused() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let response = book(&process, None, "virtanen", DEADLINE_MS).expect("an answer");
     assert_eq!(
         (response.status().as_u16(), outcome(&response).as_str()),
         (400, "not-run")
     );
-    assert_eq!(runs(&world), 0);
+    assert_eq!(runs(&cluster), 0);
 }
 
 // The store is unavailable: a booking waits, as the store may return, and is then
 // refused as not run. The same key works once the store is back.
 #[test]
 fn booking_store_out_is_not_run() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    let store = world.platform.store_faults();
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    let store = cluster.platform.store_faults();
     store.set(Fault::Down, 1);
     let refused = book(&process, Some("out"), "virtanen", 600).expect("an answer");
     assert_eq!(
         (refused.status().as_u16(), outcome(&refused).as_str()),
         (503, "not-run")
     );
-    assert_eq!(runs(&world), 0);
+    assert_eq!(runs(&cluster), 0);
     store.set(Fault::Down, 0);
     wait_until("the given-up claim is settled", || {
         let again = book(&process, Some("out"), "virtanen", DEADLINE_MS);
         again.is_some_and(|again| outcome(&again) == "done")
     });
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
 }
--- a/crates/node/tests/all/configuration.rs
+++ b/crates/node/tests/all/configuration.rs
@@ -8,15 +8,15 @@
 use fescuerack_client::{HttpStore, Store as _};
 use fescuerack_standin::Fault;
 
-use crate::support::{Process, World, wait_until};
+use crate::support::{Cluster, Process, wait_until};
 
-fn store(world: &World) -> HttpStore {
-    HttpStore::new(&world.platform.address())
+fn store(cluster: &Cluster) -> HttpStore {
+    HttpStore::new(&cluster.platform.address())
 }
 
 /// Returns the manifest in the store.
-fn current(world: &World) -> Manifest {
-    let read = manifest::read(&store(world)).expect("the store answers");
+fn current(cluster: &Cluster) -> Manifest {
+    let read = manifest::read(&store(cluster)).expect("the store answers");
     read.expect("a manifest").1
 }
 
@@ -49,11 +49,11 @@
 #[test]
 fn apply_different_files_both_win() {
     const CHANGES: usize = 8;
-    let world = World::new();
-    let fleet = world.start_fleet(["entry-0", "entry-1", "entry-2"]);
-    let before = current(&world);
+    let cluster = Cluster::new();
+    let fleet = cluster.start_fleet(["entry-0", "entry-1", "entry-2"]);
+    let before = current(&cluster);
     let teams = ["lapset", "kuljetus"].map(|team| {
-        let store = store(&world);
+        let store = store(&cluster);
         let mut base = before.clone();
         std::thread::spawn(move || {
             for change in 0..CHANGES {
@@ -70,11 +70,11 @@
     for team in teams {
         team.join().expect("the team is done");
     }
-    let after = current(&world);
+    let after = current(&cluster);
     assert_eq!(after.revision, before.revision + 2 * CHANGES as u64);
     assert_eq!(after.files["90-lapset.yaml"].author, "lapset");
     assert_eq!(after.files["90-kuljetus.yaml"].author, "kuljetus");
-    let history = manifest::history(&store(&world), 100).expect("a history");
+    let history = manifest::history(&store(&cluster), 100).expect("a history");
     let revisions: Vec<_> = history.iter().map(|change| change.revision).collect();
     let expected: Vec<_> = (1..=after.revision).rev().collect();
     assert_eq!(revisions, expected, "every change is in the history");
@@ -86,9 +86,9 @@
 // must not become active.
 #[test]
 fn apply_same_file_conflicts() {
-    let world = World::new();
-    let base = current(&world);
-    let store = store(&world);
+    let cluster = Cluster::new();
+    let base = current(&cluster);
+    let store = store(&cluster);
     let first = change_request(
         &base,
         "aino",
@@ -113,7 +113,7 @@
     };
     assert_eq!(file, "90-lapset.yaml");
     assert_eq!(theirs.expect("an accepted change").author, "aino");
-    assert_eq!(current(&world).revision, revision);
+    assert_eq!(current(&cluster).revision, revision);
     // The first operator's tool did not receive the answer and sends the same
     // request again.
     assert_eq!(
@@ -127,10 +127,10 @@
 // previous configuration active.
 #[test]
 fn apply_bad_file_keeps_the_active_configuration() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    let before = current(&world);
-    let store = store(&world);
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    let before = current(&cluster);
+    let store = store(&cluster);
     let bad = change_request(
         &before,
         "eero",
@@ -145,7 +145,7 @@
         (problems[0].file.as_str(), problems[0].line),
         ("90-bad.yaml", 3)
     );
-    assert_eq!(current(&world), before);
+    assert_eq!(current(&cluster), before);
     write_without_the_tool(&store, &before);
     wait_until("the bad revision is refused", || {
         process.state()["configuration"]["refused"] == before.revision + 1
@@ -180,19 +180,19 @@
 #[case::late(Fault::WatchDelayMs, 700)]
 #[case::old_reads(Fault::StaleReads, 2)]
 fn apply_watch_faults_in_force(#[case] fault: Fault, #[case] value: u64) {
-    let world = World::new();
-    let fleet = world.start_fleet(["entry-0", "entry-1"]);
-    let mut revision = current(&world).revision;
-    world.platform.store_faults().set(fault, value);
+    let cluster = Cluster::new();
+    let fleet = cluster.start_fleet(["entry-0", "entry-1"]);
+    let mut revision = current(&cluster).revision;
+    cluster.platform.store_faults().set(fault, value);
     for change in 0..3 {
         let content = format!("models:\n  a: {{note: \"{change}\"}}\n");
-        let current = world.platform.with_store(|store| {
+        let current = cluster.platform.with_store(|store| {
             let value = store.get(manifest::KEY).expect("a manifest");
             serde_json::from_slice::<Manifest>(&value.bytes).expect("JSON")
         });
         let request = change.to_string();
         let change_request = change_request(&current, "aino", "90-a.yaml", &content, &request);
-        let applied = manifest::apply(&store(&world), change_request);
+        let applied = manifest::apply(&store(&cluster), change_request);
         revision = current.revision + 1;
         assert_eq!(applied, Applied::Accepted { revision });
     }
--- a/crates/node/tests/all/input.rs
+++ b/crates/node/tests/all/input.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::support::{KEY, Process, World, client};
+use crate::support::{Cluster, KEY, Process, client};
 
 /// Limits that are low enough for short tests.
 const LIMITS: &str = "drain_lag_ms: 0, body_bytes: 10000, header_timeout_ms: 300, \
@@ -88,8 +88,8 @@
     assert!(answer.contains("x-outcome: not-run"), "{answer}");
 }
 
-fn assert_unharmed(world: &World, process: &Process) {
-    let started: u64 = world.engines.iter().map(|engine| engine.counts().0).sum();
+fn assert_unharmed(cluster: &Cluster, process: &Process) {
+    let started: u64 = cluster.engines.iter().map(|engine| engine.counts().0).sum();
     assert_eq!(started, 0, "nothing was run");
     let response = client()
         .post(format!("{}{CHAT}", process.callers))
@@ -136,12 +136,12 @@
 #[case::header_no_text(chat(GOOD).with("x-session-id", "\u{e4}"), 400, "invalid_request")]
 #[case::body_too_large(chat(&"x".repeat(20_000)), 413, "too_large")]
 fn bad_request_is_refused(#[case] raw: Raw, #[case] status: u16, #[case] kind: &str) {
-    let world = World::new();
-    let process = world.start_with("entry-0", LIMITS);
+    let cluster = Cluster::new();
+    let process = cluster.start_with("entry-0", LIMITS);
     let raw = raw.with("connection", "close");
     assert_refused(&exchange(&process, &raw.bytes(), false), status, kind);
     assert_eq!(process.counter("callers.refused"), 1);
-    assert_unharmed(&world, &process);
+    assert_unharmed(&cluster, &process);
 }
 
 // A client never ends its headers or its body, or closes its sending half in the
@@ -161,8 +161,8 @@
     #[case] status: u16,
     #[case] kind: &str,
 ) {
-    let world = World::new();
-    let process = world.start_with("entry-0", LIMITS);
+    let cluster = Cluster::new();
+    let process = cluster.start_with("entry-0", LIMITS);
     let sent = if sent.starts_with("POST") {
         sent.to_owned()
     } else {
@@ -170,7 +170,7 @@
     };
     let answer = exchange(&process, sent.as_bytes(), half_close);
     assert_refused(&answer, status, kind);
-    assert_unharmed(&world, &process);
+    assert_unharmed(&cluster, &process);
 }
 
 // A head that is not HTTP, or too large, gets a bare status, because hyper answers
@@ -181,15 +181,15 @@
 #[case::many_headers([b"GET / HTTP/1.1\r\n".to_vec(), b"a: b\r\n".repeat(500), b"\r\n".to_vec()].concat(), "431")]
 #[case::large_header([b"GET / HTTP/1.1\r\na: ".to_vec(), b"x".repeat(100_000)].concat(), "431")]
 fn malformed_head_is_refused(#[case] bytes: Vec<u8>, #[case] status: &str) {
-    let world = World::new();
-    let process = world.start_with("entry-0", LIMITS);
+    let cluster = Cluster::new();
+    let process = cluster.start_with("entry-0", LIMITS);
     let answer = exchange(&process, &bytes, false);
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")),
         "{answer}"
     );
     assert_eq!(process.counter("callers.malformed"), 1);
-    assert_unharmed(&world, &process);
+    assert_unharmed(&cluster, &process);
 }
 
 #[rstest]
@@ -200,8 +200,8 @@
     #[case] mut body: Value,
     #[case] object: &str,
 ) {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     body["model"] = "auto:chat-reply".into();
     body["max_tokens"] = 3.into();
     // Engines accept fields that the router does not know.
@@ -227,8 +227,8 @@
 #[case::text_with_usage("/v1/completions", Some(true))]
 #[case::text_without("/v1/completions", None)]
 fn stream_reports_usage_only_if_asked(#[case] path: &str, #[case] asked: Option<bool>) {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let mut body = json!({
         "model": "auto:chat-reply", "max_tokens": 3, "stream": true, "messages": [], "prompt": "",
     });
@@ -271,8 +271,8 @@
 // Health checkers use HEAD, browsers OPTIONS.
 #[test]
 fn head_and_options_are_answered() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let head = Raw::new("HEAD", "/v1/models")
         .with_key(KEY)
         .with("connection", "close");
@@ -291,8 +291,8 @@
 // of others.
 #[test]
 fn models_of_others_are_not_revealed() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let get = Raw::new("GET", "/v1/models")
         .with_key("demo-iltahoito")
         .with("connection", "close");
--- a/crates/node/tests/all/load.rs
+++ b/crates/node/tests/all/load.rs
@@ -3,16 +3,16 @@
 use fescuerack_wire::header;
 use serde_json::json;
 
-use crate::support::{KEY, World, client};
+use crate::support::{Cluster, KEY, client};
 
 // A retired engine refuses new work while the instance list still shows it as
 // live. Callers must not notice: a refused request has not run and goes to another
 // engine, outside the retry budget.
 #[test]
 fn chat_server_that_leaves_gets_no_new_work() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    world.engines[0].mark_leaving();
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    cluster.engines[0].mark_leaving();
     let url = format!("{}/v1/chat/completions", process.callers);
     let body = json!({
         "model": "auto:chat-reply",
@@ -27,7 +27,7 @@
             .expect("an answer");
         assert_eq!(answer.status(), 200);
     }
-    assert_eq!(world.engines[0].counts().0, 0, "it started nothing");
+    assert_eq!(cluster.engines[0].counts().0, 0, "it started nothing");
     assert_eq!(process.counter("attempts.retry_denied"), 0);
 }
 
@@ -35,9 +35,9 @@
 // It is refused at once, as not run and with a time to retry.
 #[test]
 fn chat_too_late_is_refused_as_not_run() {
-    let mut world = World::new();
-    world.replace_engines(400, 20);
-    let process = world.start_with("entry-0", "concurrency: 1");
+    let mut cluster = Cluster::new();
+    cluster.replace_engines(400, 20);
+    let process = cluster.start_with("entry-0", "concurrency: 1");
     let url = format!("{}/v1/chat/completions", process.callers);
     let body = json!({"model": "auto:chat-reply", "max_tokens": 100, "messages": []});
     let send = |deadline_ms: &str| {
--- a/crates/node/tests/all/orders.rs
+++ b/crates/node/tests/all/orders.rs
@@ -2,9 +2,9 @@
 
 use std::process::Command;
 
-use fescuerack_wire::order::Order;
+use fescuerack_wire::order::EngineOrder;
 
-use crate::support::{Process, World, wait_until};
+use crate::support::{Cluster, Process, wait_until};
 
 /// Versions of the fleet `kaisla-llm` in the example configuration.
 const VERSIONS: usize = 3;
@@ -13,12 +13,12 @@
     process.state()["orders"]["kaisla-llm"]["held"] == true
 }
 
-fn all_loaded(world: &World) -> bool {
-    let mut engines = world.engines.iter();
+fn all_loaded(cluster: &Cluster) -> bool {
+    let mut engines = cluster.engines.iter();
     engines.all(|engine| engine.orders().loaded().len() == VERSIONS)
 }
 
-fn fencing_tokens(orders: &[Order]) -> Vec<u64> {
+fn fencing_tokens(orders: &[EngineOrder]) -> Vec<u64> {
     orders.iter().map(|order| order.fencing_token).collect()
 }
 
@@ -32,14 +32,14 @@
 // instance must order the loads, and none may be ordered twice.
 #[test]
 fn engines_are_ordered_to_load_once() {
-    let world = World::new();
-    let fleet = world.start_fleet(["entry-0", "entry-1"]);
-    wait_until("every engine has every version", || all_loaded(&world));
+    let cluster = Cluster::new();
+    let fleet = cluster.start_fleet(["entry-0", "entry-1"]);
+    wait_until("every engine has every version", || all_loaded(&cluster));
     assert_eq!(
         fleet.iter().filter(|process| holds_lease(process)).count(),
         1
     );
-    for engine in &world.engines {
+    for engine in &cluster.engines {
         assert_eq!(engine.orders().executed().len(), VERSIONS);
     }
 }
@@ -49,19 +49,19 @@
 // refusal because of a higher fencing token.
 #[test]
 fn engine_busy_does_not_end_the_lease() {
-    let world = World::new();
-    world.engines[0].orders().set_refuses_all(true);
-    let [process] = world.start_fleet(["entry-0"]);
+    let cluster = Cluster::new();
+    cluster.engines[0].orders().set_refuses_all(true);
+    let [process] = cluster.start_fleet(["entry-0"]);
     wait_until("the other engines have every version", || {
-        let mut others = world.engines[1..].iter();
+        let mut others = cluster.engines[1..].iter();
         others.all(|engine| engine.orders().loaded().len() == VERSIONS)
     });
     process.wait_for("orders.failed", 1);
     assert!(holds_lease(&process));
     assert_eq!(process.counter("orders.fenced"), 0);
-    world.engines[0].orders().set_refuses_all(false);
+    cluster.engines[0].orders().set_refuses_all(false);
     wait_until("the busy engine has every version later", || {
-        all_loaded(&world)
+        all_loaded(&cluster)
     });
 }
 
@@ -71,13 +71,13 @@
 // ignore fencing tokens.
 #[test]
 fn holder_frozen_gives_no_order_after_a_newer_one() {
-    let world = World::new();
-    world.publish_with("fences: true", "fences: false");
-    for engine in &world.engines {
+    let cluster = Cluster::new();
+    cluster.publish_with("fences: true", "fences: false");
+    for engine in &cluster.engines {
         engine.orders().set_ignores_fencing(true);
     }
-    let fleet = world.start_fleet(["entry-0", "entry-1"]);
-    wait_until("every engine has every version", || all_loaded(&world));
+    let fleet = cluster.start_fleet(["entry-0", "entry-1"]);
+    wait_until("every engine has every version", || all_loaded(&cluster));
     let frozen = fleet.iter().find(|process| holds_lease(process));
     let frozen = frozen.expect("an instance holds the lease");
     let other = fleet.iter().find(|process| !holds_lease(process));
@@ -86,19 +86,19 @@
     wait_until("the other instance takes over", || holds_lease(other));
     // The engines forget their versions, so that both instances have something
     // to order.
-    for engine in &world.engines {
+    for engine in &cluster.engines {
         engine.orders().unload_all();
     }
-    wait_until("the other instance orders", || all_loaded(&world));
-    for engine in &world.engines {
+    wait_until("the other instance orders", || all_loaded(&cluster));
+    for engine in &cluster.engines {
         engine.orders().unload_all();
     }
     signal(frozen, "-CONT");
-    wait_until("an instance orders", || all_loaded(&world));
+    wait_until("an instance orders", || all_loaded(&cluster));
     wait_until("the resumed instance has lost the lease", || {
         !holds_lease(frozen)
     });
-    for engine in &world.engines {
+    for engine in &cluster.engines {
         let fencing_tokens = fencing_tokens(&engine.orders().executed());
         assert!(fencing_tokens.is_sorted(), "{fencing_tokens:?}");
     }
--- a/crates/node/tests/all/outage.rs
+++ b/crates/node/tests/all/outage.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::claims::outcome;
-use crate::support::{KEY, Process, World, client, wait_until};
+use crate::support::{Cluster, KEY, Process, client, wait_until};
 
 fn chat(process: &Process) -> String {
     let url = format!("{}/v1/chat/completions", process.callers);
@@ -22,8 +22,8 @@
     outcome(&request.send_json(&body).expect("an answer"))
 }
 
-fn billed(world: &World) -> (u64, u64) {
-    let store = HttpStore::new(&world.platform.address());
+fn billed(cluster: &Cluster) -> (u64, u64) {
+    let store = HttpStore::new(&cluster.platform.address());
     let totals = ledger::totals(&store).expect("the ledger is readable");
     (totals.total().requests, totals.duplicates)
 }
@@ -33,16 +33,16 @@
 // back.
 #[test]
 fn chat_store_out_is_billed_once() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    let store = world.platform.store_faults();
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    let store = cluster.platform.store_faults();
     store.set(Fault::Down, 1);
     for _ in 0..5 {
         assert_eq!(chat(&process), "done");
     }
     assert_eq!(process.state()["ledger"]["pending"], 5);
     store.set(Fault::Down, 0);
-    wait_until("the ledger is stored", || billed(&world).0 == 5);
+    wait_until("the ledger is stored", || billed(&cluster).0 == 5);
     assert!(process.is_ready());
 }
 
@@ -50,27 +50,27 @@
 // a peer, which writes it when the store is back.
 #[test]
 fn drain_store_out_hands_off() {
-    let world = World::new();
-    let [mut first, second] = world.start_fleet(["entry-0", "entry-1"]);
-    world.platform.store_faults().set(Fault::Down, 1);
+    let cluster = Cluster::new();
+    let [mut first, second] = cluster.start_fleet(["entry-0", "entry-1"]);
+    cluster.platform.store_faults().set(Fault::Down, 1);
     for _ in 0..3 {
         assert_eq!(chat(&first), "done");
     }
     assert_eq!(chat(&second), "done");
     first.terminate();
     assert!(first.child.wait().expect("an exit").success());
-    assert_eq!(stored_segments(&world), 0);
-    world.platform.store_faults().set(Fault::Down, 0);
-    wait_until("the ledger is stored", || billed(&world).0 == 4);
+    assert_eq!(stored_segments(&cluster), 0);
+    cluster.platform.store_faults().set(Fault::Down, 0);
+    wait_until("the ledger is stored", || billed(&cluster).0 == 4);
     wait_until("the peer has nothing left", || {
         second.state()["ledger"]["pending"] == 0
     });
-    assert_eq!(billed(&world).0, 4);
+    assert_eq!(billed(&cluster).0, 4);
 }
 
 /// Returns the number of ledger segments in the store, without a call.
-fn stored_segments(world: &World) -> usize {
-    world
+fn stored_segments(cluster: &Cluster) -> usize {
+    cluster
         .platform
         .with_store(|store| store.keys("ledger/", 0).items.len())
 }
@@ -80,28 +80,28 @@
 // has sent no message for some time.
 #[test]
 fn kill_store_out_peer_keeps_the_entry() {
-    let world = World::new();
-    let [mut first, second] = world.start_fleet(["entry-0", "entry-1"]);
-    world.platform.store_faults().set(Fault::Down, 1);
+    let cluster = Cluster::new();
+    let [mut first, second] = cluster.start_fleet(["entry-0", "entry-1"]);
+    cluster.platform.store_faults().set(Fault::Down, 1);
     assert_eq!(chat(&first), "done");
     wait_until("a copy is held", || {
         second.state()["ledger"]["copies_held"] == 1
     });
     first.child.kill().expect("it is killed");
     first.child.wait().expect("it ends");
-    world.platform.store_faults().set(Fault::Down, 0);
-    wait_until("the peer has written it", || billed(&world).0 == 1);
+    cluster.platform.store_faults().set(Fault::Down, 0);
+    wait_until("the peer has written it", || billed(&cluster).0 == 1);
 }
 
 // An instance starts during a store outage. It must activate the verified
 // configuration of a peer and report the peer as the source.
 #[test]
 fn start_store_out_takes_a_peers_configuration() {
-    let world = World::new();
-    let first = world.start("entry-0");
-    world.list_own(&first);
-    world.platform.store_faults().set(Fault::Down, 1);
-    let second = world.start("entry-1");
+    let cluster = Cluster::new();
+    let first = cluster.start("entry-0");
+    cluster.list_own(&first);
+    cluster.platform.store_faults().set(Fault::Down, 1);
+    let second = cluster.start("entry-1");
     assert_eq!(second.revision(), first.revision());
     let source = second.state()["configuration"]["source"].clone();
     assert_eq!(source["peer"], first.peers.as_str());
@@ -112,16 +112,16 @@
 // It must not become ready, and must refuse requests as not run.
 #[test]
 fn start_store_out_alone_takes_no_callers() {
-    let world = World::new();
-    world.platform.store_faults().set(Fault::Down, 1);
-    let process = world.spawn("entry-0", "drain_lag_ms: 0");
+    let cluster = Cluster::new();
+    cluster.platform.store_faults().set(Fault::Down, 1);
+    let process = cluster.spawn("entry-0", "drain_lag_ms: 0");
     wait_until("the store was tried", || {
         let state = client().get(format!("{}/state", process.operators)).call();
         state.is_ok() && process.counter("force.store_failed") > 1
     });
     assert!(!process.is_ready());
     assert_eq!(chat(&process), "not-run");
-    world.platform.store_faults().set(Fault::Down, 0);
+    cluster.platform.store_faults().set(Fault::Down, 0);
     wait_until("it becomes ready", || process.is_ready());
 }
 
@@ -129,15 +129,15 @@
 // run, although later, and chat requests must be answered.
 #[test]
 fn chat_and_claim_store_slow_are_answered() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    let store = world.platform.store_faults();
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    let store = cluster.platform.store_faults();
     store.set(Fault::DelayMs, 300);
     assert_eq!(chat(&process), "done");
     let booked = crate::claims::book(&process, Some("slow"), "virtanen", 10_000);
     assert_eq!(outcome(&booked.expect("an answer")), "done");
     store.set(Fault::DelayMs, 0);
-    wait_until("the ledger is stored", || billed(&world).0 == 2);
+    wait_until("the ledger is stored", || billed(&cluster).0 == 2);
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(billed(&world).0, 2);
+    assert_eq!(billed(&cluster).0, 2);
 }
--- a/crates/node/tests/all/path.rs
+++ b/crates/node/tests/all/path.rs
@@ -6,7 +6,7 @@
 use fescuerack_wire::{chat, header};
 use serde_json::{Value, json};
 
-use crate::support::{KEY, World, client};
+use crate::support::{Cluster, KEY, client};
 
 type Response = ureq::http::Response<ureq::Body>;
 
@@ -36,8 +36,8 @@
 
 #[test]
 fn chat_streamed_ends_with_done() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let url = format!("{}/v1/chat/completions", process.callers);
     let response = post(&url, KEY, &chat_body(true), None);
     assert_eq!(response.status(), 200);
@@ -53,8 +53,8 @@
 
 #[test]
 fn chat_whole_is_billed_once() {
-    let world = World::new();
-    let mut process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let mut process = cluster.start("entry-0");
     let url = format!("{}/v1/chat/completions", process.callers);
     let mut response = post(&url, KEY, &chat_body(false), None);
     assert_eq!(outcome(&response), "done");
@@ -62,7 +62,7 @@
     assert_eq!(answer.usage.expect("usage").completion_tokens, 8);
     process.terminate();
     assert!(process.child.wait().expect("an exit").success());
-    let store = HttpStore::new(&world.platform.address());
+    let store = HttpStore::new(&cluster.platform.address());
     let entries = ledger::read(&store).expect("the ledger is readable");
     assert_eq!(entries.len(), 1);
     assert_eq!(entries[0].organisation, "perhepalvelut-espoo");
@@ -74,9 +74,9 @@
 // one.
 #[test]
 fn booking_sent_again_runs_once() {
-    let world = World::new();
-    let first = world.start("entry-0");
-    let second = world.start("entry-1");
+    let cluster = Cluster::new();
+    let first = cluster.start("entry-0");
+    let second = cluster.start("entry-1");
     let body = json!({"family": "virtanen"});
     for (process, replayed) in [(&first, false), (&second, true)] {
         let url = format!("{}/v1/services/bookings/confirm", process.callers);
@@ -84,18 +84,18 @@
         assert_eq!(outcome(&response), "done");
         assert_eq!(response.headers().contains_key(header::REPLAYED), replayed);
     }
-    let runs = world.services[0].runs();
+    let runs = cluster.services[0].runs();
     assert_eq!(runs.values().copied().collect::<Vec<_>>(), [1]);
 }
 
 #[test]
 fn chat_forbidden_model_is_not_run() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let url = format!("{}/v1/chat/completions", process.callers);
     let body = json!({"model": "kaisla-max", "messages": []});
     let response = post(&url, "demo-iltahoito", &body, None);
     assert_eq!(response.status(), 403);
     assert_eq!(outcome(&response), "not-run");
-    assert!(world.engines.iter().all(|engine| engine.counts().0 == 0));
+    assert!(cluster.engines.iter().all(|engine| engine.counts().0 == 0));
 }
--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -9,7 +9,7 @@
 use fescuerack_wire::peer;
 use serde_json::{Value, json};
 
-use crate::support::{Process, World, client};
+use crate::support::{Cluster, Process, client};
 
 /// Time-out of a wait.
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -28,8 +28,8 @@
     }
 }
 
-fn list(world: &World, id: &str, address: &str) {
-    world.platform.set_instance(Instance {
+fn list(cluster: &Cluster, id: &str, address: &str) {
+    cluster.platform.set_instance(Instance {
         id: id.to_owned(),
         fleet: "fescuerack".to_owned(),
         zone: "espoo-a".to_owned(),
@@ -43,11 +43,11 @@
 // although the list still shows it as live.
 #[test]
 fn instances_hear_each_other_and_the_word_of_one_that_leaves() {
-    let world = World::new();
-    let first = world.start("entry-0");
-    let mut second = world.start("entry-1");
+    let cluster = Cluster::new();
+    let first = cluster.start("entry-0");
+    let mut second = cluster.start("entry-1");
     for process in [&first, &second] {
-        list(&world, &process.instance, &process.peers);
+        list(&cluster, &process.instance, &process.peers);
     }
     for process in [&first, &second] {
         wait_for("a message of the other instance has arrived", || {
@@ -66,11 +66,11 @@
 // and its contents must not be used.
 #[test]
 fn exchange_without_the_key_is_refused() {
-    let world = World::new();
-    let process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
-    list(&world, "entry-9", &address);
+    list(&cluster, "entry-9", &address);
     let mut sealed = read_request(&listener);
     sealed["params"][0]["seal"] = json!("00".repeat(32));
     let answer = send(&process.peers, &sealed);
--- a/crates/node/tests/all/shutdown.rs
+++ b/crates/node/tests/all/shutdown.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::support::{KEY, Process, World, client, wait_until};
+use crate::support::{Cluster, KEY, Process, client, wait_until};
 
 /// Number of instances, which are restarted one after another.
 const INSTANCES: usize = 3;
@@ -120,7 +120,7 @@
     }
 }
 
-fn restart(world: &World, load: &Load, processes: &mut [Process], index: usize, limits: &str) {
+fn restart(cluster: &Cluster, load: &Load, processes: &mut [Process], index: usize, limits: &str) {
     let leaving = processes[index].callers.clone();
     processes[index].terminate();
     wait_until("readiness is withdrawn", || !processes[index].is_ready());
@@ -131,7 +131,7 @@
         .retain(|target| *target != leaving);
     let exit = processes[index].child.wait().expect("an exit");
     assert!(exit.success(), "{exit}");
-    processes[index] = world.start_with(&format!("entry-{index}"), limits);
+    processes[index] = cluster.start_with(&format!("entry-{index}"), limits);
     let target = processes[index].callers.clone();
     load.targets.write().expect("no panic").push(target);
 }
@@ -145,9 +145,9 @@
 #[case::balancer_in_time("drain_lag_ms: 300")]
 #[case::balancer_late("drain_lag_ms: 0")]
 fn restart_of_every_instance_cuts_nothing(#[case] limits: &str) {
-    let world = World::new();
+    let cluster = Cluster::new();
     let mut processes: Vec<Process> = (0..INSTANCES)
-        .map(|index| world.start_with(&format!("entry-{index}"), limits))
+        .map(|index| cluster.start_with(&format!("entry-{index}"), limits))
         .collect();
     let load = Load {
         targets: RwLock::new(processes.iter().map(|one| one.callers.clone()).collect()),
@@ -164,7 +164,7 @@
             })
             .collect();
         for index in 0..INSTANCES {
-            restart(&world, &load, &mut processes, index, limits);
+            restart(&cluster, &load, &mut processes, index, limits);
         }
         load.stop.store(true, Ordering::SeqCst);
         for client in clients {
@@ -175,29 +175,29 @@
         process.terminate();
         assert!(process.child.wait().expect("an exit").success());
     }
-    check_counts(&world, &load.results);
+    check_counts(&cluster, &load.results);
 }
 
-fn check_counts(world: &World, results: &Results) {
+fn check_counts(cluster: &Cluster, results: &Results) {
     let chats = results.chats.load(Ordering::SeqCst);
     let mut bookings = results.bookings.lock().expect("no panic").clone();
     bookings.sort();
     assert!(chats > 0 && !bookings.is_empty());
     let (mut started, mut finished, mut cancelled) = (0, 0, 0);
-    for engine in &world.engines {
+    for engine in &cluster.engines {
         let counts = engine.counts();
         started += counts.0;
         finished += counts.1;
         cancelled += counts.2;
     }
     assert_eq!((started, finished, cancelled), (chats, chats, 0));
-    let runs = world.services[0].runs();
+    let runs = cluster.services[0].runs();
     assert_eq!(runs.len(), bookings.len());
     for id in &bookings {
         let ran = runs.get(&json!({"family": id}).to_string());
         assert_eq!(ran, Some(&1), "{id}");
     }
-    let store = HttpStore::new(&world.platform.address());
+    let store = HttpStore::new(&cluster.platform.address());
     let mut billed: Vec<String> = ledger::read(&store)
         .expect("the ledger is readable")
         .into_iter()
@@ -223,8 +223,8 @@
 // of the crossing request could not determine whether it ran.
 #[test]
 fn idle_connection_at_shutdown_answers_not_run() {
-    let world = World::new();
-    let mut process = world.start("entry-0");
+    let cluster = Cluster::new();
+    let mut process = cluster.start("entry-0");
     let address = process.callers.trim_start_matches("http://");
     let mut idle = TcpStream::connect(address).expect("a connection");
     process.wait_for("callers.connections", 1);
--- a/crates/node/tests/all/stream.rs
+++ b/crates/node/tests/all/stream.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::support::{KEY, Process, World, client, wait_until};
+use crate::support::{Cluster, KEY, Process, client, wait_until};
 
 /// What a caller received of a streamed answer.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -61,8 +61,8 @@
     words.concat()
 }
 
-fn billed(world: &World) -> usize {
-    let store = HttpStore::new(&world.platform.address());
+fn billed(cluster: &Cluster) -> usize {
+    let store = HttpStore::new(&cluster.platform.address());
     ledger::read(&store).expect("the ledger is readable").len()
 }
 
@@ -72,9 +72,9 @@
 #[case::streamed(true)]
 #[case::whole(false)]
 fn cut_stream_is_resumed(#[case] streamed: bool) {
-    let world = World::new();
-    let process = world.start("entry-0");
-    world
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    cluster
         .engines
         .iter()
         .for_each(|engine| engine.truncate_after(3));
@@ -89,7 +89,7 @@
         assert_eq!(message.content, words(8));
     }
     assert!(process.counter("upstream.resumed") >= 2);
-    let started: u64 = world.engines.iter().map(|engine| engine.counts().0).sum();
+    let started: u64 = cluster.engines.iter().map(|engine| engine.counts().0).sum();
     assert_eq!(started, 1, "resumed, not run again");
 }
 
@@ -98,9 +98,9 @@
 // one: the stream ends with an error and a broken connection.
 #[test]
 fn cut_stream_without_resume_ends_in_error() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    for engine in &world.engines {
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    for engine in &cluster.engines {
         engine.truncate_after(3);
         engine.set_forgets_attempts(true);
     }
@@ -116,10 +116,10 @@
 // billed once.
 #[test]
 fn cut_whole_answer_runs_elsewhere() {
-    let world = World::new();
-    let mut process = world.start("entry-0");
-    world.engines[0].truncate_after(3);
-    world.engines[0].set_forgets_attempts(true);
+    let cluster = Cluster::new();
+    let mut process = cluster.start("entry-0");
+    cluster.engines[0].truncate_after(3);
+    cluster.engines[0].set_forgets_attempts(true);
     for _ in 0..6 {
         let mut response = post(&process, &body(false, 8));
         assert_eq!(response.status(), 200);
@@ -129,17 +129,17 @@
     }
     process.terminate();
     assert!(process.child.wait().expect("an exit").success());
-    assert_eq!(billed(&world), 6);
+    assert_eq!(billed(&cluster), 6);
 }
 
 // Two engines swap their answers, so that each belongs to another request. A
 // caller must never receive the answer to another one's request.
 #[test]
 fn crossed_answer_is_dropped_and_run_elsewhere() {
-    let world = World::new();
-    let process = world.start("entry-0");
-    world.engines[0].mismatch_answers(1);
-    world.engines[1].mismatch_answers(1);
+    let cluster = Cluster::new();
+    let process = cluster.start("entry-0");
+    cluster.engines[0].mismatch_answers(1);
+    cluster.engines[1].mismatch_answers(1);
     wait_until("both crossed answers are counted", || {
         let read = read(&process, 4);
         assert!(read.done && read.text == words(4), "{read:?}");
@@ -154,21 +154,21 @@
 #[case::before_first_token(0)]
 #[case::between_tokens(1)]
 fn caller_gone_cancels_at_the_engine(#[case] read_tokens: usize) {
-    let mut world = World::new();
-    world.replace_engines(if read_tokens == 0 { 60_000 } else { 1 }, 60_000);
-    let process = world.start("entry-0");
+    let mut cluster = Cluster::new();
+    cluster.replace_engines(if read_tokens == 0 { 60_000 } else { 1 }, 60_000);
+    let process = cluster.start("entry-0");
     let mut stream = send(&process, true);
     if read_tokens > 0 {
         let mut lines = BufReader::new(stream.try_clone().expect("a socket")).lines();
         let token = lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("data: ")));
         assert!(token.is_some(), "a token comes");
     } else {
-        wait_until("the engine has started", || started(&world) == 1);
+        wait_until("the engine has started", || started(&cluster) == 1);
     }
     let _ = stream.flush();
     drop(stream);
     wait_until("the engine has cancelled", || {
-        world
+        cluster
             .engines
             .iter()
             .map(|engine| engine.counts().2)
@@ -180,8 +180,8 @@
     });
 }
 
-fn started(world: &World) -> u64 {
-    world.engines.iter().map(|engine| engine.counts().0).sum()
+fn started(cluster: &Cluster) -> u64 {
+    cluster.engines.iter().map(|engine| engine.counts().0).sum()
 }
 
 fn send(process: &Process, stream: bool) -> TcpStream {
@@ -207,9 +207,9 @@
 #[test]
 fn slow_reader_is_bounded_and_given_up() {
     const TOKENS: u64 = 200_000;
-    let mut world = World::new();
-    world.replace_engines(0, 0);
-    let process = world.start_with("entry-0", "drain_lag_ms: 0, write_timeout_ms: 1500");
+    let mut cluster = Cluster::new();
+    cluster.replace_engines(0, 0);
+    let process = cluster.start_with("entry-0", "drain_lag_ms: 0, write_timeout_ms: 1500");
     let before = process.resident_kb();
     let mut slow = send_tokens(&process, true, TOKENS);
     wait_until("the stream runs", || {
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -19,7 +19,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Stand-ins of the platform and of backend servers.
-pub struct World {
+pub struct Cluster {
     pub runtime: Runtime,
     pub platform: Platform,
     pub engines: Vec<Engine>,
@@ -41,7 +41,7 @@
     Folder::read(&root).expect("the example is readable")
 }
 
-impl World {
+impl Cluster {
     /// Starts stand-ins with the example configuration of Hoivapolku.
     pub fn new() -> Self {
         let runtime = Runtime::new().expect("a runtime starts");
@@ -53,19 +53,19 @@
             first_token_ms: 5,
             token_ms: 2,
         };
-        let mut world = Self {
+        let mut cluster = Self {
             runtime,
             platform,
             engines: Vec::new(),
             services: Vec::new(),
         };
-        world.start_engines(pace);
+        cluster.start_engines(pace);
         let delay = Duration::from_millis(5);
-        let service = Service::new(world.runtime.handle(), "127.0.0.1:0", delay);
+        let service = Service::new(cluster.runtime.handle(), "127.0.0.1:0", delay);
         let service = service.expect("a service starts");
-        world.list("service-0", "varaus-api", service.address());
-        world.services.push(service);
-        world
+        cluster.list("service-0", "varaus-api", service.address());
+        cluster.services.push(service);
+        cluster
     }
 
     /// Replaces the engines by engines of another speed.
--- a/crates/node/tests/all/versions.rs
+++ b/crates/node/tests/all/versions.rs
@@ -14,7 +14,7 @@
 use fescuerack_wire::{chat, discovery::Instance, header};
 use serde_json::json;
 
-use crate::support::{KEY, Process, World, client, wait_until};
+use crate::support::{Cluster, KEY, Process, client, wait_until};
 
 /// The cheap version; current one of its model's roll-out.
 const CHEAP: &str = "kaisla-mini@1";
@@ -27,7 +27,7 @@
 
 /// Publishes the example configuration with other roll-outs and another state of
 /// the candidate.
-fn publish(world: &World, rollouts: &str, candidate_state: &str) -> u64 {
+fn publish(cluster: &Cluster, rollouts: &str, candidate_state: &str) -> u64 {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/hoivapolku");
     let folder = Folder::read(&root).expect("the example is readable");
     let models = String::from_utf8(folder.files["10-models.yaml"].to_vec()).expect("text");
@@ -36,7 +36,7 @@
     let folder = folder
         .with_file("10-models.yaml", models)
         .with_file("40-rollouts.yaml", rollouts.to_owned());
-    let store = HttpStore::new(&world.platform.address());
+    let store = HttpStore::new(&cluster.platform.address());
     manifest::publish(&store, &folder, "test").expect("the folder is accepted")
 }
 
@@ -54,9 +54,9 @@
 }
 
 /// Lists two instances and waits until each has received a message of the other.
-fn introduce(world: &World, first: &Process, second: &Process) {
+fn introduce(cluster: &Cluster, first: &Process, second: &Process) {
     for process in [first, second] {
-        world.platform.set_instance(Instance {
+        cluster.platform.set_instance(Instance {
             id: process.instance.clone(),
             fleet: "fescuerack".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -105,13 +105,13 @@
 // session moves once and the reply says so.
 #[test]
 fn session_with_token_keeps_its_version_until_withdrawn() {
-    let world = World::new();
-    let first = world.start("entry-0");
-    let second = world.start("entry-1");
+    let cluster = Cluster::new();
+    let first = cluster.start("entry-0");
+    let second = cluster.start("entry-1");
     let answer = ask(&first, "kaisla-mini", Some(("family-1", "")));
     assert_eq!(read(&answer, header::VERSION), CHEAP);
     let token = read(&answer, header::SESSION_TOKEN).to_owned();
-    let revision = publish(&world, &rollout(1, 4), "open");
+    let revision = publish(&cluster, &rollout(1, 4), "open");
     wait_until_active(&second, revision);
     wait_until_informed(&second);
     let fresh = ask(&second, "kaisla-mini", Some(("family-2", "")));
@@ -122,7 +122,7 @@
     assert_eq!(read(&stolen, header::VERSION), CANDIDATE);
 
     let token = read(&fresh, header::SESSION_TOKEN).to_owned();
-    let revision = publish(&world, &rollout(1, 4), "withdrawn");
+    let revision = publish(&cluster, &rollout(1, 4), "withdrawn");
     wait_until_active(&first, revision);
     let moved = ask(&first, "kaisla-mini", Some(("family-2", &token)));
     assert_eq!(read(&moved, header::VERSION), CHEAP);
@@ -137,13 +137,13 @@
 // While the rating service is down, the expensive version answers.
 #[test]
 fn cascade_bad_answer_is_escalated_and_billed_once() {
-    let world = World::new();
-    publish(&world, "rollouts: {}\n", "withdrawn");
-    let process = world.start("entry-0");
-    world.platform.set_quality(CHEAP, 0.99);
+    let cluster = Cluster::new();
+    publish(&cluster, "rollouts: {}\n", "withdrawn");
+    let process = cluster.start("entry-0");
+    cluster.platform.set_quality(CHEAP, 0.99);
     let good = ask(&process, "auto:shortlist", None);
     assert_eq!(read(&good, header::VERSION), CHEAP);
-    world.platform.set_quality(CHEAP, 0.1);
+    cluster.platform.set_quality(CHEAP, 0.1);
     let mut bad = ask(&process, "auto:shortlist", None);
     assert_eq!(read(&bad, header::VERSION), EXPENSIVE);
     let completion: chat::Completion = bad.body_mut().read_json().expect("a completion");
@@ -153,7 +153,7 @@
     };
     let both = cost(40, 160) + cost(600, 2400);
     assert_eq!(read(&bad, header::COST), both.to_string());
-    world.platform.rating_faults().set(Fault::Down, 1);
+    cluster.platform.rating_faults().set(Fault::Down, 1);
     let unrated = ask(&process, "auto:shortlist", None);
     assert_eq!(read(&unrated, header::VERSION), EXPENSIVE);
 }
@@ -164,15 +164,15 @@
 // that starts later reads it.
 #[test]
 fn rollout_bad_candidate_is_halted_everywhere_without_the_store() {
-    let world = World::new();
-    publish(&world, &rollout(1, 3), "open");
-    let first = world.start("entry-0");
-    let second = world.start("entry-1");
-    introduce(&world, &first, &second);
+    let cluster = Cluster::new();
+    publish(&cluster, &rollout(1, 3), "open");
+    let first = cluster.start("entry-0");
+    let second = cluster.start("entry-1");
+    introduce(&cluster, &first, &second);
     wait_until_informed(&first);
     wait_until_informed(&second);
-    world.platform.store_faults().set(Fault::Down, 1);
-    world.platform.set_quality(CANDIDATE, 0.1);
+    cluster.platform.store_faults().set(Fault::Down, 1);
+    cluster.platform.set_quality(CANDIDATE, 0.1);
     let verdict = |process: &Process| {
         process.state()["versions"]["rollouts"]["kaisla-mini"]["verdict"].clone()
     };
@@ -192,12 +192,12 @@
         assert_eq!(read(&answer, header::VERSION), CHEAP);
     }
     assert_eq!(ask(&second, CANDIDATE, None).status(), 503);
-    world.platform.store_faults().set(Fault::Down, 0);
+    cluster.platform.store_faults().set(Fault::Down, 0);
     wait_until("the halt is stored", || {
         first.counter("rollouts.kept") > 0 || second.counter("rollouts.kept") > 0
     });
     drop(first);
-    let third = world.start("entry-2");
+    let third = cluster.start("entry-2");
     wait_until("an instance that starts later reads the halt", || {
         halted(&third)
     });
@@ -229,14 +229,14 @@
 // through two instances. Only two of the six engines may crash.
 #[test]
 fn poison_sent_again_costs_two_servers() {
-    let mut world = World::new();
-    world.engines.clear();
+    let mut cluster = Cluster::new();
+    cluster.engines.clear();
     for index in 0..3 {
-        world.platform.remove_instance(&format!("engine-{index}"));
+        cluster.platform.remove_instance(&format!("engine-{index}"));
     }
     let crashed = Arc::new(AtomicU32::new(0));
     for index in 0..6 {
-        world.platform.set_instance(Instance {
+        cluster.platform.set_instance(Instance {
             id: format!("mortal-{index}"),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -244,9 +244,9 @@
             state: State::Live,
         });
     }
-    let first = world.start("entry-0");
-    let second = world.start("entry-1");
-    introduce(&world, &first, &second);
+    let first = cluster.start("entry-0");
+    let second = cluster.start("entry-1");
+    introduce(&cluster, &first, &second);
     assert_eq!(ask(&first, "kaisla-mini", None).status(), 502);
     wait_until("the second instance receives the suspicion", || {
         let state = second.state();
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-use fescuerack_wire::order::{Action, Loaded, Order};
+use fescuerack_wire::order::{Action, EngineOrder, Loaded};
 
 use crate::http::{build_response, json_response};
 use crate::{Body, Request};
@@ -13,7 +13,7 @@
 struct State {
     highest_token: u64,
     loaded: BTreeSet<String>,
-    executed: Vec<Order>,
+    executed: Vec<EngineOrder>,
 }
 
 /// Orders of an engine and the versions that it has loaded.
@@ -48,7 +48,7 @@
 
     /// Returns the executed orders, in the order of execution.
     #[must_use]
-    pub fn executed(&self) -> Vec<Order> {
+    pub fn executed(&self) -> Vec<EngineOrder> {
         self.with(|state| state.executed.clone())
     }
 
@@ -58,7 +58,7 @@
     }
 
     pub(crate) fn execute(&self, request: &Request) -> hyper::Response<Body> {
-        let order: Order = match serde_json::from_slice(request.body()) {
+        let order: EngineOrder = match serde_json::from_slice(request.body()) {
             Ok(order) => order,
             Err(error) => return build_response(400, error.to_string()),
         };
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -18,12 +18,14 @@
     /// has no further effect.
     pub request: String,
     /// Reason for the change, recorded in the history.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Text of each file to write, or `null` for a file to remove.
     pub files: BTreeMap<String, Option<String>>,
     /// Digest of each file on which the proposal is based. If the file has a different digest by
     /// now, the proposal is a conflict. A file that is not listed here is not checked.
-    pub seen: BTreeMap<String, String>,
+    #[serde(rename = "seen")]
+    pub base: BTreeMap<String, String>,
     /// Action, used instead of files.
     pub action: Option<Action>,
 }
@@ -75,7 +77,8 @@
     /// configuration. Nothing was changed.
     Refused,
     /// The store does not answer. Nothing was changed.
-    StoreOut,
+    #[serde(rename = "store_out")]
+    StoreUnavailable,
     /// The store did not answer after the change was sent. The change may be active; sending the
     /// same proposal again determines whether it is.
     OutcomeUnknown,
@@ -93,7 +96,7 @@
             Self::Conflict => 409,
             Self::TooLarge => 413,
             Self::Refused => 422,
-            Self::StoreOut => 503,
+            Self::StoreUnavailable => 503,
             Self::OutcomeUnknown => 504,
         }
     }
@@ -206,7 +209,8 @@
     /// Author.
     pub author: String,
     /// Reason.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Wall-clock time, in seconds since the Unix epoch.
     pub at: u64,
     /// Identifier of the operator's request.
@@ -243,7 +247,8 @@
     /// One sum for each organisation and version.
     pub sums: Vec<Sum>,
     /// Number of duplicate entries that were dropped, by request identity.
-    pub doubles: u64,
+    #[serde(rename = "doubles")]
+    pub duplicates: u64,
 }
 
 /// Amount that one organisation owes for one version.
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -14,7 +14,7 @@
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct EngineOrder {
     /// Fencing token. An engine that supports fencing refuses an order whose token is lower than
     /// the highest one that it has received.
     #[serde(rename = "number")]
