--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -31,7 +31,7 @@
     pub is_replaced: bool,
     /// Until when it can take only few requests, if it is cold.
     cold_until: Option<Instant>,
-    /// Revision of the change that made it cold. An entry older than it does not change the warm-up.
+    /// Revision of the change that made it cold. Older entries do not change the warm-up.
     cold_revision: u64,
 }
 
