--- a/crates/core/benches/versions/cost.rs
+++ b/crates/core/benches/versions/cost.rs
@@ -75,7 +75,13 @@
         registry.configure(now, &catalog, &names);
         registry.mark_informed();
         for (version, _) in names.versions.iter() {
-            registry.observe(now, version, Event::Answered { late: false });
+            registry.observe(
+                now,
+                version,
+                Event::Answered {
+                    missed_target: false,
+                },
+            );
         }
     }
     let mut registry = registries.remove(0);
--- a/crates/core/benches/versions/rollouts.rs
+++ b/crates/core/benches/versions/rollouts.rs
@@ -64,7 +64,13 @@
             USUAL_BAD_RATE
         };
         let is_bad = rng.random_bool(rate);
-        registry.observe(now, version, Event::Answered { late: false });
+        registry.observe(
+            now,
+            version,
+            Event::Answered {
+                missed_target: false,
+            },
+        );
         if rng.random_bool(if is_candidate { rated } else { 0.1 }) {
             let quality_milli = if is_bad { 300 } else { 900 };
             registry.observe(
@@ -189,7 +195,13 @@
                     let version = if second % 2 == 0 { candidate } else { current };
                     let bad = rng.random_bool(USUAL_BAD_RATE);
                     let quality_milli = if bad { 300 } else { 900 };
-                    registry.observe(now, version, Event::Answered { late: false });
+                    registry.observe(
+                        now,
+                        version,
+                        Event::Answered {
+                            missed_target: false,
+                        },
+                    );
                     registry.observe(now, version, Event::Rated { quality_milli, bad });
                 }
                 let now = Instant::from_millis(4_000_000);
@@ -214,7 +226,14 @@
                 let mut now = Instant::from_millis(1000);
                 for _ in 0..6 {
                     let version = fleet.candidate;
-                    fleet.observe(now, 0, version, Event::Answered { late: false });
+                    fleet.observe(
+                        now,
+                        0,
+                        version,
+                        Event::Answered {
+                            missed_target: false,
+                        },
+                    );
                     let event = Event::Rated {
                         quality_milli: 100,
                         bad: true,
@@ -224,11 +243,11 @@
                 let server = fleet.server;
                 let version = fleet.current;
                 fleet.observe(now, 0, version, Event::Failed(server));
-                assert!(fleet.is_halted(0), "not halted by local evidence");
+                assert!(fleet.is_withdrawn(0), "not halted by local evidence");
                 let verdict = fleet.verdict(now, 0);
                 assert!(matches!(verdict, Verdict::Halt(_)), "{verdict:?}");
                 let start = now;
-                while !fleet.is_halted_everywhere() {
+                while !fleet.is_withdrawn_everywhere() {
                     now = now.plus_millis(1000);
                     fleet.gossip(now);
                     let turn = usize::try_from(now.0 / 1_000_000).expect("short") % 5;
--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -150,15 +150,15 @@
     /// Returns the version of a model that a new session starts on.
     fn start_version(&self, model: key::Model) -> Option<key::Version> {
         let catalog = self.context.catalog;
-        if let Some(share) = self.context.rollouts.share(self.context.now, model) {
+        if let Some(split) = self.context.rollouts.version_split(self.context.now, model) {
             let name = self.context.names.models.name(model);
             let position = session::position(name, self.request.session);
-            let start = session::starting_version(share, position);
+            let start = session::starting_version(split, position);
             // An organisation that may not use the candidate stays on the current version.
             return Some(if self.is_allowed(start) {
                 start
             } else {
-                share.current
+                split.current
             });
         }
         let versions = catalog.models.get(model)?.iter().rev();
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -23,7 +23,7 @@
 mod totals;
 
 pub use buffer::{Buffer, Limits, Ticket};
-pub use peer_copies::{Hold, PeerCopies};
+pub use peer_copies::{HoldRequest, PeerCopies};
 pub use totals::{Sum, Totals};
 
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/ledger/peer_copies.rs
+++ b/crates/core/src/ledger/peer_copies.rs
@@ -45,8 +45,8 @@
 
     /// Drops the owner's copies before `kept_until`, which the store holds, and
     /// adds the new ones. Returns whether the new copies are held.
-    pub fn hold(&mut self, now: Instant, request: Hold) -> bool {
-        let Hold {
+    pub fn hold(&mut self, now: Instant, request: HoldRequest) -> bool {
+        let HoldRequest {
             owner,
             kept_until,
             copies,
@@ -109,7 +109,7 @@
 
 /// Request of an owner that a peer hold copies of its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Hold {
+pub struct HoldRequest {
     /// Owner of the entries: an instance and its incarnation.
     pub owner: String,
     /// First ticket that the store does not hold yet.
--- a/crates/core/src/rollout/canary.rs
+++ b/crates/core/src/rollout/canary.rs
@@ -27,7 +27,7 @@
 /// The reason why a roll-out does not advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Hold {
+pub enum HoldReason {
     /// An operator paused it, closed or withdrew the candidate, or it is at its last stage.
     Operator,
     /// This instance has not received the halts from the store or from a peer yet.
@@ -49,7 +49,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// Stay at this stage.
-    Hold(Hold),
+    Hold(HoldReason),
     /// Advance to the next stage.
     Step,
     /// Stop and fall back to the current version.
@@ -104,7 +104,7 @@
     let (outcomes, bad) = match cause {
         Cause::Errors => (count.answers, count.errors),
         Cause::Crashes => (count.answers, count.crashes),
-        Cause::Latency => (count.answers, count.late),
+        Cause::Latency => (count.answers, count.missed_targets),
         Cause::Ratings | Cause::Exposure => (count.rated, count.bad),
     };
     (outcomes, bad.min(outcomes))
@@ -232,7 +232,7 @@
 
     /// Returns the counters of one incarnation.
     #[must_use]
-    pub fn source(&self, source: &str) -> PairedCounters {
+    pub fn counters_of(&self, source: &str) -> PairedCounters {
         self.sources.get(source).copied().unwrap_or_default()
     }
 
@@ -262,15 +262,15 @@
         }
         let stage = self.total.since(self.at_stage);
         let hold = if now < self.stage_since.plus_millis(MIN_DWELL_MS) {
-            Hold::Dwell
+            HoldReason::Dwell
         } else if !self.is_rated_within(now, STALE_RATINGS_MS) {
-            Hold::Stale
+            HoldReason::Stale
         } else if !self.passes(stage) {
-            Hold::Evidence
+            HoldReason::Evidence
         } else if !is_quality_sufficient(stage) {
-            Hold::Quality
+            HoldReason::Quality
         } else if !self.halts_within_budget(growth) {
-            Hold::Exposure
+            HoldReason::Exposure
         } else {
             return Verdict::Step;
         };
--- a/crates/core/src/rollout/counters.rs
+++ b/crates/core/src/rollout/counters.rs
@@ -21,7 +21,7 @@
     pub crashes: u32,
     /// Answers whose time to first token exceeded the target.
     #[serde(rename = "l", skip_serializing_if = "is_zero")]
-    pub late: u32,
+    pub missed_targets: u32,
     /// Answers that were rated.
     #[serde(rename = "r", skip_serializing_if = "is_zero")]
     pub rated: u32,
@@ -44,7 +44,7 @@
             answers: merge(self.answers, other.answers),
             errors: merge(self.errors, other.errors),
             crashes: merge(self.crashes, other.crashes),
-            late: merge(self.late, other.late),
+            missed_targets: merge(self.missed_targets, other.missed_targets),
             rated: merge(self.rated, other.rated),
             bad: merge(self.bad, other.bad),
             quality_milli: merge(self.quality_milli, other.quality_milli),
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -14,13 +14,13 @@
 //!   not overwrite a halt that its writer has not received. While the store is unavailable, no
 //!   roll-out advances.
 //! - **Hold**: everything else. Missing or stale evidence holds the roll-out, and so does an
-//!   instance that has not received any record yet ([`Hold::Uninformed`]).
+//!   instance that has not received any record yet ([`HoldReason::Uninformed`]).
 //!
 //! When no ratings arrive, each instance lets only its part of the exposure budget pass as unrated
 //! answers. After that, new sessions start on the current version until ratings arrive again.
 //!
-//! Without this, a version that degrades at night serves bad answers until somebody intervenes in
-//! the morning; stages that advance on a timer, whatever the answers, make this certain.
+//! Otherwise a version that degrades at night serves bad answers until somebody intervenes in the
+//! morning; with stages that advance on a timer, whatever the answers, this always happens.
 
 mod canary;
 pub mod counters;
@@ -29,8 +29,8 @@
 mod registry;
 pub mod sequential_test;
 
-pub use canary::{Canary, Hold, Id, MIN_DWELL_MS, STALE_RATINGS_MS, Verdict};
+pub use canary::{Canary, HoldReason, Id, MIN_DWELL_MS, STALE_RATINGS_MS, Verdict};
 pub use counters::{Counters, PairedCounters};
 pub use digest::{Digest, Report};
 pub use record::{Cause, Halt, Record, Step};
-pub use registry::{Event, Registry, Share, StoreWrite};
+pub use registry::{Event, Registry, StoreWrite, VersionSplit};
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -1,25 +1,25 @@
 //! The persistent state of roll-outs: halts and steps.
 //!
 //! A halt identifies model, candidate and the generation (`word`) of the roll-out that it ended; a
-//! step identifies the same and a stage. Both only increase, and merging takes the larger one, so
-//! an older message, a restart or an earlier configuration cannot undo them. A roll-out with a
+//! step identifies the same and a stage. Generation and stage only increase, and merging takes the
+//! higher one, so an older message, a restart or an earlier configuration cannot undo them. A roll-out with a
 //! higher generation starts afresh.
 //!
 //! The halts and steps of one model are stored under one key. A step is a compare-and-swap against
 //! the same value that would hold a halt, so it cannot overwrite a halt that its writer has not
-//! seen.
+//! read.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Prefix of the keys of records in the store.
-pub const PREFIX: &str = "rollout/halt/";
+/// Prefix of the keys of records in the store. The records hold steps too, despite the name.
+pub const KEY_PREFIX: &str = "rollout/halt/";
 
 /// Returns the key of a model's record.
 #[must_use]
 pub fn key(model: &str) -> String {
-    format!("{PREFIX}{model}")
+    format!("{KEY_PREFIX}{model}")
 }
 
 /// Why a roll-out was halted.
@@ -69,7 +69,7 @@
 }
 
 impl Record {
-    /// Maximum number of candidates of one model that are kept.
+    /// Maximum number of candidates of one model of which halts are kept, and likewise steps.
     ///
     /// The lowest generations are evicted first: a later roll-out of such a candidate has a higher
     /// generation, which would clear its halt anyway. The bound keeps the records of ten models
--- a/crates/core/src/rollout/registry/configure.rs
+++ b/crates/core/src/rollout/registry/configure.rs
@@ -3,7 +3,7 @@
 use fescuerack_config::file::State;
 use fescuerack_config::{Catalog, Names, key};
 
-use super::{Entry, Registry, Share};
+use super::{Entry, Registry, VersionSplit};
 use crate::clock::Instant;
 use crate::rollout::canary::{Canary, Id};
 use crate::rollout::digest::Report;
@@ -25,7 +25,7 @@
         let entries = self.entries.values();
         let canaries: Vec<_> = entries.filter_map(|entry| entry.canary.as_ref()).collect();
         let is_running = |report: &Report| canaries.iter().any(|canary| canary.id == report.canary);
-        self.relay.retain(is_running);
+        self.reports_to_relay.retain(is_running);
     }
 
     fn configure_model(
@@ -66,11 +66,11 @@
         }
         let previous = self.entries.remove(model);
         let mut entry = Entry {
-            share: None,
+            split: None,
             stages: rollout.stages.clone(),
             canary: None,
-            open: false,
-            steady: true,
+            accepts_sessions: false,
+            is_held_by_operator: true,
             unrated: previous.as_ref().map_or(0, |entry| entry.unrated),
         };
         if let Some(candidate) = rollout.candidate {
@@ -94,16 +94,20 @@
                 .max(rollout.stage)
                 .min(rollout.stages.len().saturating_sub(1));
             canary.enter_stage(now, stage);
-            entry.open = catalog.versions[candidate].state == State::Open;
-            entry.steady = rollout.paused || !entry.open;
-            let part = rollout.stages.get(stage).copied().filter(|_| entry.open);
-            entry.share = Some(Share {
+            entry.accepts_sessions = catalog.versions[candidate].state == State::Open;
+            entry.is_held_by_operator = rollout.paused || !entry.accepts_sessions;
+            let share = rollout
+                .stages
+                .get(stage)
+                .copied()
+                .filter(|_| entry.accepts_sessions);
+            entry.split = Some(VersionSplit {
                 current,
-                candidate: Some((candidate, part.unwrap_or(0.0))),
+                candidate: Some((candidate, share.unwrap_or(0.0))),
             });
             entry.canary = Some(canary);
         }
-        entry.share = entry.share.or(Some(Share {
+        entry.split = entry.split.or(Some(VersionSplit {
             current,
             candidate: None,
         }));
--- a/crates/core/src/rollout/registry/exchange.rs
+++ b/crates/core/src/rollout/registry/exchange.rs
@@ -19,7 +19,7 @@
         let mut local = Vec::new();
         for entry in self.entries.values() {
             if let Some(canary) = &entry.canary {
-                let pair = canary.source(&self.source);
+                let pair = canary.counters_of(&self.source);
                 if pair != PairedCounters::default() {
                     local.push(Report {
                         canary: canary.id.clone(),
@@ -29,14 +29,18 @@
                 }
             }
         }
-        let mut reports = rotate_reports(&local, self.turn, MAX_REPORTS / 2);
+        let mut reports = rotate_reports(&local, self.next_report, MAX_REPORTS / 2);
         let room = MAX_REPORTS - reports.len();
-        reports.extend(rotate_reports(&self.relay, self.turn, room));
+        reports.extend(rotate_reports(
+            &self.reports_to_relay,
+            self.next_report,
+            room,
+        ));
         // Advances by one rather than by the number of reports taken: not every digest is sent,
         // and a larger stride could omit the same reports from every digest that is.
-        self.turn = self.turn.wrapping_add(1);
+        self.next_report = self.next_report.wrapping_add(1);
         Digest {
-            informed: self.informed,
+            informed: self.has_records,
             reports,
         }
     }
@@ -70,7 +74,7 @@
 
     /// Merges the digest of a peer; repeated, reordered and old digests change nothing.
     pub fn merge(&mut self, now: Instant, digest: &Digest) {
-        self.informed |= digest.informed;
+        self.has_records |= digest.informed;
         for report in &digest.reports {
             self.merge_report(now, report);
         }
@@ -85,23 +89,23 @@
         let Some(canary) = known else {
             return;
         };
-        let before = canary.source(&report.source);
+        let before = canary.counters_of(&report.source);
         // An instance that has lost its state of a canary resumes its own counters from the
         // values that its peers received.
         canary.merge_counters(now, &report.source, report.pair);
-        if canary.source(&report.source) != before && report.source != self.source {
-            self.relay.retain(|earlier| {
+        if canary.counters_of(&report.source) != before && report.source != self.source {
+            self.reports_to_relay.retain(|earlier| {
                 earlier.source != report.source || earlier.canary != report.canary
             });
-            self.relay.push(report.clone());
+            self.reports_to_relay.push(report.clone());
         }
     }
 }
 
-/// Returns up to `limit` of the reports, starting at position `turn`.
-fn rotate_reports(reports: &[Report], turn: usize, limit: usize) -> Vec<Report> {
+/// Returns up to `limit` of the reports, starting at position `first`.
+fn rotate_reports(reports: &[Report], first: usize, limit: usize) -> Vec<Report> {
     let count = reports.len();
-    let start = turn.checked_rem(count).unwrap_or(0);
-    let turns = reports.iter().cycle().skip(start);
-    turns.take(count.min(limit)).cloned().collect()
+    let start = first.checked_rem(count).unwrap_or(0);
+    let rotated = reports.iter().cycle().skip(start);
+    rotated.take(count.min(limit)).cloned().collect()
 }
--- a/crates/core/src/rollout/registry/mod.rs
+++ b/crates/core/src/rollout/registry/mod.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use slotmap::SecondaryMap;
 
-use super::canary::{Canary, Hold, Verdict};
+use super::canary::{Canary, HoldReason, Verdict};
 use super::counters::Counters;
 use super::digest::Report;
 use super::record::{Halt, Record, Step};
@@ -18,11 +18,12 @@
 /// Window in which failures at one backend server count once: they have one cause, and counting
 /// each would reject a version because of its server.
 const FAILURE_DEDUP_MS: u64 = 10_000;
-/// Time without a rating on any instance after which the candidate gets no new session, once this
-/// instance has passed its part of the exposure budget unrated.
+/// The candidate gets no new session when no instance has received a rating of it for this time and
+/// its unrated answers here have used up this instance's part of the exposure budget.
 const RATING_STARVATION_MS: u64 = 30_000;
-/// Number of backend servers with a recorded failure at which expired entries are evicted.
-const MAX_FAILED_SERVERS: usize = 4096;
+/// Number of backend servers with a recorded failure from which each new one first evicts expired
+/// entries. Unexpired entries are kept, so it does not bound their number.
+const EVICTION_THRESHOLD_SERVERS: usize = 4096;
 
 /// An event that an instance observes about an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +31,7 @@
     /// The answer arrived.
     Answered {
         /// Whether the time to first token exceeded the target.
-        late: bool,
+        missed_target: bool,
     },
     /// The backend server answered with an error or broke off the answer.
     Failed(key::Server),
@@ -47,7 +48,7 @@
 
 /// The split of new sessions of a model between its versions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct VersionSplit {
     /// Current version.
     pub current: key::Version,
     /// Candidate and its share of new sessions, from 0 to 1.
@@ -57,25 +58,34 @@
 /// A change that has to be written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreWrite {
-    /// Write the record of this model: it holds a halt that the store lacks.
+    /// Write the record of this model: the local one holds a halt that is not in the store.
     Halts(String),
-    /// Swap a step into the record of a model, given as model, candidate and step. The step takes
-    /// effect only after the store has accepted it.
-    Step(String, String, Step),
+    /// Swap a step into the record of a model. The step takes effect only after the store has
+    /// accepted it.
+    Step {
+        /// Name of the model.
+        model: String,
+        /// Name of the candidate.
+        candidate: String,
+        /// The step.
+        step: Step,
+    },
 }
 
 /// The roll-out of one model.
 #[derive(Clone, Debug, Serialize)]
 struct Entry {
     #[serde(skip)]
-    share: Option<Share>,
+    split: Option<VersionSplit>,
     stages: Vec<f64>,
     #[serde(rename = "trial")]
     canary: Option<Canary>,
-    /// Whether the candidate takes new sessions.
-    open: bool,
-    /// Whether the roll-out does not advance: paused, or the candidate is not open.
-    steady: bool,
+    /// Whether the candidate accepts new sessions.
+    #[serde(rename = "open")]
+    accepts_sessions: bool,
+    /// Whether operators hold the roll-out: they paused it, or the candidate is not open.
+    #[serde(rename = "steady")]
+    is_held_by_operator: bool,
     /// Answers of the candidate on this instance since its last rating here.
     unrated: u32,
 }
@@ -86,7 +96,8 @@
     /// Incarnation of this instance.
     source: String,
     /// Whether the records have been received from the store or from a peer.
-    informed: bool,
+    #[serde(rename = "informed")]
+    has_records: bool,
     records: BTreeMap<String, Record>,
     /// Records as the store holds them.
     #[serde(rename = "kept")]
@@ -97,12 +108,12 @@
     /// Time of the last failure that counted, by backend server.
     #[serde(skip)]
     failures: BTreeMap<key::Server, Instant>,
-    /// Reports received from peers, to be forwarded.
+    /// Reports received from peers, to be relayed.
     #[serde(skip)]
-    relay: Vec<Report>,
+    reports_to_relay: Vec<Report>,
     /// Position from which the next digest takes its reports.
     #[serde(skip)]
-    turn: usize,
+    next_report: usize,
     #[serde(rename = "peers")]
     instances: u32,
 }
@@ -125,12 +136,12 @@
     /// Returns whether the records have been received from the store or from a peer.
     #[must_use]
     pub fn is_informed(&self) -> bool {
-        self.informed
+        self.has_records
     }
 
     /// Records that the whole store was read and that all its records have been merged.
     pub fn mark_informed(&mut self) {
-        self.informed = true;
+        self.has_records = true;
     }
 
     /// Returns the version split of new sessions; `None` when the model has no roll-out.
@@ -138,17 +149,17 @@
     /// The candidate's share is 0 until the records have been received, after it has been
     /// withdrawn, and while too many of its answers are unrated.
     #[must_use]
-    pub fn share(&self, now: Instant, model: key::Model) -> Option<Share> {
+    pub fn version_split(&self, now: Instant, model: key::Model) -> Option<VersionSplit> {
         let entry = self.entries.get(model)?;
-        let mut share = entry.share?;
-        if let Some((candidate, _)) = share.candidate
-            && (!self.informed
+        let mut split = entry.split?;
+        if let Some((candidate, _)) = split.candidate
+            && (!self.has_records
                 || self.is_withdrawn(candidate)
                 || self.is_rating_starved(now, entry))
         {
-            share.candidate = Some((candidate, 0.0));
+            split.candidate = Some((candidate, 0.0));
         }
-        Some(share)
+        Some(split)
     }
 
     /// Returns whether a version takes no new work, because operators withdrew it or the evidence
@@ -180,7 +191,7 @@
             let Some(canary) = entry.canary.as_mut() else {
                 continue;
             };
-            let mut pair = canary.source(&source);
+            let mut pair = canary.counters_of(&source);
             if version == canary.candidate {
                 add(&mut pair.candidate, event);
                 match event {
@@ -203,7 +214,7 @@
         if self.failures.get(&server).is_some_and(recent) {
             return false;
         }
-        if self.failures.len() >= MAX_FAILED_SERVERS {
+        if self.failures.len() >= EVICTION_THRESHOLD_SERVERS {
             self.failures.retain(|_, at| recent(at));
         }
         self.failures.insert(server, now);
@@ -214,7 +225,7 @@
     ///
     /// Returns whether it changed anything; if so, the caller must call [`Registry::configure`].
     pub fn merge_stored_record(&mut self, now: Instant, model: &str, record: &Record) -> bool {
-        self.informed = true;
+        self.has_records = true;
         let known = self.records.entry(model.to_owned()).or_default();
         let changed = known.merge(record);
         self.enforce(now);
@@ -238,7 +249,7 @@
     ///
     /// # Panics
     ///
-    /// When a halted candidate would get new sessions.
+    /// Panics if a withdrawn candidate would get new sessions.
     pub fn decide(&mut self, now: Instant) -> Vec<StoreWrite> {
         self.enforce(now);
         let mut writes = Vec::new();
@@ -253,11 +264,11 @@
             }
         }
         for (model, entry) in &self.entries {
-            let share = self.share(now, model).and_then(|share| share.candidate);
-            if let Some((candidate, share)) = share {
+            let split = self.version_split(now, model);
+            if let Some((candidate, share)) = split.and_then(|split| split.candidate) {
                 assert!(
                     share == 0.0 || !self.is_withdrawn(candidate),
-                    "a halted candidate would get new sessions"
+                    "a withdrawn candidate would get new sessions"
                 );
             }
             if self.entry_verdict(now, entry) == Verdict::Step
@@ -267,8 +278,12 @@
                     word: canary.id.word,
                     stage: canary.stage + 1,
                 };
-                let candidate = canary.id.candidate.clone();
-                writes.push(StoreWrite::Step(canary.id.model.clone(), candidate, step));
+                let (model, candidate) = (canary.id.model.clone(), canary.id.candidate.clone());
+                writes.push(StoreWrite::Step {
+                    model,
+                    candidate,
+                    step,
+                });
             }
         }
         writes
@@ -290,16 +305,18 @@
 
     fn entry_verdict(&self, now: Instant, entry: &Entry) -> Verdict {
         let Some(canary) = &entry.canary else {
-            return Verdict::Hold(Hold::Operator);
+            return Verdict::Hold(HoldReason::Operator);
         };
+        // `growth` is the factor by which the next stage multiplies the candidate's share of new
+        // sessions.
         let next = entry.stages.get(canary.stage + 1);
         let share = entry.stages.get(canary.stage).copied().unwrap_or(1.0);
         let growth = next.map_or(1.0, |next| next / share);
         match canary.verdict(now, growth) {
             Verdict::Halt(cause) => Verdict::Halt(cause),
-            _ if entry.steady || next.is_none() => Verdict::Hold(Hold::Operator),
-            _ if self.is_withdrawn(canary.candidate) => Verdict::Hold(Hold::Operator),
-            _ if !self.informed => Verdict::Hold(Hold::Uninformed),
+            _ if entry.is_held_by_operator || next.is_none() => Verdict::Hold(HoldReason::Operator),
+            _ if self.is_withdrawn(canary.candidate) => Verdict::Hold(HoldReason::Operator),
+            _ if !self.has_records => Verdict::Hold(HoldReason::Uninformed),
             verdict => verdict,
         }
     }
@@ -328,11 +345,11 @@
             let last = entry.stages.len().saturating_sub(1);
             let stage = record.stage(&id.candidate, id.word).unwrap_or(0);
             canary.enter_stage(now, stage.max(canary.stage).min(last));
-            if let Some(share) = entry.share.as_mut()
-                && let Some((_, part)) = share.candidate.as_mut()
-                && entry.open
+            if let Some(split) = entry.split.as_mut()
+                && let Some((_, share)) = split.candidate.as_mut()
+                && entry.accepts_sessions
             {
-                *part = entry.stages.get(canary.stage).copied().unwrap_or(0.0);
+                *share = entry.stages.get(canary.stage).copied().unwrap_or(0.0);
             }
         }
     }
@@ -340,9 +357,11 @@
 
 fn add(count: &mut Counters, event: Event) {
     match event {
-        Event::Answered { late } => {
+        Event::Answered { missed_target } => {
             count.answers = count.answers.saturating_add(1);
-            count.late = count.late.saturating_add(u32::from(late));
+            count.missed_targets = count
+                .missed_targets
+                .saturating_add(u32::from(missed_target));
         }
         Event::Failed(_) => {
             count.answers = count.answers.saturating_add(1);
--- a/crates/core/src/session/mod.rs
+++ b/crates/core/src/session/mod.rs
@@ -22,7 +22,7 @@
 
 pub use pins::Pins;
 
-use crate::rollout::Share;
+use crate::rollout::VersionSplit;
 
 /// Returns the position of `session` in a roll-out of `model`, in `0.0..1.0`.
 ///
@@ -42,10 +42,10 @@
 
 /// Returns the version on which a session at `position` starts.
 #[must_use]
-pub fn starting_version(share: Share, position: f64) -> key::Version {
-    match share.candidate {
-        Some((candidate, part)) if position < part => candidate,
-        _ => share.current,
+pub fn starting_version(split: VersionSplit, position: f64) -> key::Version {
+    match split.candidate {
+        Some((candidate, share)) if position < share => candidate,
+        _ => split.current,
     }
 }
 
--- a/crates/core/tests/all/fleet.rs
+++ b/crates/core/tests/all/fleet.rs
@@ -121,9 +121,9 @@
 
     /// Returns the version that a new session starts on at an instance.
     pub fn start(&self, now: Instant, index: usize, session: &[u8]) -> key::Version {
-        let share = self.registries[index].share(now, self.model);
-        let share = share.expect("a roll-out");
-        session::starting_version(share, session::position(MODEL, session))
+        let split = self.registries[index].version_split(now, self.model);
+        let split = split.expect("a roll-out");
+        session::starting_version(split, session::position(MODEL, session))
     }
 
     /// Records an event of a version at an instance.
@@ -142,13 +142,16 @@
             }
         }
         let mut stepped = false;
-        for act in registry.decide(now) {
-            let (StoreWrite::Halts(model) | StoreWrite::Step(model, ..)) = &act;
+        for write in registry.decide(now) {
+            let (StoreWrite::Halts(model) | StoreWrite::Step { model, .. }) = &write;
             let Some((version, mut record)) = self.store.get(model) else {
                 continue;
             };
             record.merge(&registry.record(model));
-            if let StoreWrite::Step(_, candidate, step) = &act {
+            if let StoreWrite::Step {
+                candidate, step, ..
+            } = &write
+            {
                 if record.halted(candidate, step.word).is_some() {
                     continue;
                 }
@@ -200,13 +203,13 @@
     }
 
     /// Returns whether an instance treats the candidate as withdrawn.
-    pub fn is_halted(&self, index: usize) -> bool {
+    pub fn is_withdrawn(&self, index: usize) -> bool {
         self.registries[index].is_withdrawn(self.candidate)
     }
 
     /// Returns whether all instances treat the candidate as withdrawn.
-    pub fn is_halted_everywhere(&self) -> bool {
-        (0..self.registries.len()).all(|index| self.is_halted(index))
+    pub fn is_withdrawn_everywhere(&self) -> bool {
+        (0..self.registries.len()).all(|index| self.is_withdrawn(index))
     }
 
     /// Returns the active stage at an instance.
--- a/crates/core/tests/all/replay.rs
+++ b/crates/core/tests/all/replay.rs
@@ -5,7 +5,7 @@
 
 use fescuerack_core::clock::Instant;
 use fescuerack_core::key;
-use fescuerack_core::rollout::{Cause, Event, Hold, Verdict};
+use fescuerack_core::rollout::{Cause, Event, HoldReason, Verdict};
 use fescuerack_core::session::{self, Placement};
 use rstest::rstest;
 use serde::Deserialize;
@@ -241,8 +241,8 @@
             self.fleet.observe(self.now, index, version, event);
             return;
         }
-        let late = self.is_due(version, "late", quality.late);
-        let event = Event::Answered { late };
+        let missed_target = self.is_due(version, "late", quality.late);
+        let event = Event::Answered { missed_target };
         self.fleet.observe(self.now, index, version, event);
         let is_bad = self.is_due(version, "bad", quality.bad);
         if is_bad {
@@ -262,9 +262,9 @@
     fn expect(&self, expect: &Expect) {
         let all = 0..self.fleet.registries.len();
         if let Some(halted) = expect.halted {
-            assert_eq!(self.fleet.is_halted_everywhere(), halted);
+            assert_eq!(self.fleet.is_withdrawn_everywhere(), halted);
             for index in all.clone() {
-                assert_eq!(self.fleet.is_halted(index), halted, "instance {index}");
+                assert_eq!(self.fleet.is_withdrawn(index), halted, "instance {index}");
             }
         }
         if let Some(cause) = expect.cause {
@@ -294,7 +294,7 @@
             assert_eq!(u64::try_from(found), Ok(twice));
         }
         if let Some(share) = expect.share_of_candidate {
-            let found = self.fleet.registries[0].share(self.now, self.fleet.model);
+            let found = self.fleet.registries[0].version_split(self.now, self.fleet.model);
             let found = found
                 .expect("a roll-out")
                 .candidate
@@ -304,7 +304,7 @@
     }
 }
 
-fn hold_name(hold: Hold) -> String {
+fn hold_name(hold: HoldReason) -> String {
     let name = serde_json::to_value(hold).expect("a plain name");
     name.as_str().expect("a name").to_owned()
 }
--- a/crates/core/tests/all/rollout.rs
+++ b/crates/core/tests/all/rollout.rs
@@ -111,8 +111,14 @@
                     quality_milli,
                     bad: bad && candidate,
                 };
-                self.fleet
-                    .observe(self.now, index, version, Event::Answered { late: false });
+                self.fleet.observe(
+                    self.now,
+                    index,
+                    version,
+                    Event::Answered {
+                        missed_target: false,
+                    },
+                );
                 self.fleet.observe(self.now, index, version, event);
             }
             Op::Failed(index) => {
@@ -149,14 +155,14 @@
             let halted = record.halts.get("m@2").map_or(0, |halt| halt.word);
             assert!(halted >= self.known[index], "instance {index} lost a halt");
             self.known[index] = halted;
-            let share = self.fleet.registries[index].share(self.now, self.fleet.model);
-            let part = share
+            let split = self.fleet.registries[index].version_split(self.now, self.fleet.model);
+            let share = split
                 .expect("a roll-out")
                 .candidate
-                .map_or(0.0, |part| part.1);
+                .map_or(0.0, |candidate| candidate.1);
             if halted >= self.word {
-                assert!(self.fleet.is_halted(index), "a halt that is not active");
-                assert!(part == 0.0, "a halted candidate gets new sessions");
+                assert!(self.fleet.is_withdrawn(index), "a halt that is not active");
+                assert!(share == 0.0, "a halted candidate gets new sessions");
             }
         }
         let after = self.fleet.store.values.get(MODEL).map(|value| &value.1);
@@ -230,7 +236,13 @@
         registry.configure(now, &catalog, &names);
         for (version, _) in names.versions.iter() {
             for _ in 0..2000 {
-                registry.observe(now, version, Event::Answered { late: true });
+                registry.observe(
+                    now,
+                    version,
+                    Event::Answered {
+                        missed_target: true,
+                    },
+                );
             }
         }
     }
--- a/crates/node/src/callers/observer.rs
+++ b/crates/node/src/callers/observer.rs
@@ -65,8 +65,9 @@
         let class = self
             .class
             .and_then(|class| self.active.catalog.classes.get(class));
-        let late = class.is_some_and(|class| now > self.start.plus_millis(class.first_token_ms));
-        let event = Event::Answered { late };
+        let missed_target =
+            class.is_some_and(|class| now > self.start.plus_millis(class.first_token_ms));
+        let event = Event::Answered { missed_target };
         lock(&self.shared.versions.rollouts).observe(now, self.version, event);
     }
 
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -13,7 +13,7 @@
 
 use fescuerack_client::drive::Timer as _;
 use fescuerack_client::ledger::{self, Writer};
-use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket};
+use fescuerack_core::ledger::{Buffer, Entry, HoldRequest, Limits, PeerCopies, Segment, Ticket};
 use tokio::sync::{Notify, watch};
 
 use crate::node_state::{NodeState, lock};
@@ -112,7 +112,7 @@
     }
 
     /// Holds copies of a peer's entries; returns whether there was room.
-    pub fn hold(&self, shared: &NodeState, request: Hold) -> bool {
+    pub fn hold(&self, shared: &NodeState, request: HoldRequest) -> bool {
         let now = shared.wall.now();
         let is_held = lock(&self.peer_copies).hold(now, request);
         if !is_held {
@@ -232,7 +232,7 @@
         return false;
     };
     let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
-    let hold = Request::Hold(Hold {
+    let hold = Request::Hold(HoldRequest {
         owner: shared.owner(),
         kept_until: stored_until,
         copies,
--- a/crates/node/src/peer_fallback.rs
+++ b/crates/node/src/peer_fallback.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use anyhow::{Context as _, Result, bail};
-use fescuerack_core::ledger::{Entry, Hold};
+use fescuerack_core::ledger::{Entry, HoldRequest};
 use fescuerack_core::member;
 use fescuerack_core::store::MAX_VALUE_BYTES;
 use fescuerack_wire::peer::{self, Sealed};
@@ -45,7 +45,7 @@
     /// Returns the content of a file of the active configuration by its digest.
     File(String),
     /// Holds copies of ledger entries; returns whether the peer accepted them.
-    Hold(Hold),
+    Hold(HoldRequest),
     /// Adds ledger entries to the peer's own ledger; returns whether the peer
     /// accepted them.
     Adopt(Vec<Entry>),
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -128,8 +128,8 @@
     let mut rollouts = BTreeMap::new();
     for model in active.catalog.rollouts.keys() {
         let name = active.names.models.name(model).to_string();
-        let share = registry.share(now, model);
-        let new_sessions = share.and_then(|share| share.candidate).map(|part| part.1);
+        let split = registry.version_split(now, model);
+        let new_sessions = split.and_then(|split| split.candidate).map(|part| part.1);
         rollouts.insert(
             name.clone(),
             json!({
--- a/crates/node/src/versions/rollouts.rs
+++ b/crates/node/src/versions/rollouts.rs
@@ -61,12 +61,12 @@
 
 /// Reads the records that have changed since the last read.
 fn read_changed(shared: &NodeState, reads: &mut StoreReads) -> Result<()> {
-    let keys = shared.store.keys(record::PREFIX)?;
+    let keys = shared.store.keys(record::KEY_PREFIX)?;
     for item in keys.items {
         if reads.versions.get(&item.key) == Some(&item.version) {
             continue;
         }
-        let Some(model) = item.key.strip_prefix(record::PREFIX) else {
+        let Some(model) = item.key.strip_prefix(record::KEY_PREFIX) else {
             continue;
         };
         read_record(shared, model)?;
@@ -108,7 +108,11 @@
             shared.metrics.count("rollouts.halts_to_keep");
             write(shared, model, None)
         }
-        StoreWrite::Step(model, candidate, step) => {
+        StoreWrite::Step {
+            model,
+            candidate,
+            step,
+        } => {
             // All instances decide this step at about the same time and one
             // write is enough: each writes with probability 1 / `instances`.
             let instances = super::instance_count(shared);
--- a/crates/standin/tests/all/ledger.rs
+++ b/crates/standin/tests/all/ledger.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::ledger::{Buffer, Entry, Hold, Limits, PeerCopies, Segment, Ticket, Totals};
+use fescuerack_core::ledger::{
+    Buffer, Entry, HoldRequest, Limits, PeerCopies, Segment, Ticket, Totals,
+};
 use fescuerack_core::store::{Call, Reply};
 use fescuerack_standin::{FaultRates, FaultyStore};
 
@@ -43,7 +45,7 @@
     now: Instant,
     instances: Vec<Instance>,
     /// Delayed copy requests, delivered out of order, with their receivers.
-    delayed_holds: Vec<(String, Hold)>,
+    delayed_holds: Vec<(String, HoldRequest)>,
     answered: u64,
     /// Entries that may be unbilled because their instance was killed before
     /// they were durable, or was killed together with the holder of its copies;
@@ -170,7 +172,7 @@
         }
         let copy_holder = copy_holder.unwrap_or_else(|| names[other].clone());
         let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
-        let hold = Hold {
+        let hold = HoldRequest {
             owner: instance.name.clone(),
             kept_until: instance.buffer.stored_until(),
             copies,
