--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -14,7 +14,7 @@
 
 /// Time between two polls of the active revisions of the instances.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Times that a change is sent, at most, while its outcome is unknown.
+/// Maximum number of times that a change is sent while its outcome is unknown.
 const MAX_SENDS: u32 = 3;
 
 /// What is recorded with a change, and how long to wait for it.
@@ -40,6 +40,8 @@
     accepted: Accepted,
     request: String,
     instances: Vec<Instance>,
+    /// Whether every instance was seen to run the revision. Also `false` if the instances were not
+    /// polled (`--within 0`) or gave no list.
     in_force_everywhere: bool,
 }
 
@@ -116,7 +118,7 @@
 /// Sends a proposal, again if its outcome is unknown. The request identifier
 /// makes the repetition idempotent.
 ///
-/// Once an outcome is unknown, only an acceptance settles it. A later failure
+/// Once an outcome is unknown, only an acceptance determines it. A later failure
 /// (the store does not answer, or another operator's change conflicts) only
 /// means that the later request changed nothing; the first may still have
 /// taken effect.
--- a/crates/cli/src/commands/digest.rs
+++ b/crates/cli/src/commands/digest.rs
@@ -15,8 +15,8 @@
 const OWNER_ONLY_MODE: u32 = 0o600;
 
 /// Prints the digest of a key or a token, which is what the configuration
-/// holds. The text is read from standard input, so that it stands neither on
-/// the command line nor in the shell's history.
+/// holds. The text is read from standard input, so that it appears neither
+/// on the command line nor in the shell's history.
 #[derive(Debug, Args)]
 pub struct Digest {
     /// Makes a new random text, writes it to a file that only you can read,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -37,8 +37,8 @@
 const CONFLICT: u8 = 4;
 const FORBIDDEN: u8 = 5;
 const UNREACHABLE: u8 = 6;
-const UNKNOWN: u8 = 7;
-const BEHIND: u8 = 8;
+const OUTCOME_UNKNOWN: u8 = 7;
+const NOT_ACTIVE_EVERYWHERE: u8 = 8;
 
 /// A failure with its exit code.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -72,17 +72,17 @@
 
     /// Creates a failure for a request that was sent and whose outcome is unknown.
     pub fn unknown(message: impl Into<String>) -> Self {
-        Self::new(UNKNOWN, message)
+        Self::new(OUTCOME_UNKNOWN, message)
     }
 
     /// Returns whether the outcome of the request is unknown.
     pub fn is_unknown(&self) -> bool {
-        self.code == UNKNOWN
+        self.code == OUTCOME_UNKNOWN
     }
 
     /// Creates a failure for a change that is accepted but not yet active on every instance.
     pub fn behind(message: impl Into<String>) -> Self {
-        Self::new(BEHIND, message)
+        Self::new(NOT_ACTIVE_EVERYWHERE, message)
     }
 
     /// Creates a failure for problems in configuration files.
@@ -103,7 +103,7 @@
             Kind::Unauthorized | Kind::Forbidden => FORBIDDEN,
             Kind::Conflict => CONFLICT,
             Kind::StoreUnavailable => UNREACHABLE,
-            Kind::OutcomeUnknown => UNKNOWN,
+            Kind::OutcomeUnknown => OUTCOME_UNKNOWN,
         };
         Self {
             code,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -20,7 +20,7 @@
 fn main() -> ExitCode {
     match commands::Arguments::parse().execute() {
         Ok(()) => ExitCode::SUCCESS,
-        // The reader closed the pipe, as `head` does: not a failure.
+        // The reader closed the pipe, as `head` does; this is not a failure.
         Err(error) if is_broken_pipe(&error) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("fescuerack: {error:#}");
--- a/crates/cli/tests/all/explain.rs
+++ b/crates/cli/tests/all/explain.rs
@@ -37,7 +37,7 @@
     "server=i-bcb5e9ce98",
     "store-lost"
 )]
-#[case::barred(
+#[case::excluded(
     "5b1f3a90c7d2e844",
     "outcome: not-run",
     "cold=1 elsewhere=0 evacuated=4",
--- a/crates/client/src/admin/draft.rs
+++ b/crates/client/src/admin/draft.rs
@@ -1,4 +1,4 @@
-//! Result of applying a proposal to the active configuration.
+//! Drafts: proposals that have been applied to a copy of the active configuration and checked.
 
 use std::collections::BTreeMap;
 
@@ -12,9 +12,9 @@
 use crate::Store;
 use crate::manifest::{self, Manifest};
 
-/// Maximum length of the reason for a change.
+/// Maximum length of the reason for a change, in bytes.
 const MAX_REASON_BYTES: usize = 500;
-/// Maximum length of the identifier of a request.
+/// Maximum length of the identifier of a request, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 64;
 
 /// Result of applying a proposal to the active configuration.
--- a/crates/client/src/engine.rs
+++ b/crates/client/src/engine.rs
@@ -123,7 +123,7 @@
 
 /// Ends an attempt at the engine and returns whether the engine had it on record.
 ///
-/// Otherwise the attempt has already ended, or the cancel call arrived before the attempt.
+/// Returns `false` if the attempt has already ended or the cancel call arrived before the attempt.
 ///
 /// # Errors
 ///
--- a/crates/client/src/fault.rs
+++ b/crates/client/src/fault.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Reason why a call failed, which also states whether the call may have taken effect.
+/// Reason why a call failed. Each variant states whether the call may have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Fault {
     /// No byte of the request was sent, so the call certainly had no effect.
@@ -11,7 +11,8 @@
     /// The request may have been received and may have taken effect.
     #[error("outcome unknown: {0}")]
     Unknown(String),
-    /// The server refused the call and reported that it did nothing.
+    /// The server answered with an error status. Whether the call had an effect depends on the
+    /// service: the clients of the store and of plain services return this only if it had none.
     #[error("refused with status {status}: {message}")]
     Refused {
         /// HTTP status.
@@ -19,7 +20,7 @@
         /// Body of the response.
         message: String,
     },
-    /// The response could not be parsed or broke the protocol.
+    /// The response could not be parsed or broke the protocol. The call may have taken effect.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -18,10 +18,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Size of the input buffer and of the output buffer of a connection. The library's defaults of
-/// 128 KB each made up three quarters of the memory of an open stream. An event of a stream takes a
-/// few hundred bytes, and a longer body is transferred in pieces.
+/// 128 KB each would take three quarters of the memory of an open stream. An event of a stream takes
+/// a few hundred bytes, and a longer body is transferred in pieces.
 const BUFFER_BYTES: usize = 16 << 10;
 
+/// Number of addresses for which the pool has room for all their idle connections.
+const MAX_POOLED_ADDRESSES: usize = 64;
+
 /// Creates a client that keeps at most `idle` idle connections to one address.
 ///
 /// Proxies set in the environment are ignored, because the router connects directly to the
@@ -36,7 +39,7 @@
         .timeout_connect(Some(CONNECT_TIMEOUT))
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
-        .max_idle_connections(idle * 64)
+        .max_idle_connections(idle * MAX_POOLED_ADDRESSES)
         .max_idle_connections_per_host(idle)
         .user_agent("fescuerack")
         .build();
@@ -73,7 +76,7 @@
 ///
 /// The library's resolver starts a thread for every request with a time-out, even if the host is
 /// an IP address or the request uses a pooled connection. On a busy machine, waiting for that
-/// thread to be scheduled delayed the first token by 3 ms.
+/// thread to be scheduled delays the first token by 3 ms.
 #[derive(Debug, Default)]
 struct AddressResolver {
     default: DefaultResolver,
--- a/crates/client/src/limit.rs
+++ b/crates/client/src/limit.rs
@@ -12,7 +12,7 @@
 /// Minimum time-out of a call. A healthy service answers well within this time.
 const MIN_TIMEOUT_MS: u64 = 2_000;
 /// Maximum time-out of a call. A degraded service that answers after 5 s must remain usable: with a
-/// fixed, shorter time-out every call would take effect, but none could be confirmed.
+/// time-out below its latency, calls would take effect, but none could be confirmed.
 const MAX_TIMEOUT_MS: u64 = 10_000;
 /// Maximum time that a call waits for its token.
 const MAX_TOKEN_WAIT: Duration = Duration::from_secs(2);
--- a/crates/client/src/manifest.rs
+++ b/crates/client/src/manifest.rs
@@ -55,7 +55,8 @@
     fetch_with(store, manifest, &Folder::new())
 }
 
-/// Number of times that a file is read before it counts as missing.
+/// Number of times that a file is read before it counts as missing; a replica of the store that
+/// lags may lack it (see [`read_file`]).
 const MAX_FILE_READS: u32 = 3;
 
 /// Like [`fetch`], but takes files with the right digest from `cached` instead of the store.
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -91,8 +91,8 @@
     const MAX_IDLE_CONNECTIONS: usize = 16;
 
     /// Creates a client of the platform at `address`, in the form `host:port`. Its rate is
-    /// unlimited until [`HttpStore::set_node_count`] sets how many instances share the rate of the
-    /// fleet.
+    /// unlimited until [`HttpStore::set_node_count`] sets how many instances share the total
+    /// rate.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
--- a/crates/config/src/catalog/compile/targets.rs
+++ b/crates/config/src/catalog/compile/targets.rs
@@ -1,4 +1,4 @@
-//! Section `targets`.
+//! Section `targets`: the classes of work and their quality targets.
 
 use super::super::Class;
 use super::{Builder, list_defined};
--- a/crates/config/src/tree/mod.rs
+++ b/crates/config/src/tree/mod.rs
@@ -49,13 +49,13 @@
 /// One entry of a mapping.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    /// Name.
+    /// Name of the field.
     pub name: String,
     /// Line of the name.
     pub line: usize,
     /// Byte range of the name in the text.
     pub bytes: Range<usize>,
-    /// Value.
+    /// Value of the field.
     pub node: YamlNode,
 }
 
@@ -84,7 +84,8 @@
         self.fields().iter().find(|field| field.name == name)
     }
 
-    /// Calls `visit` with the path and the line of every value below this one.
+    /// Calls `visit` with the path of every value below this one and its line: that of the name
+    /// in a mapping, that of the value in a sequence.
     ///
     /// A path consists of the names from the root, joined by `/`; items of a
     /// sequence are named by their index, from 0.
--- a/crates/core/benches/load/main.rs
+++ b/crates/core/benches/load/main.rs
@@ -16,7 +16,7 @@
 use fescuerack_core::clock::Instant;
 use fescuerack_core::num::float;
 use fescuerack_replay::{
-    Admission, Choice, Fault, FaultKind, Figures, Policy, RefusedClients, Retry, Scenario, Stream,
+    Admission, Choice, Fault, FaultKind, Figures, Policy, RefusedCallers, Retry, Scenario, Stream,
     run,
 };
 
@@ -444,7 +444,7 @@
         "burst".clone_into(&mut scenario.streams[1].name);
         scenario.streams[1].from_s = 60.0;
         scenario.streams[1].to_s = 80.0;
-        scenario.crowd = RefusedClients { returns: 10 };
+        scenario.crowd = RefusedCallers { returns: 10 };
         scenario.policy = policy;
         rows.push((
             format!("burst of 20 s whose callers come back, {name}"),
--- a/crates/node/src/activation.rs
+++ b/crates/node/src/activation.rs
@@ -33,9 +33,9 @@
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(200);
 /// Pause between an event and the next watch.
 const WATCH_PAUSE: Duration = Duration::from_millis(20);
-/// Store calls per second that all instances of the fleet together may make
-/// after a change.
-const FLEET_CALLS_PER_SECOND: u64 = 900;
+/// Store calls per second that all instances together may make after a
+/// change.
+const TOTAL_CALLS_PER_SECOND: u64 = 900;
 /// Store calls of one instance after a change: the watch, the manifest and one
 /// file.
 const CALLS_PER_CHANGE: u64 = 3;
@@ -201,7 +201,8 @@
     }
 }
 
-/// Sets this instance's share of the store's rate from the size of the fleet.
+/// Sets this instance's share of the store's rate from the number of
+/// instances.
 fn update_store_share(shared: &NodeState) {
     shared
         .store
@@ -239,10 +240,10 @@
     Ok(())
 }
 
-/// Returns a random delay that spreads the reads of the fleet after a change.
+/// Returns a random delay that spreads the reads of all instances after a change.
 fn jitter(shared: &NodeState) -> Duration {
     let nodes = u64::from(peer_fallback::instance_count(shared));
-    let width_ms = nodes * CALLS_PER_CHANGE * 1000 / FLEET_CALLS_PER_SECOND;
+    let width_ms = nodes * CALLS_PER_CHANGE * 1000 / TOTAL_CALLS_PER_SECOND;
     Duration::from_millis(shared.random() % (width_ms + 1))
 }
 
--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -21,7 +21,7 @@
 
 type Decision = Result<Grant, Refusal>;
 
-/// Admits requests up to a number of places; shared by all connections.
+/// Admits requests up to a limit on those that run; shared by all connections.
 #[derive(Clone, Debug)]
 pub struct Gate {
     inner: Arc<Mutex<Inner>>,
@@ -34,7 +34,7 @@
     waiters: BTreeMap<Ticket, oneshot::Sender<Decision>>,
 }
 
-/// Permit of a running request; dropping it frees its place for the next one.
+/// Permit of a running request; dropping it frees it for the next request.
 #[derive(Debug)]
 pub struct Permit {
     gate: Gate,
@@ -46,7 +46,7 @@
 /// Status of a request, and with it what dropping its permit must release.
 #[derive(Debug)]
 enum Status {
-    /// Runs and holds a place.
+    /// Runs.
     Running(Grant),
     /// Waits for a decision.
     Waiting(Ticket, oneshot::Receiver<Decision>),
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of callers' requests: rate limits, then a place to run in.
+//! Admission of callers' requests: rate limits, then a permit to run.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
--- a/crates/node/src/callers/attempts.rs
+++ b/crates/node/src/callers/attempts.rs
@@ -155,7 +155,8 @@
     }
 
     /// Waits for the first part of an attempt and, once the attempt is late, of
-    /// a hedge beside it. The slower of the two is cancelled.
+    /// a hedge beside it. If one of them fails, the other is awaited; otherwise
+    /// the slower one is cancelled.
     async fn wait_with_hedge(
         &mut self,
         mut pending: UnansweredAttempt,
--- a/crates/node/src/callers/prompt.rs
+++ b/crates/node/src/callers/prompt.rs
@@ -3,14 +3,16 @@
 use fescuerack_core::route::hash;
 use serde::Deserialize;
 
-/// Length in bytes of the prefix that decides prefix-cache affinity: a system
-/// prompt and the start of a dialogue. Shorter prompts are cheap to compute
-/// again.
+/// Number of bytes, from the field name `messages` on, that decide prefix-cache
+/// affinity: a system prompt and the start of a dialogue. Shorter prompts are
+/// cheap to compute again.
 const PREFIX_BYTES: usize = 512;
-/// Average number of bytes per token.
+/// Assumed average number of bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Assumed length in tokens of an answer whose request sets no limit.
 const DEFAULT_ANSWER_TOKENS: u32 = 256;
+/// Maximum length in tokens that is assumed for an answer.
+const MAX_ANSWER_TOKENS: u32 = 1 << 20;
 /// Number of prompt tokens that cost as much as one answer token: prompts are
 /// computed many tokens at a time.
 const PROMPT_TOKENS_PER_ANSWER_TOKEN: u32 = 16;
@@ -22,7 +24,8 @@
     pub tokens: u32,
     /// Work of the request, in answer tokens.
     pub work: u32,
-    /// Hash of the prefix; `None` if the prompt is shorter or has no `messages`.
+    /// Hash of the prefix; `None` if the body has no `messages` or ends within
+    /// the prefix.
     pub prefix: Option<u64>,
 }
 
@@ -38,7 +41,9 @@
         let tokens = u32::try_from(body.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX);
         let limits: Option<Limits> = serde_json::from_slice(body).ok();
         let answer = limits.and_then(|limits| limits.max_tokens);
-        let answer = answer.unwrap_or(DEFAULT_ANSWER_TOKENS).min(1 << 20);
+        let answer = answer
+            .unwrap_or(DEFAULT_ANSWER_TOKENS)
+            .min(MAX_ANSWER_TOKENS);
         Self {
             tokens,
             work: answer
--- a/crates/node/src/callers/write_timeout.rs
+++ b/crates/node/src/callers/write_timeout.rs
@@ -1,8 +1,8 @@
 //! A socket with a time-out on writes that make no progress.
 //!
-//! A caller that stops reading in the middle of its answer holds a place, a
+//! A caller that stops reading in the middle of its answer holds a permit, a
 //! thread and buffers for as long as it likes, and a few such callers would use
-//! up all places of the process. A write that makes no progress within the
+//! up all permits of the process. A write that makes no progress within the
 //! limit fails, which ends the connection and cancels the attempt.
 
 use std::io;
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -29,7 +29,8 @@
 const BACKLOG_ATTEMPT_MS: u64 = 1_000;
 /// Maximum size of the backlog in bytes.
 const MAX_BACKLOG_BYTES: usize = 4 << 20;
-/// One in this many places may wait for a claim while the store is unavailable.
+/// One in this many permits may be held by requests that wait for a claim while
+/// the store is unavailable.
 /// The rest is left to requests that need no claim.
 const PERMITS_PER_WAITING_CLAIM: usize = 4;
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The process that runs on each instance.
+//! The node: the process of the router that runs on each instance.
 //!
 //! The decisions of the core crate do no I/O; this crate runs them with
 //! sockets, threads and timers. Callers' requests run on an async runtime
--- a/crates/node/src/peer_fallback.rs
+++ b/crates/node/src/peer_fallback.rs
@@ -2,7 +2,7 @@
 //! their copy of the configuration, hold copies of ledger entries, and take
 //! over the ledger of an instance that shuts down.
 //!
-//! Every call is sealed with the fleet's key, like the exchange of soft state.
+//! Every call is sealed with the instances' shared key, like the exchange of soft state.
 //! A repeated call is harmless: a revision only rises, and readers of the
 //! ledger drop duplicates.
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! The core chooses the peer, builds the messages and decides which ones to
 //! accept ([`fescuerack_core::member`]). This module transports the messages,
-//! seals them with the fleet's key, and passes each part of a message to the
+//! seals them with the instances' shared key, and passes each part of a message to the
 //! state that it belongs to.
 
 use std::collections::BTreeSet;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Applies the platform's list of the instances of the fleet.
+/// Applies the platform's list of the instances of the router.
 pub fn observe(shared: &NodeState, instances: &[Instance]) {
     let mut member = lock(&shared.member);
     let list = instances.iter().map(|instance| {
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns the number of instances that share the limits of the whole fleet.
+/// Returns the number of instances that share the limits set for all of them together.
 #[must_use]
 pub fn instance_count(shared: &NodeState) -> u32 {
     let size = lock(&shared.member).view.size();
--- a/crates/node/tests/all/claims.rs
+++ b/crates/node/tests/all/claims.rs
@@ -74,9 +74,9 @@
         Step::Running | Step::Recording => service.set(Fault::DelayMs, 400),
         Step::Answered => {}
     }
-    let doomed = Process::address_of(&first);
+    let first_address = Process::address_of(&first);
     let caller = std::thread::spawn(move || {
-        let url = format!("{doomed}/v1/services/bookings/confirm");
+        let url = format!("{first_address}/v1/services/bookings/confirm");
         let request = client()
             .post(url)
             .header("authorization", format!("Bearer {KEY}"));
@@ -121,7 +121,7 @@
 #[test]
 fn booking_lost_answers_runs_once() {
     let cluster = Cluster::new();
-    let [first, second] = cluster.start_fleet(["entry-0", "entry-1"]);
+    let [first, second] = cluster.start_instances(["entry-0", "entry-1"]);
     let store = cluster.platform.store_faults();
     store.set(Fault::DropAnswers, 1);
     let address = Process::address_of(&first);
@@ -181,7 +181,7 @@
 // The store is unavailable: a booking waits, as the store may return, and is then
 // refused as not run. The same key works once the store is back.
 #[test]
-fn booking_store_out_is_not_run() {
+fn booking_store_unavailable_is_not_run() {
     let cluster = Cluster::new();
     let process = cluster.start("entry-0");
     let store = cluster.platform.store_faults();
@@ -193,7 +193,7 @@
     );
     assert_eq!(runs(&cluster), 0);
     store.set(Fault::Down, 0);
-    wait_until("the given-up claim is settled", || {
+    wait_until("the abandoned claim is recorded as not run", || {
         let again = book(&process, Some("out"), "virtanen", DEADLINE_MS);
         again.is_some_and(|again| outcome(&again) == "done")
     });
--- a/crates/node/tests/all/configuration.rs
+++ b/crates/node/tests/all/configuration.rs
@@ -37,8 +37,8 @@
     }
 }
 
-fn wait_until_active(fleet: &[Process], revision: u64) {
-    for process in fleet {
+fn wait_until_active(processes: &[Process], revision: u64) {
+    for process in processes {
         wait_until("the revision is active", || process.revision() == revision);
     }
 }
@@ -50,7 +50,7 @@
 fn apply_different_files_both_win() {
     const CHANGES: usize = 8;
     let cluster = Cluster::new();
-    let fleet = cluster.start_fleet(["entry-0", "entry-1", "entry-2"]);
+    let processes = cluster.start_instances(["entry-0", "entry-1", "entry-2"]);
     let before = current(&cluster);
     let teams = ["lapset", "kuljetus"].map(|team| {
         let store = store(&cluster);
@@ -78,7 +78,7 @@
     let revisions: Vec<_> = history.iter().map(|change| change.revision).collect();
     let expected: Vec<_> = (1..=after.revision).rev().collect();
     assert_eq!(revisions, expected, "every change is in the history");
-    wait_until_active(&fleet, after.revision);
+    wait_until_active(&processes, after.revision);
 }
 
 // Two operators change the same file from the same state. The second must get a
@@ -181,7 +181,7 @@
 #[case::old_reads(Fault::StaleReads, 2)]
 fn apply_watch_faults_in_force(#[case] fault: Fault, #[case] value: u64) {
     let cluster = Cluster::new();
-    let fleet = cluster.start_fleet(["entry-0", "entry-1"]);
+    let processes = cluster.start_instances(["entry-0", "entry-1"]);
     let mut revision = current(&cluster).revision;
     cluster.platform.store_faults().set(fault, value);
     for change in 0..3 {
@@ -196,5 +196,5 @@
         revision = current.revision + 1;
         assert_eq!(applied, Applied::Accepted { revision });
     }
-    wait_until_active(&fleet, revision);
+    wait_until_active(&processes, revision);
 }
--- a/crates/node/tests/all/engine.rs
+++ b/crates/node/tests/all/engine.rs
@@ -61,13 +61,13 @@
         "a whole answer's connection is kept"
     );
     engine.mismatch_answers(1);
-    let crossed = engine::open(&agent, &attempt(&engine, "three"), TIMEOUT);
-    assert_eq!(crossed.err(), Some(Failure::Mismatched));
+    let mismatched = engine::open(&agent, &attempt(&engine, "three"), TIMEOUT);
+    assert_eq!(mismatched.err(), Some(Failure::Mismatched));
     read_whole(&agent, &attempt(&engine, "four"));
     assert_eq!(
         engine.connections(),
         2,
-        "a crossed answer's connection is not"
+        "a mismatched answer's connection is not"
     );
 }
 
--- a/crates/node/tests/all/load.rs
+++ b/crates/node/tests/all/load.rs
@@ -31,7 +31,7 @@
     assert_eq!(process.counter("attempts.retry_denied"), 0);
 }
 
-// A request arrives with a deadline that is too short while every place is taken.
+// A request arrives with a deadline that is too short while every permit is held.
 // It is refused at once, as not run and with a time to retry.
 #[test]
 fn chat_too_late_is_refused_as_not_run() {
@@ -51,7 +51,7 @@
     assert_eq!(send("60000").status(), 200, "the duration becomes known");
     std::thread::scope(|scope| {
         let first = scope.spawn(|| send("60000").status());
-        crate::support::wait_until("the place is taken", || {
+        crate::support::wait_until("the permit is held", || {
             process.state()["admission"]["running"] == 1
         });
         let refused = send("1000");
--- a/crates/node/tests/all/orders.rs
+++ b/crates/node/tests/all/orders.rs
@@ -33,10 +33,13 @@
 #[test]
 fn engines_are_ordered_to_load_once() {
     let cluster = Cluster::new();
-    let fleet = cluster.start_fleet(["entry-0", "entry-1"]);
+    let processes = cluster.start_instances(["entry-0", "entry-1"]);
     wait_until("every engine has every version", || all_loaded(&cluster));
     assert_eq!(
-        fleet.iter().filter(|process| holds_lease(process)).count(),
+        processes
+            .iter()
+            .filter(|process| holds_lease(process))
+            .count(),
         1
     );
     for engine in &cluster.engines {
@@ -51,7 +54,7 @@
 fn engine_busy_does_not_end_the_lease() {
     let cluster = Cluster::new();
     cluster.engines[0].orders().set_refuses_all(true);
-    let [process] = cluster.start_fleet(["entry-0"]);
+    let [process] = cluster.start_instances(["entry-0"]);
     wait_until("the other engines have every version", || {
         let mut others = cluster.engines[1..].iter();
         others.all(|engine| engine.orders().loaded().len() == VERSIONS)
@@ -76,11 +79,11 @@
     for engine in &cluster.engines {
         engine.orders().set_ignores_fencing(true);
     }
-    let fleet = cluster.start_fleet(["entry-0", "entry-1"]);
+    let processes = cluster.start_instances(["entry-0", "entry-1"]);
     wait_until("every engine has every version", || all_loaded(&cluster));
-    let frozen = fleet.iter().find(|process| holds_lease(process));
+    let frozen = processes.iter().find(|process| holds_lease(process));
     let frozen = frozen.expect("an instance holds the lease");
-    let other = fleet.iter().find(|process| !holds_lease(process));
+    let other = processes.iter().find(|process| !holds_lease(process));
     let other = other.expect("an instance without the lease");
     signal(frozen, "-STOP");
     wait_until("the other instance takes over", || holds_lease(other));
--- a/crates/node/tests/all/outage.rs
+++ b/crates/node/tests/all/outage.rs
@@ -51,7 +51,7 @@
 #[test]
 fn drain_store_out_hands_off() {
     let cluster = Cluster::new();
-    let [mut first, second] = cluster.start_fleet(["entry-0", "entry-1"]);
+    let [mut first, second] = cluster.start_instances(["entry-0", "entry-1"]);
     cluster.platform.store_faults().set(Fault::Down, 1);
     for _ in 0..3 {
         assert_eq!(chat(&first), "done");
@@ -81,7 +81,7 @@
 #[test]
 fn kill_store_out_peer_keeps_the_entry() {
     let cluster = Cluster::new();
-    let [mut first, second] = cluster.start_fleet(["entry-0", "entry-1"]);
+    let [mut first, second] = cluster.start_instances(["entry-0", "entry-1"]);
     cluster.platform.store_faults().set(Fault::Down, 1);
     assert_eq!(chat(&first), "done");
     wait_until("a copy is held", || {
--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -61,7 +61,7 @@
     });
 }
 
-// A sender without the fleet's key connects to the peers' port and sends a
+// A sender without the instances' shared key connects to the peers' port and sends a
 // message, such as a false report that an instance leaves. It must be refused,
 // and its contents must not be used.
 #[test]
--- a/crates/node/tests/all/stream.rs
+++ b/crates/node/tests/all/stream.rs
@@ -135,12 +135,12 @@
 // Two engines swap their answers, so that each belongs to another request. A
 // caller must never receive the answer to another one's request.
 #[test]
-fn crossed_answer_is_dropped_and_run_elsewhere() {
+fn mismatched_answer_is_dropped_and_run_elsewhere() {
     let cluster = Cluster::new();
     let process = cluster.start("entry-0");
     cluster.engines[0].mismatch_answers(1);
     cluster.engines[1].mismatch_answers(1);
-    wait_until("both crossed answers are counted", || {
+    wait_until("both mismatched answers are counted", || {
         let read = read(&process, 4);
         assert!(read.done && read.text == words(4), "{read:?}");
         process.counter("upstream.crossed") == 2
@@ -175,7 +175,7 @@
             .sum::<u64>()
             == 1
     });
-    wait_until("the place is free", || {
+    wait_until("the permit is released", || {
         process.state()["admission"]["running"] == 0
     });
 }
@@ -202,7 +202,7 @@
 }
 
 // A caller stops reading in the middle of a very long answer, for instance a
-// phone without reception. It must not use unbounded memory nor hold its place
+// phone without reception. It must not use unbounded memory nor hold its permit
 // for ever, and other callers must be answered meanwhile.
 #[test]
 fn slow_reader_is_bounded_and_given_up() {
@@ -222,7 +222,7 @@
     let grown = process.resident_kb().saturating_sub(before);
     println!("grew by {grown} KB");
     assert!(grown < 16 << 10, "grew by {grown} KB");
-    wait_until("the place is free", || {
+    wait_until("the permit is released", || {
         process.state()["admission"]["running"] == 0
     });
     let mut rest = Vec::new();
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -121,19 +121,19 @@
     }
 
     /// Starts processes and waits until each has the others in its view.
-    pub fn start_fleet<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
-        let fleet = instances.map(|instance| self.start(instance));
-        for process in &fleet {
+    pub fn start_instances<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
+        let processes = instances.map(|instance| self.start(instance));
+        for process in &processes {
             self.list_own(process);
         }
-        for process in &fleet {
-            wait_until("the fleet is known", || {
+        for process in &processes {
+            wait_until("every instance is known", || {
                 process.state()["member"]["instances"]
                     .as_array()
                     .is_some_and(|peers| peers.len() + 1 >= N)
             });
         }
-        fleet
+        processes
     }
 
     /// Adds a process to the platform's list.
--- a/crates/node/tests/soak/caller.rs
+++ b/crates/node/tests/soak/caller.rs
@@ -37,30 +37,26 @@
 
 /// One request.
 pub struct Request<'a> {
-    /// Identifier.
     pub id: &'a str,
-    /// Kind.
     pub kind: Kind,
-    /// Path.
     pub path: &'a str,
-    /// API key.
     pub key: &'a str,
 }
 
 /// Sends requests until the task is dropped.
 pub async fn run(context: Rc<Context>, number: u64, seed: u64) {
-    let mut random = Pcg64::seed_from_u64(seed ^ number << 32);
+    let mut rng = Pcg64::seed_from_u64(seed ^ number << 32);
     let mut sent = 0_u64;
     loop {
-        let node = random.random_range(0..NODES);
+        let node = rng.random_range(0..NODES);
         let Some(mut stream) = connect(&context, node).await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        for _ in 0..random.random_range(1..30) {
+        for _ in 0..rng.random_range(1..30) {
             sent += 1;
             let id = format!("c{number}-{sent}");
-            let (kind, path) = match random.random_range(0..4) {
+            let (kind, path) = match rng.random_range(0..4) {
                 0 => (Kind::Pay, "/pay/1"),
                 1 => (Kind::Talk, "/talk/1"),
                 _ => (Kind::Look, "/look/1"),
@@ -78,7 +74,7 @@
             if !stays_open {
                 break;
             }
-            let pause = random.random_range(PAUSE_MS);
+            let pause = rng.random_range(PAUSE_MS);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
     }
@@ -105,6 +101,7 @@
         path,
         key,
     } = request;
+    // Idempotent requests are sent as GET; non-idempotent ones and streams as POST with a body.
     let (method, body) = match kind {
         Kind::Look => ("GET", String::new()),
         Kind::Pay | Kind::Talk => ("POST", format!("body of {id}")),
@@ -168,7 +165,9 @@
             context.observations.record_refusal(id, status);
             None
         }
-        500 if answer.header("x-server-signature").is_empty() => Some("a 500 of no server".into()),
+        500 if answer.header("x-server-signature").is_empty() => {
+            Some("status 500 that no backend server sent".into())
+        }
         500 | 502 | 504 => None,
         other => Some(format!("status {other} for a proper request")),
     };
@@ -181,7 +180,7 @@
     context.observations.count(|tally| {
         tally.good += usize::from(is_good);
         tally.unknown += usize::from(!is_good && !matches!(status, 429 | 503 | 408 | 421));
-        tally.calm += usize::from(is_undisturbed);
+        tally.undisturbed += usize::from(is_undisturbed);
     });
     if is_undisturbed && !is_good {
         let line = format!("{id} ({kind:?}) at n{node}: {status} though nothing is wrong");
@@ -200,7 +199,7 @@
 ) -> Option<String> {
     let id = request.id;
     if answer.header("x-request-id") != id || answer.header("x-server-signature").is_empty() {
-        return Some("an answer to another request, or without its proof".to_owned());
+        return Some("an answer to another request, or without the server's signature".to_owned());
     }
     let text = answer.text();
     if request.kind != Kind::Talk {
@@ -212,7 +211,9 @@
         return Some(format!("the events '{text}'"));
     }
     if text != whole && !answer.is_truncated {
-        return Some(format!("a stream that ends whole after '{text}'"));
+        return Some(format!(
+            "a stream that ends early without being truncated, after '{text}'"
+        ));
     }
     let is_cut_by_stop = answer.is_truncated && context.disturbances.is_free_of_faults(node, at);
     is_cut_by_stop.then(|| "a stream that is cut".to_owned())
--- a/crates/node/tests/soak/disturbances.rs
+++ b/crates/node/tests/soak/disturbances.rs
@@ -53,15 +53,15 @@
     /// Returns whether neither a fault nor a planned stop or reload has affected a node, nor a
     /// fault the store, since [`SETTLE_TIME`] before `since`.
     pub fn can_follow_store(&self, node: usize, since: Instant) -> bool {
-        let calm = [&self.nodes[node], &self.planned[node], &self.store];
-        calm.into_iter().all(|until| is_over(until, since))
+        let ends = [&self.nodes[node], &self.planned[node], &self.store];
+        ends.into_iter().all(|until| is_over(until, since))
     }
 
     /// Returns whether no fault has affected a node, the store or the backend servers since
     /// [`SETTLE_TIME`] before `since`. Planned stops and reloads do not count.
     pub fn is_free_of_faults(&self, node: usize, since: Instant) -> bool {
-        let calm = [&self.nodes[node], &self.store, &self.backends];
-        calm.into_iter().all(|until| is_over(until, since))
+        let ends = [&self.nodes[node], &self.store, &self.backends];
+        ends.into_iter().all(|until| is_over(until, since))
     }
 
     /// Returns whether neither a fault nor a planned stop or reload has affected a node since
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -43,7 +43,7 @@
     let (broken, tally) = world::play(seed, steps);
     assert!(broken.is_empty(), "seed {seed}:\n{}", broken.join("\n"));
     assert!(
-        tally.good > 500 && tally.calm > 50,
+        tally.good > 500 && tally.undisturbed > 50,
         "seed {seed}: {tally:?}"
     );
 }
--- a/crates/node/tests/soak/observations.rs
+++ b/crates/node/tests/soak/observations.rs
@@ -54,7 +54,7 @@
     /// servers.
     pub unknown: usize,
     /// Requests to nodes that no fault and no planned stop or reload affected.
-    pub calm: usize,
+    pub undisturbed: usize,
     /// Probes of whether a configuration is active.
     pub probes: usize,
 }
--- a/crates/node/tests/soak/plan.rs
+++ b/crates/node/tests/soak/plan.rs
@@ -72,23 +72,23 @@
 
 /// Draws the faults of the first `length_ms` milliseconds.
 pub fn new(seed: u64, length_ms: u64) -> Vec<Step> {
-    let mut random = Pcg64::seed_from_u64(seed);
+    let mut rng = Pcg64::seed_from_u64(seed);
     let mut steps = Vec::new();
     let mut at_ms = QUIET_MS;
     while at_ms < length_ms {
         steps.push(Step {
             at_ms,
-            duration_ms: random.random_range(DURATION_MS),
-            fault: fault(&mut random),
+            duration_ms: rng.random_range(DURATION_MS),
+            fault: fault(&mut rng),
         });
-        at_ms += random.random_range(INTERVAL_MS);
+        at_ms += rng.random_range(INTERVAL_MS);
     }
     steps
 }
 
 /// Returns the faults of [`new`], with cold starts of servers and evacuations of zones.
 pub fn with_zones(seed: u64, length_ms: u64) -> Vec<Step> {
-    let mut random = Pcg64::seed_from_u64(seed ^ EVACUATION_SEED);
+    let mut rng = Pcg64::seed_from_u64(seed ^ EVACUATION_SEED);
     let mut steps = new(seed, length_ms);
     steps.push(Step {
         at_ms: 0,
@@ -96,19 +96,19 @@
         fault: Fault::ColdStarts,
     });
     for _ in 0..EVACUATIONS {
-        let zone = if random.random() { "a" } else { "b" };
+        let zone = if rng.random() { "a" } else { "b" };
         steps.push(Step {
-            at_ms: random.random_range(QUIET_MS..length_ms),
-            duration_ms: random.random_range(DURATION_MS),
+            at_ms: rng.random_range(QUIET_MS..length_ms),
+            duration_ms: rng.random_range(DURATION_MS),
             fault: Fault::Evacuate { zone },
         });
     }
     steps
 }
 
-fn fault(random: &mut Pcg64) -> Fault {
-    let node = random.random_range(0..NODES);
-    let backend = random.random_range(0..BACKENDS);
+fn fault(rng: &mut Pcg64) -> Fault {
+    let node = rng.random_range(0..NODES);
+    let backend = rng.random_range(0..BACKENDS);
     let links = [
         Link::Slow,
         Link::Stalled,
@@ -116,8 +116,8 @@
         Link::LosesRequests,
         Link::Reset,
     ];
-    let link = *links.choose(random).expect("some");
-    match random.random_range(0..18) {
+    let link = *links.choose(rng).expect("some");
+    match rng.random_range(0..18) {
         0 => Fault::Kill { node },
         1 | 2 => Fault::Stop { node },
         3 => Fault::Pause { node },
--- a/crates/replay/src/draw.rs
+++ b/crates/replay/src/draw.rs
@@ -15,7 +15,8 @@
     median * (spread * normal).exp()
 }
 
-/// Draws a number below `count`. With `skew` above 0, low numbers are more frequent.
+/// Draws a number below `count`: `count * u^(1 + skew)` for a uniform `u` from 0 to 1. With `skew`
+/// above 0, low numbers are more frequent; 0 is uniform.
 pub fn skewed<R: Rng>(count: u32, skew: f64, rng: &mut R) -> u32 {
     let uniform = rng.random::<f64>();
     let drawn = uniform.powf(1.0 + skew) * f64::from(count);
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -22,6 +22,6 @@
 pub use model::run;
 pub use plot::plot;
 pub use scenario::{
-    Admission, Choice, Fault, FaultKind, Policy, RefusedClients, Retry, Scenario, Stream,
+    Admission, Choice, Fault, FaultKind, Policy, RefusedCallers, Retry, Scenario, Stream,
 };
 pub use table::table;
--- a/crates/replay/src/model/mod.rs
+++ b/crates/replay/src/model/mod.rs
@@ -237,7 +237,7 @@
             .schedule(retry_at.max(self.now), Event::Enter(id));
     }
 
-    /// Sends the next attempt of a request that holds a place at its node.
+    /// Sends the next attempt of a request that holds a permit of its node.
     fn send(&mut self, id: usize) {
         let now = self.now;
         let request = &mut self.requests[id];
@@ -373,7 +373,7 @@
         self.start_queued(index);
     }
 
-    /// Ends a request that holds a place at its node.
+    /// Ends a request that holds a permit of its node.
     fn end(&mut self, id: usize, status: Status) {
         let request = &mut self.requests[id];
         request.attempt += 1;
--- a/crates/replay/src/model/node.rs
+++ b/crates/replay/src/model/node.rs
@@ -38,8 +38,12 @@
 /// Server choice of a node.
 #[derive(Debug)]
 enum Chooser {
-    /// Server choice of the product, and whether it uses prefix-cache affinity.
-    Scored(Box<Table>, bool),
+    /// Server choice of the product.
+    Scored {
+        table: Box<Table>,
+        /// Whether prefix-cache affinity is used.
+        use_affinity: bool,
+    },
     /// The less loaded of two random servers, with the number of attempts in flight by server.
     Two(BTreeMap<key::Server, u64>),
     /// Round robin.
@@ -121,8 +125,14 @@
                 Admission::Fifo => Gate::Fifo(fifo::Queue::new(scenario.places)),
             },
             chooser: match scenario.policy.choice {
-                Choice::Scored => Chooser::Scored(table(), true),
-                Choice::Blind => Chooser::Scored(table(), false),
+                Choice::Scored => Chooser::Scored {
+                    table: table(),
+                    use_affinity: true,
+                },
+                Choice::Blind => Chooser::Scored {
+                    table: table(),
+                    use_affinity: false,
+                },
                 Choice::Two => Chooser::Two(BTreeMap::new()),
                 Choice::Round => Chooser::Round(RoundRobin::new(index * 7)),
             },
@@ -147,7 +157,7 @@
     pub fn apply_list(&mut self, now: Instant, servers: &[Server], scenario: &Scenario) {
         let live = servers.iter().filter(|server| !server.is_down);
         self.servers = live.clone().map(|server| server.key).collect();
-        if let Chooser::Scored(table, _) = &mut self.chooser {
+        if let Chooser::Scored { table, .. } = &mut self.chooser {
             let fleet = self.fleet;
             let listed = live.map(|server| {
                 let listed = Listed {
@@ -259,13 +269,16 @@
     ) -> Option<usize> {
         let fleets = [self.fleet];
         let server = match &mut self.chooser {
-            Chooser::Scored(table, has_affinity) => {
+            Chooser::Scored {
+                table,
+                use_affinity,
+            } => {
                 let route_request = route::Request {
                     fleets: &fleets,
                     avoid: &request.tried,
                     work: request.work,
                     prompt_tokens: request.prompt_tokens,
-                    prefix: request.prefix.filter(|_| *has_affinity),
+                    prefix: request.prefix.filter(|_| *use_affinity),
                     adapter: None,
                 };
                 let server = table.choose(now, &route_request, rng)?;
@@ -294,7 +307,7 @@
 
     /// Records the first token of an attempt.
     pub fn record_first_token(&mut self, now: Instant, request: &Request) {
-        if let Chooser::Scored(table, _) = &mut self.chooser
+        if let Chooser::Scored { table, .. } = &mut self.chooser
             && let Some(server) = request.counted_server
         {
             let took = now.since(request.sent_at).as_secs_f64();
@@ -314,7 +327,7 @@
             return;
         };
         match &mut self.chooser {
-            Chooser::Scored(table, _) => {
+            Chooser::Scored { table, .. } => {
                 table.end_attempt(now, server, request.work, outcome, request.has_first_token);
             }
             Chooser::Two(loads) => {
@@ -355,7 +368,7 @@
         }
     }
 
-    /// Records the end of a request and releases its place.
+    /// Records the end of a request and releases its permit.
     pub fn end(&mut self, now: Instant, request: &mut Request, status: Status) {
         let outcome = match status {
             Status::Good => route::Outcome::Success,
@@ -388,7 +401,7 @@
 
     /// Runs periodic work. Returns the current limit on concurrent requests.
     pub fn tick(&mut self, now: Instant, scenario: &Scenario) -> usize {
-        if let Chooser::Scored(table, _) = &mut self.chooser {
+        if let Chooser::Scored { table, .. } = &mut self.chooser {
             table.tick(now);
         }
         match &self.gate {
@@ -399,7 +412,7 @@
 
     /// Applies a load report of a server.
     pub fn apply_report(&mut self, now: Instant, server: key::Server, report: Report) {
-        if let Chooser::Scored(table, _) = &mut self.chooser {
+        if let Chooser::Scored { table, .. } = &mut self.chooser {
             table.apply_report(now, server, report);
         }
     }
--- a/crates/replay/src/scenario.rs
+++ b/crates/replay/src/scenario.rs
@@ -19,7 +19,7 @@
     pub seconds: u64,
     /// Warm-up period at the start that is not measured, in seconds.
     pub warm_s: u64,
-    /// Number of router instances.
+    /// Number of nodes: processes of the router, one on each instance.
     pub nodes: usize,
     /// Number of backend servers.
     pub servers: usize,
@@ -47,7 +47,7 @@
     /// Faults of the servers.
     pub faults: Vec<Fault>,
     /// Behaviour of callers whose requests are refused.
-    pub crowd: RefusedClients,
+    pub crowd: RefusedCallers,
     /// Policy to try.
     pub policy: Policy,
 }
@@ -117,7 +117,7 @@
 /// Behaviour of callers whose requests are refused.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RefusedClients {
+pub struct RefusedCallers {
     /// Maximum number of times that a refused request returns.
     pub returns: u32,
 }
@@ -192,7 +192,7 @@
             lag_ms: 1_000,
             streams: Vec::new(),
             faults: Vec::new(),
-            crowd: RefusedClients::default(),
+            crowd: RefusedCallers::default(),
             policy: Policy::default(),
         }
     }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -2,20 +2,21 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A fault of a stand-in. Its value is a number; 0 switches the fault off.
+/// A fault of a stand-in. The meaning of its value is stated at the variant; 0 switches it off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Connections are closed without an answer, and requests have no effect.
+    /// Connections are closed without an answer, and requests have no effect. Any value above 0
+    /// switches it on.
     Down,
-    /// Requests take effect and their answers are lost.
+    /// Requests take effect and their answers are lost. Any value above 0 switches it on.
     DropAnswers,
     /// Answers are delayed by this many milliseconds.
     DelayMs,
-    /// Every n-th read returns the value before the last write.
+    /// Every n-th read returns the value before the last write; the value is n.
     StaleReads,
     /// Watch events are delayed by this many milliseconds.
     WatchDelayMs,
-    /// Watch events are not sent.
+    /// Watch events are not sent. Any value above 0 switches it on.
     DropWatchEvents,
     /// Requests above this number in one second are refused with status 429.
     RateLimit,
--- a/crates/standin/src/faulty_store.rs
+++ b/crates/standin/src/faulty_store.rs
@@ -1,9 +1,9 @@
 //! In-process key-value service with seeded faults.
 //!
 //! Randomised tests use it: it has no network and no clock, and gives the same schedule for the
-//! same seed. Besides the faults of [`crate::Fault`] it has the most dangerous one, which no switch
-//! can show: a write whose answer is lost takes effect only later, after its sender has read the
-//! key back and other writers have continued.
+//! same seed. In addition to the faults of [`crate::Fault`], a write whose answer was lost can take
+//! effect later, after its sender has read the key back and other writers have continued. This is
+//! the most dangerous fault, and no switch of the HTTP stand-in injects it.
 
 use fescuerack_core::store::{Call, Reply};
 use rand::{RngExt as _, SeedableRng as _};
@@ -53,6 +53,8 @@
 impl FaultyStore {
     /// Maximum number of delayed writes at a time.
     const MAX_DELAYED: usize = 8;
+    /// Probability per call that a delayed write takes effect before it.
+    const DELIVERY_RATE: f64 = 0.1;
 
     /// Creates a service without keys.
     #[must_use]
@@ -82,7 +84,7 @@
 
     /// Answers a call, possibly with a fault.
     pub fn call(&mut self, call: Call) -> Reply {
-        if self.chance(0.1) {
+        if self.chance(Self::DELIVERY_RATE) {
             self.deliver_delayed_write();
         }
         let write = matches!(call, Call::Swap { .. });
--- a/crates/standin/src/orders.rs
+++ b/crates/standin/src/orders.rs
@@ -68,7 +68,7 @@
         let is_fencing = !self.ignores_fencing.load(Ordering::SeqCst);
         self.with(|state| {
             if is_fencing && order.fencing_token < state.highest_token {
-                return build_response(409, "a higher fencing token was seen");
+                return build_response(409, "a higher fencing token was received");
             }
             state.highest_token = state.highest_token.max(order.fencing_token);
             match order.action {
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -175,7 +175,7 @@
 pub struct Configuration {
     /// Origin of the configuration.
     pub source: Source,
-    /// Revision.
+    /// Revision of the configuration.
     pub revision: u64,
     /// Files, by name.
     pub files: BTreeMap<String, File>,
@@ -190,14 +190,14 @@
     pub author: String,
     /// Revision of the last change.
     pub revision: u64,
-    /// Text.
+    /// Text of the file.
     pub text: String,
 }
 
 /// The latest changes, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    /// Changes.
+    /// Changes, newest first.
     pub changes: Vec<Change>,
 }
 
@@ -206,9 +206,9 @@
 pub struct Change {
     /// Revision that the change made.
     pub revision: u64,
-    /// Author.
+    /// Author of the change.
     pub author: String,
-    /// Reason.
+    /// Reason that the author gave.
     #[serde(rename = "why")]
     pub reason: String,
     /// Wall-clock time, in seconds since the Unix epoch.
@@ -254,7 +254,7 @@
 /// Amount that one organisation owes for one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sum {
-    /// Organisation.
+    /// Name of the organisation.
     pub organisation: String,
     /// Version, or the name of a plain service.
     pub version: String,
--- a/crates/wire/src/discovery.rs
+++ b/crates/wire/src/discovery.rs
@@ -1,11 +1,12 @@
-//! Service discovery: the platform's list of instances, `GET /v1/instances`.
+//! Service discovery: the platform's list of processes, `GET /v1/instances`.
 //!
-//! The list lags behind the actual state.
+//! It contains the instances of the router and the backend servers; the platform calls both
+//! instances. The list lags behind the actual state.
 
 use fescuerack_core::route::State;
 use serde::{Deserialize, Serialize};
 
-/// One entry of the list.
+/// One entry of the list: an instance of the router or a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Identifier.
@@ -14,15 +15,15 @@
     pub fleet: String,
     /// Availability zone.
     pub zone: String,
-    /// Address of the service, in the form `host:port`.
+    /// Address of the process, in the form `host:port`.
     pub address: String,
-    /// Whether the instance accepts new work.
+    /// Whether the process accepts new work.
     pub state: State,
 }
 
-/// The list of instances.
+/// The list of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
-    /// Instances, in no particular order.
+    /// Entries, in no particular order.
     pub instances: Vec<Instance>,
 }
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -19,7 +19,7 @@
     /// the highest one that it has received.
     #[serde(rename = "number")]
     pub fencing_token: u64,
-    /// Action.
+    /// What the engine is to do.
     pub action: Action,
     /// Version, in the form `model@version`.
     pub version: String,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between instances of the router, sent by JSON-RPC.
 //!
 //! Every message carries a seal: an HMAC-SHA-256 of its exact text, under a key that all instances
-//! of a fleet share. Without it, any process could report to an instance that a peer is leaving or
+//! share. Without it, any process could report to an instance that a peer is leaving or
 //! that a roll-out was halted. Messages are authenticated but not encrypted. Replayed messages are
 //! refused by [`fescuerack_core::member::ReplayWindow`].
 
@@ -97,7 +97,7 @@
 /// Reason why a sealed message cannot be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// The seal does not match the message and the fleet's key.
+    /// The seal does not match the message and the instances' key.
     #[error("the seal is wrong")]
     Seal,
     /// The message is malformed.
--- a/crates/wire/src/token.rs
+++ b/crates/wire/src/token.rs
@@ -1,8 +1,8 @@
 //! Session token, which a caller returns with the next request of its session.
 //!
 //! The token contains the versions to which the session is pinned. It is signed with the key that
-//! the fleet's instances share; otherwise, a caller could start a new session on a closed version
-//! by forging a token. The signature covers organisation and session, so a token is valid only for
+//! the instances share; otherwise, a caller could start a new session on a version that accepts no
+//! new sessions by forging a token. The signature covers organisation and session, so a token is valid only for
 //! them. An invalid token is treated like a missing one.
 
 use fescuerack_core::session::Pins;
@@ -14,8 +14,8 @@
 
 fn mac(secret: &[u8], organisation: &str, session: &str, pins: &str) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("HMAC accepts keys of any length");
-    // The same key seals the messages between instances. The first part separates the two domains,
-    // so that neither kind of signature is valid as the other.
+    // The same key signs the messages between instances. The first part differs for each use, so
+    // that neither kind of signature is valid as the other.
     for part in ["session token", organisation, session, pins] {
         mac.update(part.as_bytes());
         mac.update(&[0]);
