--- a/crates/node/tests/soak/caller.rs
+++ b/crates/node/tests/soak/caller.rs
@@ -212,7 +212,7 @@
     }
     if text != whole && !answer.is_truncated {
         return Some(format!(
-            "a stream that ends early without being truncated, after '{text}'"
+            "a stream that ends early as if complete, after '{text}'"
         ));
     }
     let is_cut_by_stop = answer.is_truncated && context.disturbances.is_free_of_faults(node, at);
