--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -14,7 +14,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Listen, Node, Settings};
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use serde::Serialize;
 use tokio::runtime::Runtime;
 
@@ -177,7 +177,7 @@
                 }
             };
             let zone = backend.zones.get(index % backend.zones.len().max(1));
-            self.platform.set_instance(Instance {
+            self.platform.set_instance(ListedInstance {
                 id: format!("{fleet}-{index}"),
                 fleet: fleet.to_owned(),
                 zone: zone.map_or(DEFAULT_ZONE, String::as_str).to_owned(),
@@ -193,7 +193,7 @@
         let id = format!("entry-{index}");
         let settings = Settings::new(&id, zone, &self.platform.address(), PEER_KEY);
         let node = Node::new(settings.with_listen(Listen::new(listen)))?;
-        self.platform.set_instance(Instance {
+        self.platform.set_instance(ListedInstance {
             id,
             fleet: "fescuerack".to_owned(),
             zone: zone.to_owned(),
--- a/crates/cli/tests/all/support.rs
+++ b/crates/cli/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Node, Settings};
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
@@ -93,7 +93,7 @@
             token_ms: 1,
         };
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace).expect("an engine");
-        platform.set_instance(Instance {
+        platform.set_instance(ListedInstance {
             id: "kaisla-llm-0".to_owned(),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -105,7 +105,7 @@
             let id = format!("entry-{index}");
             let settings = Settings::new(&id, "espoo-a", &platform.address(), PEER_KEY);
             let node = Node::new(settings).expect("an instance starts");
-            platform.set_instance(Instance {
+            platform.set_instance(ListedInstance {
                 id,
                 fleet: "fescuerack".to_owned(),
                 zone: "espoo-a".to_owned(),
--- a/crates/core/src/ledger/peer_copies.rs
+++ b/crates/core/src/ledger/peer_copies.rs
@@ -43,12 +43,12 @@
         Self::default()
     }
 
-    /// Drops the owner's copies before `kept_until`, which the store holds, and
+    /// Drops the owner's copies before `stored_until`, which the store holds, and
     /// adds the new ones. Returns whether the new copies are held.
     pub fn hold(&mut self, now: Instant, request: Hold) -> bool {
         let Hold {
             owner,
-            kept_until,
+            stored_until,
             copies,
         } = request;
         let size: usize = copies.iter().map(|(_, entry)| entry.size()).sum();
@@ -57,14 +57,14 @@
             entries: BTreeMap::new(),
         });
         held.last_received = held.last_received.max(now);
-        let stored = held.entries.extract_if(..kept_until, |_, _| true);
+        let stored = held.entries.extract_if(..stored_until, |_, _| true);
         let freed: usize = stored.map(|(_, entry)| entry.size()).sum();
         self.bytes -= freed;
         if self.bytes + size > Self::MAX_BYTES {
             return false;
         }
         for (ticket, entry) in copies {
-            if ticket >= kept_until && held.entries.insert(ticket, entry.clone()).is_none() {
+            if ticket >= stored_until && held.entries.insert(ticket, entry.clone()).is_none() {
                 self.bytes += entry.size();
             }
         }
@@ -113,7 +113,8 @@
     /// Owner of the entries: an instance and its incarnation.
     pub owner: String,
     /// First ticket that the store does not hold yet.
-    pub kept_until: Ticket,
+    #[serde(rename = "kept_until")]
+    pub stored_until: Ticket,
     /// Copies of entries, with their tickets.
     pub copies: Vec<(Ticket, Entry)>,
 }
--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -24,7 +24,7 @@
 use fescuerack_core::route::{Listed, Request, State, Table};
 use fescuerack_core::{claim, ledger, session};
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::discovery::{Instance, Instances};
+use fescuerack_wire::discovery::{Instances, ListedInstance};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 
@@ -295,7 +295,7 @@
 
 /// Returns a list of the platform, and its size as JSON text.
 fn list(servers: usize, nodes: usize) -> (Instances, usize) {
-    let server = |index: usize, fleet: &str| Instance {
+    let server = |index: usize, fleet: &str| ListedInstance {
         id: format!("{fleet}-{index:05}"),
         fleet: fleet.to_owned(),
         zone: format!("availability-zone-{}", index % 8),
@@ -435,7 +435,7 @@
             .expect("a process starts");
         self.processes.push(child);
         self.settings.push(file);
-        self.platform.set_instance(Instance {
+        self.platform.set_instance(ListedInstance {
             id: format!("entry-{index}"),
             fleet: "fescuerack".to_owned(),
             zone: format!("availability-zone-{}", index % 8),
--- a/crates/node/benches/path/world.rs
+++ b/crates/node/benches/path/world.rs
@@ -7,7 +7,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use tokio::runtime::Runtime;
 
 /// The platform and a single engine for the fleet of the configuration, so that
@@ -26,7 +26,7 @@
         let folder = Folder::read(&root)?;
         manifest::publish(&HttpStore::new(&platform.address()), &folder, "bench")?;
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace)?;
-        platform.set_instance(Instance {
+        platform.set_instance(ListedInstance {
             id: "engine-0".to_owned(),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
--- a/crates/node/benches/store.rs
+++ b/crates/node/benches/store.rs
@@ -16,7 +16,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Limits, Node, Settings};
 use fescuerack_standin::{Engine, Fault, Pace, Platform, Service};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use fescuerack_wire::header;
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
@@ -118,7 +118,7 @@
 }
 
 fn list(platform: &Platform, id: &str, fleet: &str, address: String) {
-    platform.set_instance(Instance {
+    platform.set_instance(ListedInstance {
         id: id.to_owned(),
         fleet: fleet.to_owned(),
         zone: "zone-0".to_owned(),
--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -98,13 +98,13 @@
     }
 }
 
-/// Returns the thresholds of the configuration for a limit of `places` places.
-pub fn thresholds(places: usize, catalog: &Catalog) -> Thresholds {
+/// Returns the thresholds of the configuration for at most `max_running` running requests.
+pub fn thresholds(max_running: usize, catalog: &Catalog) -> Thresholds {
     Thresholds {
-        max_running: places,
+        max_running,
         long_share: catalog.limit("admission.long-share"),
         long_floor: catalog.limit("admission.long-floor"),
-        queue_length: num::whole(num::float(places) * catalog.limit("admission.queue")),
+        queue_length: num::whole(num::float(max_running) * catalog.limit("admission.queue")),
         slack: catalog.limit("admission.slack"),
         margin: catalog.limit("admission.margin"),
         max_retry_after_s: catalog.limit("admission.retry-seconds"),
@@ -112,12 +112,12 @@
 }
 
 impl Gate {
-    /// Creates a gate with `places` places.
+    /// Creates a gate for at most `max_running` running requests.
     #[must_use]
-    pub fn new(places: usize, seed: u64) -> Self {
+    pub fn new(max_running: usize, seed: u64) -> Self {
         Self {
             inner: Arc::new(Mutex::new(Inner {
-                controller: Controller::new(Thresholds::new(places)),
+                controller: Controller::new(Thresholds::new(max_running)),
                 rng: Pcg64Mcg::seed_from_u64(seed),
                 waiters: BTreeMap::new(),
             })),
@@ -147,7 +147,7 @@
             let expiry = lock(&self.inner).controller.next_expiry();
             let expiry = clock.tokio_instant(expiry.unwrap_or(request.deadline));
             match tokio::time::timeout_at(expiry, decision).await {
-                Ok(Ok(Ok(grant))) => permit.status = Status::Running(grant),
+                Ok(Ok(Ok(running))) => permit.status = Status::Running(running),
                 Ok(Ok(Err(refusal))) => {
                     permit.status = Status::Released;
                     return Err(refusal);
@@ -173,7 +173,7 @@
             controller, rng, ..
         } = &mut *inner;
         match controller.offer(now, request, rng) {
-            Verdict::Run(grant) => Ok(Status::Running(grant)),
+            Verdict::Run(permit) => Ok(Status::Running(permit)),
             Verdict::Refuse(refusal) => Err(refusal),
             Verdict::Wait(ticket) => {
                 let (sender, decision) = oneshot::channel();
@@ -206,11 +206,11 @@
 
 impl Inner {
     /// Wakes all waiters whose requests have been decided. A waiter that has been
-    /// cancelled returns its grant when its [`Permit`] is dropped.
+    /// cancelled returns its permit to the controller when its [`Permit`] is dropped.
     fn wake_decided(&mut self, now: Instant) {
         for resolution in self.controller.poll(now, &mut self.rng) {
             let (ticket, decision) = match resolution {
-                Resolution::Run(ticket, grant) => (ticket, Ok(grant)),
+                Resolution::Run(ticket, permit) => (ticket, Ok(permit)),
                 Resolution::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
             if let Some(sender) = self.waiters.remove(&ticket) {
@@ -226,7 +226,11 @@
         let now = self.clock.now();
         match std::mem::replace(&mut self.status, Status::Released) {
             Status::Released => return,
-            Status::Running(grant) => inner.controller.finish(now, grant, self.meter.completion()),
+            Status::Running(permit) => {
+                inner
+                    .controller
+                    .finish(now, permit, self.meter.completion())
+            }
             Status::Waiting(ticket, mut decision) => {
                 inner.waiters.remove(&ticket);
                 if inner.controller.cancel(ticket) {
@@ -234,7 +238,7 @@
                 }
                 // The decision was sent under this lock but not yet received.
                 match decision.try_recv() {
-                    Ok(Ok(grant)) => inner.controller.finish(now, grant, Completion::Ignored),
+                    Ok(Ok(permit)) => inner.controller.finish(now, permit, Completion::Ignored),
                     Ok(Err(_)) | Err(_) => return,
                 }
             }
--- a/crates/node/src/ledger.rs
+++ b/crates/node/src/ledger.rs
@@ -234,7 +234,7 @@
     let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
     let hold = Request::Hold(Hold {
         owner: shared.owner(),
-        kept_until: stored_until,
+        stored_until,
         copies,
     });
     let is_held = matches!(holder.call::<bool>(shared, &hold).await, Ok(true));
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -12,7 +12,7 @@
 
 use anyhow::{Context as _, Result};
 use fescuerack_core::member::{self, Exchange, Payload, Time};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use fescuerack_wire::peer::{self, Digest, EXCHANGE_METHOD, Sealed};
 use jsonrpsee::core::client::ClientT as _;
 use jsonrpsee::http_client::HttpClientBuilder;
@@ -81,14 +81,14 @@
 }
 
 /// Applies the platform's list of the instances of the router.
-pub fn observe(shared: &NodeState, instances: &[Instance]) {
+pub fn observe(shared: &NodeState, instances: &[ListedInstance]) {
     let mut member = lock(&shared.member);
     let list = instances.iter().map(|instance| {
         let state = match instance.state {
             fescuerack_core::route::State::Live => member::State::Live,
             fescuerack_core::route::State::Leaving => member::State::Leaving,
         };
-        let Instance {
+        let ListedInstance {
             id, zone, address, ..
         } = instance;
         (id.as_str(), zone.as_str(), address.as_str(), state)
--- a/crates/node/src/servers.rs
+++ b/crates/node/src/servers.rs
@@ -11,7 +11,7 @@
 use fescuerack_core::num;
 use fescuerack_core::route::subset::Position;
 use fescuerack_core::route::{self, Listed, State};
-use fescuerack_wire::discovery::{Instance, Instances};
+use fescuerack_wire::discovery::{Instances, ListedInstance};
 
 use crate::admission;
 use crate::node_state::{ActiveConfiguration, NodeState, lock};
@@ -68,7 +68,11 @@
 
 /// Returns the position of this process among all instances, in the order of
 /// their names, so that all instances compute the same positions.
-fn position(shared: &NodeState, active: &ActiveConfiguration, peers: &[Instance]) -> Position {
+fn position(
+    shared: &NodeState,
+    active: &ActiveConfiguration,
+    peers: &[ListedInstance],
+) -> Position {
     let local = &shared.settings.instance;
     let before = peers.iter().filter(|peer| peer.id < *local);
     Position {
@@ -78,7 +82,7 @@
     }
 }
 
-fn server(instance: Instance, key: key::Fleet, active: &ActiveConfiguration) -> Listed {
+fn server(instance: ListedInstance, key: key::Fleet, active: &ActiveConfiguration) -> Listed {
     let fleet = active.catalog.fleets.get(key);
     let retired = fleet.is_some_and(|fleet| fleet.retired.contains(&instance.id));
     Listed {
@@ -101,10 +105,10 @@
     let active = shared.active_configuration();
     let catalog = &active.catalog;
     let now = shared.now();
-    let places = shared.settings.limits.concurrency;
+    let max_running = shared.settings.limits.concurrency;
     shared
         .gate
-        .set_thresholds(admission::thresholds(places, catalog));
+        .set_thresholds(admission::thresholds(max_running, catalog));
     let instances = lock(&shared.member).view.size();
     let mut rates = lock(&shared.rates);
     for (key, organisation) in &catalog.organisations {
--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fescuerack_core::route::State;
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use fescuerack_wire::peer;
 use serde_json::{Value, json};
 
@@ -29,7 +29,7 @@
 }
 
 fn list(cluster: &Cluster, id: &str, address: &str) {
-    cluster.platform.set_instance(Instance {
+    cluster.platform.set_instance(ListedInstance {
         id: id.to_owned(),
         fleet: "fescuerack".to_owned(),
         zone: "espoo-a".to_owned(),
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use tokio::runtime::Runtime;
 
 /// Key of an organisation of the example configuration.
@@ -87,7 +87,7 @@
     }
 
     fn list(&self, id: &str, fleet: &str, address: String) {
-        self.platform.set_instance(Instance {
+        self.platform.set_instance(ListedInstance {
             id: id.to_owned(),
             fleet: fleet.to_owned(),
             zone: "espoo-a".to_owned(),
--- a/crates/node/tests/all/versions.rs
+++ b/crates/node/tests/all/versions.rs
@@ -11,7 +11,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::Fault;
-use fescuerack_wire::{chat, discovery::Instance, header};
+use fescuerack_wire::{chat, discovery::ListedInstance, header};
 use serde_json::json;
 
 use crate::support::{Cluster, KEY, Process, client, wait_until};
@@ -56,7 +56,7 @@
 /// Lists two instances and waits until each has received a message of the other.
 fn introduce(cluster: &Cluster, first: &Process, second: &Process) {
     for process in [first, second] {
-        cluster.platform.set_instance(Instance {
+        cluster.platform.set_instance(ListedInstance {
             id: process.instance.clone(),
             fleet: "fescuerack".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -236,7 +236,7 @@
     }
     let crashed = Arc::new(AtomicU32::new(0));
     for index in 0..6 {
-        cluster.platform.set_instance(Instance {
+        cluster.platform.set_instance(ListedInstance {
             id: format!("mortal-{index}"),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
--- a/crates/replay/src/model/mod.rs
+++ b/crates/replay/src/model/mod.rs
@@ -209,8 +209,8 @@
     /// Applies the decisions of a node's admission control about waiting requests.
     fn poll_admission(&mut self, node: usize) {
         let resolutions = self.nodes[node].poll(self.now, &mut self.rng);
-        for (id, grant) in resolutions.run {
-            self.requests[id].grant = grant;
+        for (id, permit) in resolutions.run {
+            self.requests[id].permit = permit;
             self.send(id);
         }
         for (id, retry_at) in resolutions.refused {
--- a/crates/replay/src/model/node.rs
+++ b/crates/replay/src/model/node.rs
@@ -62,7 +62,7 @@
 
 /// Admission decisions about waiting requests.
 pub struct Resolutions {
-    /// Requests that run now, with their grants.
+    /// Requests that run now, with their permits.
     pub run: Vec<(usize, Option<Permit>)>,
     /// Requests that are refused, with the times at which they may return.
     pub refused: Vec<(usize, Instant)>,
@@ -205,8 +205,8 @@
             }
         };
         match verdict {
-            Verdict::Run(grant) => {
-                request.grant = Some(grant);
+            Verdict::Run(permit) => {
+                request.permit = Some(permit);
                 Entry::Run
             }
             Verdict::Refuse(refusal) => Entry::Refuse(refusal.retry_at),
@@ -242,9 +242,9 @@
             Gate::Fair(controller) => {
                 for resolution in controller.poll(now, rng) {
                     match resolution {
-                        Resolution::Run(ticket, grant) => {
+                        Resolution::Run(ticket, permit) => {
                             if let Some(id) = self.waiting.remove(&ticket) {
-                                run.push((id, Some(grant)));
+                                run.push((id, Some(permit)));
                             }
                         }
                         Resolution::Refuse(ticket, refusal) => {
@@ -388,13 +388,13 @@
                 }
             }
             Gate::Fair(controller) => {
-                let grant = request.grant.take().expect("the request holds a place");
+                let permit = request.permit.take().expect("the request holds a permit");
                 let completion = match status {
                     Status::Good => Completion::Answered { first },
                     Status::Late => Completion::Overloaded,
                     _ => Completion::Ignored,
                 };
-                controller.finish(now, grant, completion);
+                controller.finish(now, permit, completion);
             }
         }
     }
--- a/crates/replay/src/model/request.rs
+++ b/crates/replay/src/model/request.rs
@@ -74,7 +74,7 @@
     /// Time at which the current attempt started in a slot.
     pub slot_from: Instant,
     /// Admission of the request by its node, while it runs.
-    pub grant: Option<Permit>,
+    pub permit: Option<Permit>,
     /// Retry state.
     pub attempts: Option<Attempts>,
     /// Servers that were tried since the last arrival.
@@ -121,7 +121,7 @@
             first_token_at: now,
             sent_at: now,
             slot_from: now,
-            grant: None,
+            permit: None,
             attempts: None,
             tried: BTreeSet::new(),
         }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -23,7 +23,7 @@
 
 struct Shared {
     store: Mutex<Store>,
-    instances: Mutex<BTreeMap<String, discovery::Instance>>,
+    instances: Mutex<BTreeMap<String, discovery::ListedInstance>>,
     quality: Mutex<BTreeMap<String, f64>>,
     store_faults: Faults,
     rating_faults: Faults,
@@ -80,7 +80,7 @@
     }
 
     /// Adds an instance to the instance list or replaces it.
-    pub fn set_instance(&self, instance: discovery::Instance) {
+    pub fn set_instance(&self, instance: discovery::ListedInstance) {
         lock(&self.shared.instances).insert(instance.id.clone(), instance);
     }
 
--- a/crates/standin/tests/all/ledger.rs
+++ b/crates/standin/tests/all/ledger.rs
@@ -172,7 +172,7 @@
         let until = copies.last().map(|(ticket, _)| Ticket(ticket.0 + 1));
         let hold = Hold {
             owner: instance.name.clone(),
-            kept_until: instance.buffer.stored_until(),
+            stored_until: instance.buffer.stored_until(),
             copies,
         };
         instance.copy_holder = Some(copy_holder.clone());
--- a/crates/wire/src/discovery.rs
+++ b/crates/wire/src/discovery.rs
@@ -8,7 +8,7 @@
 
 /// One entry of the list: an instance of the router or a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Instance {
+pub struct ListedInstance {
     /// Identifier.
     pub id: String,
     /// Fleet: a backend of the configuration, or `fescuerack` for instances of the router.
@@ -25,5 +25,5 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
     /// Entries, in no particular order.
-    pub instances: Vec<Instance>,
+    pub instances: Vec<ListedInstance>,
 }
