--- a/crates/node/tests/all/peers.rs
+++ b/crates/node/tests/all/peers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use fescuerack_core::route::State;
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use fescuerack_wire::peer;
 use serde_json::{Value, json};
 
@@ -29,7 +29,7 @@
 }
 
 fn list(cluster: &Cluster, id: &str, address: &str) {
-    cluster.platform.set_instance(Instance {
+    cluster.platform.set_instance(ListedInstance {
         id: id.to_owned(),
         fleet: "fescuerack".to_owned(),
         zone: "espoo-a".to_owned(),
@@ -61,7 +61,7 @@
     });
 }
 
-// A sender without the fleet's key connects to the peers' port and sends a
+// A sender without the instances' shared key connects to the peers' port and sends a
 // message, such as a false report that an instance leaves. It must be refused,
 // and its contents must not be used.
 #[test]
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use tokio::runtime::Runtime;
 
 /// Key of an organisation of the example configuration.
@@ -87,7 +87,7 @@
     }
 
     fn list(&self, id: &str, fleet: &str, address: String) {
-        self.platform.set_instance(Instance {
+        self.platform.set_instance(ListedInstance {
             id: id.to_owned(),
             fleet: fleet.to_owned(),
             zone: "espoo-a".to_owned(),
@@ -121,19 +121,19 @@
     }
 
     /// Starts processes and waits until each has the others in its view.
-    pub fn start_fleet<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
-        let fleet = instances.map(|instance| self.start(instance));
-        for process in &fleet {
+    pub fn start_instances<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
+        let processes = instances.map(|instance| self.start(instance));
+        for process in &processes {
             self.list_own(process);
         }
-        for process in &fleet {
-            wait_until("the fleet is known", || {
+        for process in &processes {
+            wait_until("every instance is known", || {
                 process.state()["member"]["instances"]
                     .as_array()
                     .is_some_and(|peers| peers.len() + 1 >= N)
             });
         }
-        fleet
+        processes
     }
 
     /// Adds a process to the platform's list.
--- a/crates/replay/src/model/mod.rs
+++ b/crates/replay/src/model/mod.rs
@@ -209,8 +209,8 @@
     /// Applies the decisions of a node's admission control about waiting requests.
     fn poll_admission(&mut self, node: usize) {
         let resolutions = self.nodes[node].poll(self.now, &mut self.rng);
-        for (id, grant) in resolutions.run {
-            self.requests[id].grant = grant;
+        for (id, permit) in resolutions.run {
+            self.requests[id].permit = permit;
             self.send(id);
         }
         for (id, retry_at) in resolutions.refused {
@@ -237,7 +237,7 @@
             .schedule(retry_at.max(self.now), Event::Enter(id));
     }
 
-    /// Sends the next attempt of a request that holds a place at its node.
+    /// Sends the next attempt of a request that holds a permit of its node.
     fn send(&mut self, id: usize) {
         let now = self.now;
         let request = &mut self.requests[id];
@@ -373,7 +373,7 @@
         self.start_queued(index);
     }
 
-    /// Ends a request that holds a place at its node.
+    /// Ends a request that holds a permit of its node.
     fn end(&mut self, id: usize, status: Status) {
         let request = &mut self.requests[id];
         request.attempt += 1;
