--- a/crates/cli/tests/all/main.rs
+++ b/crates/cli/tests/all/main.rs
@@ -2,6 +2,7 @@
 
 mod api;
 mod explain;
+mod names;
 mod pages;
 mod support;
 mod unknown;
--- a/crates/cli/tests/all/pages.rs
+++ b/crates/cli/tests/all/pages.rs
@@ -13,7 +13,7 @@
 
 use super::support::{BINARY, Demo};
 
-const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
+pub const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
 /// Printed by the shell after each block, with its exit code.
 const MARK: &str = "==== block ended with ";
 
@@ -126,8 +126,15 @@
 }
 
 /// Returns the Markdown pages of the repository.
-fn pages() -> Vec<std::path::PathBuf> {
-    let folders = ["", "docs", "docs/design", "docs/operations", "examples"];
+pub fn pages() -> Vec<std::path::PathBuf> {
+    let folders = [
+        "",
+        "docs",
+        "docs/design",
+        "docs/incidents",
+        "docs/operations",
+        "examples",
+    ];
     let entries = folders.iter().flat_map(|folder| {
         let folder = Path::new(ROOT).join(folder);
         std::fs::read_dir(folder).into_iter().flatten().flatten()
