--- a/crates/node/tests/all/engine.rs
+++ b/crates/node/tests/all/engine.rs
@@ -49,7 +49,7 @@
 // one's answer, and so would the next request on the connection. So the answer is
 // dropped and the connection closed.
 #[test]
-fn crossed_answer_closes_its_connection() {
+fn mismatched_answer_closes_its_connection() {
     let runtime = Runtime::new().expect("a runtime");
     let engine = Engine::new(runtime.handle(), "127.0.0.1:0", PACE).expect("an engine");
     let agent = agent(4);
--- a/crates/node/tests/all/outage.rs
+++ b/crates/node/tests/all/outage.rs
@@ -32,7 +32,7 @@
 // and every answer of that time must be billed exactly once when the store is
 // back.
 #[test]
-fn chat_store_out_is_billed_once() {
+fn chat_store_unavailable_is_billed_once() {
     let cluster = Cluster::new();
     let process = cluster.start("entry-0");
     let store = cluster.platform.store_faults();
@@ -49,7 +49,7 @@
 // An instance shuts down during a long store outage. It must hand its ledger to
 // a peer, which writes it when the store is back.
 #[test]
-fn drain_store_out_hands_off() {
+fn drain_store_unavailable_hands_off() {
     let cluster = Cluster::new();
     let [mut first, second] = cluster.start_instances(["entry-0", "entry-1"]);
     cluster.platform.store_faults().set(Fault::Down, 1);
@@ -79,7 +79,7 @@
 // afterwards. A peer that holds a copy of the entry must write it once the owner
 // has sent no message for some time.
 #[test]
-fn kill_store_out_peer_keeps_the_entry() {
+fn kill_store_unavailable_peer_keeps_the_entry() {
     let cluster = Cluster::new();
     let [mut first, second] = cluster.start_instances(["entry-0", "entry-1"]);
     cluster.platform.store_faults().set(Fault::Down, 1);
@@ -96,7 +96,7 @@
 // An instance starts during a store outage. It must activate the verified
 // configuration of a peer and report the peer as the source.
 #[test]
-fn start_store_out_takes_a_peers_configuration() {
+fn start_store_unavailable_takes_a_peers_configuration() {
     let cluster = Cluster::new();
     let first = cluster.start("entry-0");
     cluster.list_own(&first);
@@ -111,7 +111,7 @@
 // An instance starts with neither store nor peers, and so has no configuration.
 // It must not become ready, and must refuse requests as not run.
 #[test]
-fn start_store_out_alone_takes_no_callers() {
+fn start_store_unavailable_alone_takes_no_callers() {
     let cluster = Cluster::new();
     cluster.platform.store_faults().set(Fault::Down, 1);
     let process = cluster.spawn("entry-0", "drain_lag_ms: 0");
