--- a/crates/replay/src/model/node.rs
+++ b/crates/replay/src/model/node.rs
@@ -321,7 +321,8 @@
         self.pools.record_result(now, self.fleet, false);
     }
 
-    /// Ends the count of the current attempt at its server, if an attempt is running.
+    /// Ends the current attempt at its server, if one is running: records its outcome and removes it
+    /// from the load of the server.
     fn end_attempt(&mut self, now: Instant, request: &mut Request, outcome: route::Outcome) {
         let Some(server) = request.counted_server.take() else {
             return;
