--- a/crates/core/src/ledger/peer_copies.rs
+++ b/crates/core/src/ledger/peer_copies.rs
@@ -45,8 +45,8 @@
 
     /// Drops the owner's copies before `stored_until`, which the store holds, and
     /// adds the new ones. Returns whether the new copies are held.
-    pub fn hold(&mut self, now: Instant, request: Hold) -> bool {
-        let Hold {
+    pub fn hold(&mut self, now: Instant, request: HoldRequest) -> bool {
+        let HoldRequest {
             owner,
             stored_until,
             copies,
@@ -100,7 +100,8 @@
         self.owners.values().map(|owner| owner.entries.len()).sum()
     }
 
-    /// Returns whether no copy is held.
+    /// Returns whether no owner is recorded. An owner whose copies were refused
+    /// is recorded even if none is held for it.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
@@ -109,7 +110,7 @@
 
 /// Request of an owner that a peer hold copies of its entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Hold {
+pub struct HoldRequest {
     /// Owner of the entries: an instance and its incarnation.
     pub owner: String,
     /// First ticket that the store does not hold yet.
