--- a/crates/cli/tests/all/names.rs
+++ b/crates/cli/tests/all/names.rs
@@ -276,7 +276,7 @@
     for span in [
         "core::nowhere",
         "gateway::nowhere::Item",
-        "core::routed::load::nowhere",
+        "core::gateway::load::nowhere",
         "core::nowhere::*",
         "Nowhere::new",
         "crates/core/src/nowhere",
@@ -289,7 +289,7 @@
         assert_eq!(sources.missing(span), [span]);
     }
     for span in [
-        "core::routed::load",
+        "core::gateway::load",
         "config::File",
         "wire::header::OUTCOME",
         "client::Store::grant",
