--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -331,8 +331,8 @@
             long: false,
             deadline: now.plus_millis(30_000),
         };
-        if let Verdict::Run(grant) = control.offer(now, &request, &mut rng) {
-            control.finish(now, grant, admission::Completion::Ignored);
+        if let Verdict::Run(permit) = control.offer(now, &request, &mut rng) {
+            control.finish(now, permit, admission::Completion::Ignored);
         }
         black_box(control.poll(now, &mut rng));
     })
