--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -229,7 +229,7 @@
             Status::Running(permit) => {
                 inner
                     .controller
-                    .finish(now, permit, self.meter.completion())
+                    .finish(now, permit, self.meter.completion());
             }
             Status::Waiting(ticket, mut decision) => {
                 inner.waiters.remove(&ticket);
