--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -14,15 +14,15 @@
 
 /// Time between two polls of the active revisions of the instances.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Times that a change is sent, at most, while its outcome is unknown.
+/// Maximum number of times that a change is sent while its outcome is unknown.
 const MAX_SENDS: u32 = 3;
 
 /// What is recorded with a change, and how long to wait for it.
 #[derive(Clone, Debug, Args)]
 pub struct Record {
     /// Why the change is made; kept in the history.
-    #[arg(long, value_name = "TEXT")]
-    why: String,
+    #[arg(long = "why", value_name = "TEXT")]
+    reason: String,
     /// Identifier of the request; give the same one to send a request again
     /// whose outcome is not known.
     #[arg(long, value_name = "ID")]
@@ -40,6 +40,8 @@
     accepted: Accepted,
     request: String,
     instances: Vec<Instance>,
+    /// Whether every instance was seen to run the revision. Also `false` if the instances were not
+    /// polled (`--within 0`) or gave no list.
     in_force_everywhere: bool,
 }
 
@@ -72,7 +74,7 @@
     record: &Record,
     mut proposal: Proposal,
 ) -> Result<()> {
-    proposal.why.clone_from(&record.why);
+    proposal.reason.clone_from(&record.reason);
     proposal.request = record.request.clone().unwrap_or_else(new_request_id);
     let accepted = send(client, &proposal)?;
     if output == Output::Table {
@@ -116,7 +118,7 @@
 /// Sends a proposal, again if its outcome is unknown. The request identifier
 /// makes the repetition idempotent.
 ///
-/// Once an outcome is unknown, only an acceptance settles it. A later failure
+/// Once an outcome is unknown, only an acceptance determines it. A later failure
 /// (the store does not answer, or another operator's change conflicts) only
 /// means that the later request changed nothing; the first may still have
 /// taken effect.
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -14,7 +14,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Listen, Node, Settings};
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use serde::Serialize;
 use tokio::runtime::Runtime;
 
@@ -24,7 +24,7 @@
 const SERVERS_PER_SERVICE_FLEET: usize = 4;
 /// Token timing of the stand-in engines.
 const ENGINE_PACE: Pace = Pace {
-    first_ms: 30,
+    first_token_ms: 30,
     token_ms: 10,
 };
 /// Time that a plain service takes to answer.
@@ -127,7 +127,7 @@
         };
         for (name, version) in &merged.file.versions {
             let quality = version.quality.get("default").copied().unwrap_or(0.5);
-            deployment.platform.rate(name, quality);
+            deployment.platform.set_quality(name, quality);
         }
         for (fleet, backend) in &merged.file.backends {
             deployment.start_fleet(fleet, backend, &any_port)?;
@@ -177,7 +177,7 @@
                 }
             };
             let zone = backend.zones.get(index % backend.zones.len().max(1));
-            self.platform.list(Instance {
+            self.platform.set_instance(ListedInstance {
                 id: format!("{fleet}-{index}"),
                 fleet: fleet.to_owned(),
                 zone: zone.map_or(DEFAULT_ZONE, String::as_str).to_owned(),
@@ -193,7 +193,7 @@
         let id = format!("entry-{index}");
         let settings = Settings::new(&id, zone, &self.platform.address(), PEER_KEY);
         let node = Node::new(settings.with_listen(Listen::new(listen)))?;
-        self.platform.list(Instance {
+        self.platform.set_instance(ListedInstance {
             id,
             fleet: "fescuerack".to_owned(),
             zone: zone.to_owned(),
@@ -213,7 +213,8 @@
     /// Waits until every instance is ready and has all others in its list.
     fn wait_until_ready(&self) -> Result<()> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == self.nodes.len();
+        let is_complete =
+            |node: &Node| node.is_ready() && node.instance_count() == self.nodes.len();
         while !self.nodes.iter().all(is_complete) {
             ensure!(
                 Instant::now() < deadline,
--- a/crates/cli/tests/all/support.rs
+++ b/crates/cli/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_core::route::State;
 use fescuerack_node::{Node, Settings};
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use serde_json::Value;
 use tokio::runtime::Runtime;
 
@@ -89,11 +89,11 @@
         let store = HttpStore::new(&platform.address());
         manifest::publish(&store, &folder, "test").expect("the example is accepted");
         let pace = Pace {
-            first_ms: 1,
+            first_token_ms: 1,
             token_ms: 1,
         };
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace).expect("an engine");
-        platform.list(Instance {
+        platform.set_instance(ListedInstance {
             id: "kaisla-llm-0".to_owned(),
             fleet: "kaisla-llm".to_owned(),
             zone: "espoo-a".to_owned(),
@@ -105,7 +105,7 @@
             let id = format!("entry-{index}");
             let settings = Settings::new(&id, "espoo-a", &platform.address(), PEER_KEY);
             let node = Node::new(settings).expect("an instance starts");
-            platform.list(Instance {
+            platform.set_instance(ListedInstance {
                 id,
                 fleet: "fescuerack".to_owned(),
                 zone: "espoo-a".to_owned(),
@@ -122,7 +122,8 @@
         };
         // The platform's list lags. An instance that does not list the other one yet
         // would report a change as active everywhere after checking only itself.
-        let is_complete = |node: &Node| node.is_ready() && node.fleet_size() == cluster.nodes.len();
+        let is_complete =
+            |node: &Node| node.is_ready() && node.instance_count() == cluster.nodes.len();
         Cluster::wait(|| cluster.nodes.iter().all(is_complete));
         cluster
     }
--- a/crates/cli/tests/all/verbs.rs
+++ b/crates/cli/tests/all/verbs.rs
@@ -363,10 +363,10 @@
     let first = std::thread::scope(|scope| {
         let thread = scope.spawn(|| cluster.run(MODEL_TEAM_TOKEN, &step));
         std::thread::sleep(std::time::Duration::from_millis(30));
-        faults.set(Fault::LoseAnswers, 1);
+        faults.set(Fault::DropAnswers, 1);
         thread.join().expect("it ran")
     });
-    faults.set(Fault::LoseAnswers, 0);
+    faults.set(Fault::DropAnswers, 0);
     let status = || cluster.rollouts();
     let stepped = status()[0]["stage"] == 2;
     match first.code {
--- a/crates/config/src/tree/mod.rs
+++ b/crates/config/src/tree/mod.rs
@@ -16,7 +16,7 @@
 
 /// One value with its position.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Node {
+pub struct YamlNode {
     /// Line of the value, from 1.
     pub line: usize,
     /// Byte range of a scalar value in the text; empty if unknown.
@@ -41,7 +41,7 @@
     /// Text.
     Text(String),
     /// A sequence.
-    Sequence(Vec<Node>),
+    Sequence(Vec<YamlNode>),
     /// A mapping, in the order of the text.
     Mapping(Vec<Field>),
 }
@@ -49,17 +49,17 @@
 /// One entry of a mapping.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    /// Name.
+    /// Name of the field.
     pub name: String,
     /// Line of the name.
     pub line: usize,
     /// Byte range of the name in the text.
     pub bytes: Range<usize>,
-    /// Value.
-    pub node: Node,
+    /// Value of the field.
+    pub node: YamlNode,
 }
 
-impl Node {
+impl YamlNode {
     /// Parses the text of one file.
     ///
     /// # Errors
@@ -84,7 +84,8 @@
         self.fields().iter().find(|field| field.name == name)
     }
 
-    /// Calls `visit` with the path and the line of every value below this one.
+    /// Calls `visit` with the path of every value below this one and its line: that of the name
+    /// in a mapping, that of the value in a sequence.
     ///
     /// A path consists of the names from the root, joined by `/`; items of a
     /// sequence are named by their index, from 0.
--- a/crates/gateway/src/delta.rs
+++ b/crates/gateway/src/delta.rs
@@ -7,24 +7,24 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Serialize};
 
-use crate::difference;
+use crate::delta_codec;
 use crate::large::Notice;
 use crate::message;
 use crate::platform::Item;
 
-/// A value, encoded as its difference from an earlier one.
+/// A value, encoded as a delta against an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// Key, revision, length and digest of the encoded value.
     pub notice: Notice,
-    /// Revision of the base, the value from which it differs; zero for none.
+    /// Revision of the base, the value that it was encoded against; zero for none.
     pub base: u64,
-    /// The difference, in base64.
+    /// The frame of [`delta_codec`], in base64.
     pub frame: Arc<str>,
 }
 
 impl Delta {
-    /// Encodes `item` as its difference from `base`, its value at `base_revision`.
+    /// Encodes `item` as a delta against `base`, its value at `base_revision`.
     ///
     /// # Errors
     ///
@@ -33,7 +33,7 @@
         let notice = Notice::new(item);
         let notice = notice.ok_or_else(|| anyhow::anyhow!("{} is not large", item.key))?;
         let value = item.value.as_deref().unwrap_or_default();
-        let frame = difference::encode(base, value)?;
+        let frame = delta_codec::encode(base, value)?;
         Ok(Self {
             notice,
             base: base_revision,
@@ -79,7 +79,7 @@
             self.base
         );
         let frame = STANDARD.decode(&*self.frame)?;
-        let value = difference::decode(base.unwrap_or_default(), &frame, *length, *digest)?;
+        let value = delta_codec::decode(base.unwrap_or_default(), &frame, *length, *digest)?;
         Ok(Item {
             key: key.clone(),
             value: Some(value),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,8 @@
 //! The gateway: routes callers' requests to backend servers and returns their answers.
 //!
-//! A process has one thread and runs on a [`Platform`](platform::Platform), whose names and formats
-//! an adapter supplies. [`process`] starts the tasks of a [`node`]:
+//! An instance is a machine of the router; the process on it is a node. A node has one thread and
+//! runs on a [`Platform`](platform::Platform), whose names and formats an adapter supplies.
+//! [`process`] starts the tasks of a [`node`]:
 //!
 //! - [`listeners`] accepts connections of callers and peers.
 //! - [`follow`] receives changes of the store from a [`source`], the store itself or a peer that is
@@ -20,7 +21,7 @@
 //! [`pick`] selects from the [`eligible`] ones; servers that are [`warming`] up get few requests.
 //! [`progress`] holds the state of the request and its retry budget, [`verdict`] decides what happens
 //! to an answer, and [`relay`] forwards streams. All of them share the HTTP client in [`upstream`].
-//! The load-balancing decisions are in `fescuerack_core::routed`.
+//! The load-balancing decisions are in `fescuerack_core::gateway`.
 
 pub mod apply;
 pub mod arrival;
@@ -29,7 +30,7 @@
 pub mod catalog;
 pub mod clock;
 pub mod delta;
-pub mod difference;
+pub mod delta_codec;
 pub mod eligible;
 pub mod entry;
 pub mod events;
--- a/crates/gateway/src/node.rs
+++ b/crates/gateway/src/node.rs
@@ -5,14 +5,14 @@
 use std::sync::Arc;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::budget::Budget;
-use fescuerack_core::routed::canary::Counts;
-use fescuerack_core::routed::crash::Suspects;
-use fescuerack_core::routed::load::PeerLoad;
-use fescuerack_core::routed::outlier::{Detector, Window};
-use fescuerack_core::routed::session::Recent;
-use fescuerack_core::routed::slowness::Baseline;
-use fescuerack_core::routed::wait::Wait;
+use fescuerack_core::gateway::budget::Budget;
+use fescuerack_core::gateway::canary::Counts;
+use fescuerack_core::gateway::crash::Suspects;
+use fescuerack_core::gateway::load::PeerLoad;
+use fescuerack_core::gateway::outlier::{Detector, Window};
+use fescuerack_core::gateway::session::Recent;
+use fescuerack_core::gateway::slowness::Baseline;
+use fescuerack_core::gateway::wait::Wait;
 use rand::SeedableRng as _;
 use rand::rngs::SmallRng;
 use slab::Slab;
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::platform::Platform;
 use crate::publisher::Publisher;
-use crate::rollout::PendingAttempt;
+use crate::rollout::TrackedAttempt;
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::upstream::Pool;
@@ -64,8 +64,8 @@
     pub suspects: RefCell<Suspects>,
     /// Evidence on roll-outs, by service.
     pub evidence: RefCell<HashMap<Arc<str>, Evidence>>,
-    /// Attempts without an answer yet, at services with a roll-out.
-    pub pending_attempts: RefCell<Slab<PendingAttempt>>,
+    /// Attempts at services with a roll-out whose outcome has not been counted.
+    pub tracked_attempts: RefCell<Slab<TrackedAttempt>>,
     /// Sessions that this node recently served on versions that are not canaries.
     pub recent_sessions: RefCell<Recent>,
     /// Such sessions of other nodes, restricted to those that a canary would move.
@@ -123,7 +123,7 @@
             retry_budgets: RefCell::default(),
             suspects: RefCell::default(),
             evidence: RefCell::default(),
-            pending_attempts: RefCell::default(),
+            tracked_attempts: RefCell::default(),
             recent_sessions: RefCell::default(),
             peer_sessions: RefCell::default(),
             peer_load: RefCell::default(),
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -27,11 +27,11 @@
     TooLarge,
     /// The body was truncated, or the request was malformed.
     IncompleteBody,
-    /// The request was not executed and will not be; no server can take it now.
-    NotExecuted,
-    /// The request may have been executed; no answer was received.
+    /// The request was not run and will not be; no server can take it now.
+    NotRun,
+    /// The request may have been run; no answer was received.
     OutcomeUnknown,
-    /// The request may have been executed; its deadline has passed.
+    /// The request may have been run; its deadline has passed.
     DeadlineExceeded,
 }
 
@@ -40,7 +40,7 @@
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
-            Self::NotReady | Self::NotExecuted => StatusCode::SERVICE_UNAVAILABLE,
+            Self::NotReady | Self::NotRun => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -59,7 +59,7 @@
             Self::UnknownKey => "no-key",
             Self::TooLarge => "too-large",
             Self::IncompleteBody => "no-body",
-            Self::NotExecuted => "not-run",
+            Self::NotRun => "not-run",
             Self::OutcomeUnknown => "unknown",
             Self::DeadlineExceeded => "late",
         }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -16,13 +16,13 @@
 
 use bytes::Bytes;
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::slowness::Timing;
+use fescuerack_core::gateway::slowness::Timing;
 use http_body_util::BodyExt as _;
 use http_body_util::channel::{Channel, Sender};
 use hyper::Response;
 use hyper::body::{Frame, Incoming};
 
-use crate::attempt::{self, AttemptResult, Job, NotExecuted, OpenResponse};
+use crate::attempt::{self, AttemptResult, ChosenModel, Job, NotRunReason, OpenResponse};
 use crate::body::{AbortReason, Relayed, ResponseBody};
 use crate::clock::{deadline, now};
 use crate::events::Splitter;
@@ -39,8 +39,8 @@
 const STALL_FACTOR: f64 = 1.6;
 /// Minimum number of events for a meaningful mean time between events.
 const MIN_EVENTS: u32 = 4;
-/// Milliseconds without an event before a hedged request is sent, if the route states no longest
-/// pause.
+/// Milliseconds without an event before a hedged request is sent, if the route states no target
+/// inter-token latency.
 const DEFAULT_STALL_MS: u64 = 5_000;
 
 struct Stream {
@@ -155,7 +155,7 @@
                     self.node
                         .suspects
                         .borrow_mut()
-                        .record_success(now(), self.job.digest);
+                        .record_success(now(), self.job.fingerprint);
                     return Ok("whole");
                 }
                 Segment::CallerLeft => return Ok("caller-left"),
@@ -170,7 +170,7 @@
                     self.node
                         .suspects
                         .borrow_mut()
-                        .record_crash(now(), self.job.digest);
+                        .record_crash(now(), self.job.fingerprint);
                     tracing::info!(
                         event = "stream-broken",
                         id = self.job.head.id,
@@ -213,7 +213,7 @@
         let OpenResponse {
             answered,
             in_flight,
-            watched: _watched,
+            tracking_guard: _tracking_guard,
             pick,
             ..
         } = response;
@@ -302,8 +302,8 @@
         if !route.resumable {
             return Duration::from_mins(10);
         }
-        match route.pause_ms {
-            Some(pause_ms) => Duration::from_millis(pause_ms).mul_f64(STALL_FACTOR),
+        match route.inter_token_target_ms {
+            Some(target_ms) => Duration::from_millis(target_ms).mul_f64(STALL_FACTOR),
             None => Duration::from_millis(DEFAULT_STALL_MS),
         }
     }
@@ -328,11 +328,12 @@
                 &self.tried,
             )?;
             let named = self.model.zip(name.as_deref());
+            let model = named.map(|(rank, name)| ChosenModel { rank, name });
             let result = attempt::run(
                 &self.node,
                 &self.job,
                 pick.clone(),
-                named,
+                model,
                 self.splitter.last(),
                 self.job.deadline,
             )
@@ -343,7 +344,7 @@
                 {
                     return Some(*response);
                 }
-                AttemptResult::NotExecuted(NotExecuted::Unreachable) => {
+                AttemptResult::NotRun(NotRunReason::Unreachable) => {
                     // No byte was sent, so this does not count as an attempt.
                     self.sent -= 1;
                     self.tried.push(pick.id);
--- a/crates/gateway/src/rollout.rs
+++ b/crates/gateway/src/rollout.rs
@@ -3,27 +3,33 @@
 //! Any node may write the record of a roll-out, on the condition that it has not changed since this
 //! node read it. A record with an outcome is never written again. No lease is therefore needed, and
 //! if a node fails in between, the next node that evaluates the roll-out continues it.
+//!
+//! The version that is rolled out is the new version and the other one the old version, as in
+//! [`canary::Pair`]. If the evidence is against the new version, the verdict is
+//! [`Verdict::Reject`]. The node then halts the roll-out locally ([`Order::is_halted`]): it sends
+//! no more requests to the new version, even if the record cannot be written. The state in the
+//! record is [`Progress::RolledBack`].
 
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
 use fescuerack_core::clock::Instant;
-use fescuerack_core::routed::canary::{self, Canary, Stage, Verdict};
-use fescuerack_core::routed::load;
-use fescuerack_core::routed::slowness::Timing;
+use fescuerack_core::gateway::canary::{self, CanaryPlan, Stage, Verdict};
+use fescuerack_core::gateway::load;
+use fescuerack_core::gateway::slowness::Timing;
 
 use crate::clock::now;
 use crate::node::{Evidence, Node};
 use crate::peer;
 use crate::pick::Pick;
-use crate::platform::{Progress, RolloutStatus, StoreRequest, StoreResponse};
+use crate::platform::{Progress, RolloutRecord, StoreRequest, StoreResponse};
 use crate::view::Order;
 
 /// Milliseconds between two evaluations.
 const EVALUATION_INTERVAL_MS: u64 = 300;
-/// Milliseconds for which the other nodes leave it to the collector to open the record and to record
-/// a completion.
+/// Head start of the collector in milliseconds. The other nodes create the record, or record a
+/// completion, only after it, so that usually one node writes.
 const COLLECTOR_LEAD_MS: u64 = 1_500;
 
 /// Outcome of an answer, as it counts for a roll-out.
@@ -60,45 +66,47 @@
 
 /// Returns the canary of an order.
 #[must_use]
-pub fn canary(node: &Node, order: &Order) -> Canary {
-    Canary {
-        ordered: order.ordered_at,
-        due: order.ordered_at.plus_millis(order.rollout.within_ms),
-        exposure: node.settings.borrow().exposure,
+pub fn canary(node: &Node, order: &Order) -> CanaryPlan {
+    CanaryPlan {
+        ordered_at: order.ordered_at,
+        deadline: order.ordered_at.plus_millis(order.rollout.within_ms),
+        max_request_share: node.settings.borrow().exposure,
     }
 }
 
-/// An attempt without an answer yet, at a server of a service with a roll-out.
+/// An attempt at a server of a service with a roll-out, whose outcome has not been counted.
 ///
 /// Answers of a slow version end long after those of the other version, many of them after the end
 /// of the canary. An answer that is already slow is therefore counted before it has ended.
 #[derive(Debug)]
-pub struct PendingAttempt {
+pub struct TrackedAttempt {
     service: Arc<str>,
     route: Arc<str>,
     is_new: bool,
     /// From when the answer counts as slow.
     slow_from: Option<Instant>,
-    /// Whether the attempt started in the stage under load and has no response head yet.
+    /// Whether the attempt started in the stage under load ([`Stage::Loaded`]) and has no response
+    /// head yet.
     is_waiting: bool,
 }
 
-/// Keeps an attempt in [`Node::pending_attempts`] until it is dropped.
-pub struct PendingGuard {
+/// Keeps an attempt in [`Node::tracked_attempts`] until it is dropped.
+pub struct TrackingGuard {
     node: Rc<Node>,
     key: usize,
 }
 
-impl Drop for PendingGuard {
+impl Drop for TrackingGuard {
     fn drop(&mut self) {
-        self.node.pending_attempts.borrow_mut().try_remove(self.key);
+        self.node.tracked_attempts.borrow_mut().try_remove(self.key);
     }
 }
 
-impl PendingGuard {
-    /// Records that the response head was received: from now on the answer does not become slow.
+impl TrackingGuard {
+    /// Records that the response head was received. An answer that is not slow yet is no longer
+    /// counted as slow by its waiting time.
     pub fn record_head(&mut self) {
-        if let Some(attempt) = self.node.pending_attempts.borrow_mut().get_mut(self.key) {
+        if let Some(attempt) = self.node.tracked_attempts.borrow_mut().get_mut(self.key) {
             attempt.slow_from = attempt.slow_from.filter(|from| now() >= *from);
             attempt.is_waiting = false;
         }
@@ -114,7 +122,7 @@
     route: &Arc<str>,
     latency_class: u64,
     expected_ms: f64,
-) -> Option<PendingGuard> {
+) -> Option<TrackingGuard> {
     let (is_new, is_loaded) = {
         let view = node.view.borrow();
         let order = view.orders.get(&pick.service)?;
@@ -132,15 +140,15 @@
     let slow_ms = baseline.and_then(|baseline| baseline.slow_threshold_ms(expected_ms));
     // Servers under load and cold servers are slower regardless of their version.
     let slow_ms = slow_ms.filter(|_| !is_loaded && !pick.is_cold);
-    let attempt = PendingAttempt {
+    let attempt = TrackedAttempt {
         service: pick.service.clone(),
         route: route.clone(),
         is_new,
         slow_from: slow_ms.map(|millis| now() + Duration::from_secs_f64(millis / 1_000.0)),
         is_waiting: is_loaded,
     };
-    let key = node.pending_attempts.borrow_mut().insert(attempt);
-    Some(PendingGuard {
+    let key = node.tracked_attempts.borrow_mut().insert(attempt);
+    Some(TrackingGuard {
         node: node.clone(),
         key,
     })
@@ -150,8 +158,8 @@
 #[must_use]
 pub fn local_counts(node: &Node, service: &str, evidence: &Evidence) -> canary::Counts {
     let mut counts = evidence.local.clone();
-    let pending = node.pending_attempts.borrow();
-    let of_service = pending
+    let tracked = node.tracked_attempts.borrow();
+    let of_service = tracked
         .iter()
         .filter(|(_, attempt)| *attempt.service == *service);
     for (_, attempt) in of_service {
@@ -201,8 +209,9 @@
         }
         return;
     }
-    // Servers under load and cold servers are slower regardless of their version, but not so slow
-    // that they do not answer within twice the target.
+    // Servers under load and cold servers are slower regardless of their version, so their slow
+    // answers are not counted. They are not so slow that an attempt times out, so an attempt that
+    // timed out is counted even there.
     let is_loaded = canary(node, &order).stage(now()) == Stage::Loaded;
     let counts_slow = outcome == AnswerOutcome::TimedOut || !(is_loaded || pick.is_cold);
     let pair = evidence.local.entry(route.to_owned()).or_default();
@@ -263,7 +272,7 @@
 fn may_complete(node: &Node, order: &Order, now: Instant) -> bool {
     let canary = canary(node, order);
     let is_overdue = canary.is_completion_allowed(now.minus_millis(COLLECTOR_LEAD_MS));
-    peer::collector(node, &order.rollout.service).is_none() || is_overdue
+    peer::is_collector(node, &order.rollout.service) || is_overdue
 }
 
 /// Returns the evidence on a roll-out from all nodes: the sum of the counts that this node has
@@ -318,22 +327,22 @@
     if node.view.borrow().outage.is_ongoing() {
         return;
     }
-    let status = RolloutStatus {
+    let record = RolloutRecord {
         service: order.rollout.service.clone(),
         version: order.rollout.version.clone(),
         progress,
     };
-    let (key, value) = node.platform.encode_rollout_status(&status);
+    let (key, value) = node.platform.encode_rollout_record(&record);
     let put = StoreRequest::Put {
         key: &key,
         value: &value,
         revision: Some(order.record_revision),
         lease: None,
     };
-    // The collector opens the record, so that not every node writes it. The other nodes do so only
+    // The collector creates the record, so that not every node writes it. The others do so only
     // if it is still missing after a while.
     let is_due = now() >= order.ordered_at.plus_millis(COLLECTOR_LEAD_MS);
-    let is_collector = peer::collector(node, &order.rollout.service).is_none();
+    let is_collector = peer::is_collector(node, &order.rollout.service);
     if progress == Progress::Running && !is_collector && !is_due {
         return;
     }
--- a/crates/node/benches/capacity.rs
+++ b/crates/node/benches/capacity.rs
@@ -24,7 +24,7 @@
 use fescuerack_core::route::{Listed, Request, State, Table};
 use fescuerack_core::{claim, ledger, session};
 use fescuerack_standin::{Engine, Pace, Platform};
-use fescuerack_wire::discovery::{Instance, Instances};
+use fescuerack_wire::discovery::{Instances, ListedInstance};
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 
@@ -295,7 +295,7 @@
 
 /// Returns a list of the platform, and its size as JSON text.
 fn list(servers: usize, nodes: usize) -> (Instances, usize) {
-    let server = |index: usize, fleet: &str| Instance {
+    let server = |index: usize, fleet: &str| ListedInstance {
         id: format!("{fleet}-{index:05}"),
         fleet: fleet.to_owned(),
         zone: format!("availability-zone-{}", index % 8),
@@ -325,14 +325,14 @@
         let request = admission::Request {
             organisation: names[usize::try_from(index).unwrap_or(0) % names.len()],
             weight: 1,
-            caller: u64::from(index),
+            session_hash: u64::from(index),
             class: None,
             priority: 5,
             long: false,
             deadline: now.plus_millis(30_000),
         };
-        if let Verdict::Run(grant) = control.offer(now, &request, &mut rng) {
-            control.finish(now, grant, admission::Completion::Ignored);
+        if let Verdict::Run(permit) = control.offer(now, &request, &mut rng) {
+            control.finish(now, permit, admission::Completion::Ignored);
         }
         black_box(control.poll(now, &mut rng));
     })
@@ -388,13 +388,13 @@
         );
         manifest::publish(&store, &folder, "bench").expect("accepted");
         let pace = Pace {
-            first_ms: 5,
+            first_token_ms: 5,
             token_ms: 2,
         };
         let engine = Engine::new(runtime.handle(), "127.0.0.1:0", pace).expect("an engine");
         for mut instance in list(servers, 0).0.instances {
             instance.address = engine.address();
-            platform.list(instance);
+            platform.set_instance(instance);
         }
         let mut world = Self {
             _runtime: runtime,
@@ -435,7 +435,7 @@
             .expect("a process starts");
         self.processes.push(child);
         self.settings.push(file);
-        self.platform.list(Instance {
+        self.platform.set_instance(ListedInstance {
             id: format!("entry-{index}"),
             fleet: "fescuerack".to_owned(),
             zone: format!("availability-zone-{}", index % 8),
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of callers' requests: rate limits, then a place to run in.
+//! Admission of callers' requests: rate limits, then a permit to run.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 
@@ -42,7 +42,7 @@
     Request {
         organisation: call.organisation,
         weight: organisation.map_or(1, |organisation| organisation.weight),
-        caller: caller_id(call),
+        session_hash: caller_id(call),
         class,
         priority: entry.map_or(DEFAULT_PRIORITY, |class| class.priority),
         long: entry.is_some_and(|class| class.long),
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns the number of instances that share the limits of the whole fleet.
+/// Returns the number of instances that share the limits set for all of them together.
 #[must_use]
 pub fn instance_count(shared: &NodeState) -> u32 {
     let size = lock(&shared.member).view.size();
@@ -128,8 +128,8 @@
     let mut rollouts = BTreeMap::new();
     for model in active.catalog.rollouts.keys() {
         let name = active.names.models.name(model).to_string();
-        let share = registry.share(now, model);
-        let new_sessions = share.and_then(|share| share.candidate).map(|part| part.1);
+        let split = registry.version_split(now, model);
+        let new_sessions = split.and_then(|split| split.candidate).map(|part| part.1);
         rollouts.insert(
             name.clone(),
             json!({
--- a/crates/node/tests/all/support.rs
+++ b/crates/node/tests/all/support.rs
@@ -10,7 +10,7 @@
 use fescuerack_config::Folder;
 use fescuerack_core::route::State;
 use fescuerack_standin::{Engine, Pace, Platform, Service};
-use fescuerack_wire::discovery::Instance;
+use fescuerack_wire::discovery::ListedInstance;
 use tokio::runtime::Runtime;
 
 use crate::program::Build;
@@ -21,7 +21,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Stand-ins of the platform and of backend servers.
-pub struct World {
+pub struct Cluster {
     pub runtime: Runtime,
     pub platform: Platform,
     pub engines: Vec<Engine>,
@@ -43,7 +43,7 @@
     Folder::read(&root).expect("the example is readable")
 }
 
-impl World {
+impl Cluster {
     /// Starts stand-ins with the example configuration of Hoivapolku.
     pub fn new() -> Self {
         let runtime = Runtime::new().expect("a runtime starts");
@@ -52,28 +52,31 @@
         let store = HttpStore::new(&platform.address());
         manifest::publish(&store, &folder, "test").expect("the example is accepted");
         let pace = Pace {
-            first_ms: 5,
+            first_token_ms: 5,
             token_ms: 2,
         };
-        let mut world = Self {
+        let mut cluster = Self {
             runtime,
             platform,
             engines: Vec::new(),
             services: Vec::new(),
         };
-        world.start_engines(pace);
+        cluster.start_engines(pace);
         let delay = Duration::from_millis(5);
-        let service = Service::new(world.runtime.handle(), "127.0.0.1:0", delay);
+        let service = Service::new(cluster.runtime.handle(), "127.0.0.1:0", delay);
         let service = service.expect("a service starts");
-        world.list("service-0", "varaus-api", service.address());
-        world.services.push(service);
-        world
+        cluster.list("service-0", "varaus-api", service.address());
+        cluster.services.push(service);
+        cluster
     }
 
     /// Replaces the engines by engines of another speed.
-    pub fn replace_engines(&mut self, first_ms: u64, token_ms: u64) {
+    pub fn replace_engines(&mut self, first_token_ms: u64, token_ms: u64) {
         self.engines.clear();
-        self.start_engines(Pace { first_ms, token_ms });
+        self.start_engines(Pace {
+            first_token_ms,
+            token_ms,
+        });
     }
 
     fn start_engines(&mut self, pace: Pace) {
@@ -86,7 +89,7 @@
     }
 
     fn list(&self, id: &str, fleet: &str, address: String) {
-        self.platform.list(Instance {
+        self.platform.set_instance(ListedInstance {
             id: id.to_owned(),
             fleet: fleet.to_owned(),
             zone: "espoo-a".to_owned(),
@@ -120,19 +123,19 @@
     }
 
     /// Starts processes and waits until each has the others in its view.
-    pub fn start_fleet<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
-        let fleet = instances.map(|instance| self.start(instance));
-        for process in &fleet {
+    pub fn start_instances<const N: usize>(&self, instances: [&str; N]) -> [Process; N] {
+        let processes = instances.map(|instance| self.start(instance));
+        for process in &processes {
             self.list_own(process);
         }
-        for process in &fleet {
-            wait_until("the fleet is known", || {
+        for process in &processes {
+            wait_until("every instance is known", || {
                 process.state()["member"]["instances"]
                     .as_array()
                     .is_some_and(|peers| peers.len() + 1 >= N)
             });
         }
-        fleet
+        processes
     }
 
     /// Adds a process to the platform's list.
--- a/crates/node/tests/all/upgrade.rs
+++ b/crates/node/tests/all/upgrade.rs
@@ -11,7 +11,7 @@
 
 use crate::claims::{book, outcome};
 use crate::program::Build;
-use crate::support::{Process, World, client, wait_until};
+use crate::support::{Cluster, Process, client, wait_until};
 use crate::versions::{
     CANDIDATE, CHEAP, ask, read, rollout, wait_until_active, wait_until_informed,
 };
@@ -22,7 +22,7 @@
 const ORGANISATION: &str = "perhepalvelut-espoo";
 /// Milliseconds for which a caller waits.
 const DEADLINE_MS: u64 = 2_000;
-/// Every setting that [`World`] does not set, so that both builds must accept
+/// Every setting that [`Cluster`] does not set, so that both builds must accept
 /// each of them.
 const SETTINGS: &str = "\
 fleet: fescuerack
@@ -41,8 +41,8 @@
   drain_deadline_ms: 60000
 ";
 
-fn totals(world: &World) -> Totals {
-    let store = HttpStore::new(&world.platform.address());
+fn totals(cluster: &Cluster) -> Totals {
+    let store = HttpStore::new(&cluster.platform.address());
     ledger::totals(&store).expect("the ledger is readable")
 }
 
@@ -85,8 +85,8 @@
     (text, is_replayed)
 }
 
-fn runs(world: &World) -> u64 {
-    world.services[0].runs().values().sum()
+fn runs(cluster: &Cluster) -> u64 {
+    cluster.services[0].runs().values().sum()
 }
 
 // An instance changes the configuration, bills answers, records a booking and
@@ -97,14 +97,14 @@
 #[case::upgrade(Build::Other, Build::Own)]
 #[case::downgrade(Build::Own, Build::Other)]
 fn start_data_of_another_build_is_used(#[case] before: Build, #[case] after: Build) {
-    let world = World::new();
-    let mut first = world.start_build(before, "entry-0", SETTINGS);
+    let cluster = Cluster::new();
+    let mut first = cluster.start_build(before, "entry-0", SETTINGS);
     let revision = change_rollouts(&first, &rollout(1, 3));
     wait_until_active(&first, revision);
     wait_until_informed(&first);
     let (confirmation, is_replayed) = booked(&first, "upgrade");
     assert!(!is_replayed);
-    world.platform.rate(CANDIDATE, 0.1);
+    cluster.platform.set_quality(CANDIDATE, 0.1);
     let mut answers = 0;
     wait_until("the candidate is halted", || {
         assert_eq!(ask(&first, "auto:chat-reply", None).status(), 200);
@@ -114,18 +114,18 @@
     wait_until("the halt is stored", || first.counter("rollouts.kept") > 0);
     first.terminate();
     assert!(first.child.wait().expect("an exit").success());
-    let stored = totals(&world);
+    let stored = totals(&cluster);
     assert_eq!(stored.total().requests, answers + 1);
     assert_eq!(billed(&stored, "bookings"), 1);
     assert!(billed(&stored, CANDIDATE) > 0);
 
-    let second = world.start_build(after, "entry-0", SETTINGS);
+    let second = cluster.start_build(after, "entry-0", SETTINGS);
     assert_eq!(second.revision(), revision);
     wait_until_informed(&second);
     assert!(is_halted(&second));
-    assert_eq!(totals(&world), stored);
+    assert_eq!(totals(&cluster), stored);
     assert_eq!(booked(&second, "upgrade"), (confirmation, true));
-    assert_eq!(runs(&world), 1);
+    assert_eq!(runs(&cluster), 1);
     for _ in 0..8 {
         let answer = ask(&second, "kaisla-mini", None);
         assert_eq!(read(&answer, header::VERSION), CHEAP);
@@ -134,11 +134,11 @@
     // The recorded booking is billed again under its identity, which readers of
     // the ledger drop.
     wait_until("the ledger is stored", || {
-        let totals = totals(&world);
+        let totals = totals(&cluster);
         totals.total().requests == stored.total().requests + 8
             && totals.duplicates == stored.duplicates + 1
     });
-    let risen = totals(&world);
+    let risen = totals(&cluster);
     assert_eq!(billed(&risen, CHEAP), billed(&stored, CHEAP) + 8);
     for version in [CANDIDATE, "bookings"] {
         assert_eq!(billed(&risen, version), billed(&stored, version));
@@ -149,12 +149,12 @@
 // upgrade. Both must answer and bill, a booking of one must not run again on the
 // other, and a configuration that either one accepts must become active on both.
 #[test]
-fn start_fleet_of_two_builds_answers_and_bills() {
+fn start_instances_of_two_builds_answers_and_bills() {
     const ANSWERS: u64 = 5;
-    let world = World::new();
-    let fleet = world.start_fleet(["entry-0", "entry-1"]);
-    for (index, process) in fleet.iter().enumerate() {
-        let other = &fleet[1 - index];
+    let cluster = Cluster::new();
+    let processes = cluster.start_instances(["entry-0", "entry-1"]);
+    for (index, process) in processes.iter().enumerate() {
+        let other = &processes[1 - index];
         for _ in 0..ANSWERS {
             assert_eq!(ask(process, "auto:chat-reply", None).status(), 200);
         }
@@ -162,15 +162,15 @@
         assert!(!is_replayed);
         assert_eq!(booked(other, &process.instance), (confirmation, true));
     }
-    assert_eq!(runs(&world), 2);
+    assert_eq!(runs(&cluster), 2);
     wait_until("the ledger is stored", || {
-        let totals = totals(&world);
+        let totals = totals(&cluster);
         totals.total().requests == 2 * ANSWERS + 2 && totals.duplicates == 2
     });
-    assert_eq!(billed(&totals(&world), "bookings"), 2);
-    for (process, word) in fleet.iter().zip(1..) {
+    assert_eq!(billed(&totals(&cluster), "bookings"), 2);
+    for (process, word) in processes.iter().zip(1..) {
         let revision = change_rollouts(process, &rollout(word, 1));
-        for process in &fleet {
+        for process in &processes {
             wait_until_active(process, revision);
         }
     }
--- a/crates/replay/src/table.rs
+++ b/crates/replay/src/table.rs
@@ -1,10 +1,10 @@
-//! Figures as a table.
+//! Output of figures as a table.
 
 use comfy_table::Table;
 
 use crate::Figures;
 
-/// Returns the figures as a table, one stream a line.
+/// Returns the figures as a Markdown table with one row per stream, followed by a line of totals.
 #[must_use]
 pub fn table(figures: &Figures) -> String {
     let mut table = Table::new();
@@ -33,17 +33,17 @@
             row.refused.to_string(),
             row.late.to_string(),
             row.failed.to_string(),
-            format!("{:.0}", row.first_ms(0.5)),
-            format!("{:.0}", row.first_ms(0.95)),
-            format!("{:.0}", row.first_ms(0.99)),
-            format!("{:.0}", row.whole_ms(0.95)),
-            format!("{:.2}", row.amplification()),
+            format!("{:.0}", row.first_token_ms(0.5)),
+            format!("{:.0}", row.first_token_ms(0.95)),
+            format!("{:.0}", row.first_token_ms(0.99)),
+            format!("{:.0}", row.answer_ms(0.95)),
+            format!("{:.2}", row.attempts_per_request()),
             format!("{:.2}", row.hit_rate()),
         ]);
     }
     format!(
         "{table}\ncapacity used for answers in time: {:.3}; Jain index of organisations: {:.3}\n",
         figures.goodput(),
-        figures.jain()
+        figures.jain_index()
     )
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,22 +1,22 @@
-//! Small stand-ins of the platform and of backend servers.
+//! Small stand-ins for the platform and for backend servers.
 //!
-//! They speak the same HTTP as the real services and have faults to switch on.
-//! Tests and `fescuerack demo` use them; they are no simulator: each answers
-//! at the interface and knows nothing of the others.
+//! Each stand-in serves the HTTP interface of the real service and has faults that can be switched
+//! on. Tests and `fescuerack demo` use them. Together they do not simulate a deployment: each
+//! stand-in answers at its own interface and shares no state with the others.
 
 mod answer;
-mod chaos;
 mod engine;
 mod fault;
+mod faulty_store;
 mod http;
 mod orders;
 mod platform;
 mod service;
 mod store;
 
-pub use chaos::{Chaos, Odds};
 pub use engine::{Engine, Pace};
 pub use fault::{Fault, Faults};
+pub use faulty_store::{FaultRates, FaultyStore};
 pub use http::{Body, Handler, Request, Response, Server};
 pub use orders::Orders;
 pub use platform::Platform;
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -18,12 +18,14 @@
     /// has no further effect.
     pub request: String,
     /// Reason for the change, recorded in the history.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Text of each file to write, or `null` for a file to remove.
     pub files: BTreeMap<String, Option<String>>,
     /// Digest of each file on which the proposal is based. If the file has a different digest by
     /// now, the proposal is a conflict. A file that is not listed here is not checked.
-    pub seen: BTreeMap<String, String>,
+    #[serde(rename = "seen")]
+    pub base: BTreeMap<String, String>,
     /// Action, used instead of files.
     pub action: Option<Action>,
 }
@@ -75,7 +77,8 @@
     /// configuration. Nothing was changed.
     Refused,
     /// The store does not answer. Nothing was changed.
-    StoreOut,
+    #[serde(rename = "store_out")]
+    StoreUnavailable,
     /// The store did not answer after the change was sent. The change may be active; sending the
     /// same proposal again determines whether it is.
     OutcomeUnknown,
@@ -93,7 +96,7 @@
             Self::Conflict => 409,
             Self::TooLarge => 413,
             Self::Refused => 422,
-            Self::StoreOut => 503,
+            Self::StoreUnavailable => 503,
             Self::OutcomeUnknown => 504,
         }
     }
@@ -172,7 +175,7 @@
 pub struct Configuration {
     /// Origin of the configuration.
     pub source: Source,
-    /// Revision.
+    /// Revision of the configuration.
     pub revision: u64,
     /// Files, by name.
     pub files: BTreeMap<String, File>,
@@ -187,14 +190,14 @@
     pub author: String,
     /// Revision of the last change.
     pub revision: u64,
-    /// Text.
+    /// Text of the file.
     pub text: String,
 }
 
 /// The latest changes, newest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct History {
-    /// Changes.
+    /// Changes, newest first.
     pub changes: Vec<Change>,
 }
 
@@ -203,10 +206,11 @@
 pub struct Change {
     /// Revision that the change made.
     pub revision: u64,
-    /// Author.
+    /// Author of the change.
     pub author: String,
-    /// Reason.
-    pub why: String,
+    /// Reason that the author gave.
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Wall-clock time, in seconds since the Unix epoch.
     pub at: u64,
     /// Identifier of the operator's request.
@@ -243,13 +247,14 @@
     /// One sum for each organisation and version.
     pub sums: Vec<Sum>,
     /// Number of duplicate entries that were dropped, by request identity.
-    pub doubles: u64,
+    #[serde(rename = "doubles")]
+    pub duplicates: u64,
 }
 
 /// Amount that one organisation owes for one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sum {
-    /// Organisation.
+    /// Name of the organisation.
     pub organisation: String,
     /// Version, or the name of a plain service.
     pub version: String,
