--- a/crates/core/src/cascade/choose/explore.rs
+++ b/crates/core/src/cascade/choose/explore.rs
@@ -3,7 +3,7 @@
 use fescuerack_config::Class;
 
 use super::{Chooser, Refusal};
-use crate::cascade::estimate::BINS;
+use crate::cascade::estimate::RATING_HISTOGRAM_BINS;
 use crate::cascade::plan::{self, Basis, CERTAIN_MISS_ERRORS, Candidate, Constraints, Plan, Steps};
 
 impl Chooser<'_> {
@@ -84,7 +84,7 @@
         let Some(first) = cheaper else {
             return;
         };
-        let bins = f64::from(u32::try_from(BINS).unwrap_or(1));
+        let bins = f64::from(u32::try_from(RATING_HISTOGRAM_BINS).unwrap_or(1));
         let accept = (class.quality * bins).ceil() / bins;
         let steps = Steps::Cascade {
             first: first.version,
--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -6,7 +6,7 @@
 use fescuerack_config::{Catalog, Class, Names, key};
 
 use super::learner::Learner;
-use super::plan::{self, Basis, CONFIDENCE, Candidate, Constraints, Plan, Steps};
+use super::plan::{self, Basis, Candidate, Constraints, LOWER_BOUND_STANDARD_ERRORS, Plan, Steps};
 use crate::clock::Instant;
 use crate::rollout::Registry;
 use crate::session::{self, Placement};
@@ -218,7 +218,7 @@
         if plans.is_empty() && self.may_miss() {
             let direct = |candidate| Plan {
                 basis: Basis::BelowTargetAllowed,
-                ..plan::direct(candidate, CONFIDENCE)
+                ..plan::direct(candidate, LOWER_BOUND_STANDARD_ERRORS)
             };
             plans = candidates.iter().map(direct).collect();
             plans.sort_by(|one, other| other.bound.total_cmp(&one.bound));
@@ -258,7 +258,7 @@
         if plans.is_empty() {
             plans.push(Plan {
                 basis: Basis::Session,
-                ..plan::direct(&candidates[0], CONFIDENCE)
+                ..plan::direct(&candidates[0], LOWER_BOUND_STANDARD_ERRORS)
             });
         }
         plans.truncate(1);
@@ -308,7 +308,7 @@
             cascade: class.cascade && self.context.learner.can_rate(self.context.now),
             max_latency_ms: f64::from(target_ms.min(self.request.remaining_ms)),
             rating_ms: self.context.learner.expected_rating_ms(),
-            confidence: CONFIDENCE,
+            confidence: LOWER_BOUND_STANDARD_ERRORS,
         }
     }
 
--- a/crates/core/src/cascade/learner.rs
+++ b/crates/core/src/cascade/learner.rs
@@ -249,7 +249,7 @@
         let mut added = Vec::new();
         for (bin, (count, sum)) in bins {
             let before = known.entry(*bin).or_default();
-            if *bin < super::BINS && *count > before.0 {
+            if *bin < super::RATING_HISTOGRAM_BINS && *count > before.0 {
                 let milli = u32::try_from(sum.saturating_sub(before.1)).unwrap_or(u32::MAX);
                 added.push((*bin, count - before.0, f64::from(milli) / 1000.0));
                 *before = (*count, *sum);
--- a/crates/core/src/cascade/mod.rs
+++ b/crates/core/src/cascade/mod.rs
@@ -27,7 +27,7 @@
 mod token_bucket;
 
 pub use choose::{Choice, Context, Refusal, Request, Selector, choose};
-pub use estimate::{BINS, Estimate};
+pub use estimate::{Estimate, RATING_HISTOGRAM_BINS};
 pub use learner::{Digest, Learner, Report};
-pub use plan::{Basis, CONFIDENCE, Candidate, Constraints, Plan, Steps, plan};
+pub use plan::{Basis, Candidate, Constraints, LOWER_BOUND_STANDARD_ERRORS, Plan, Steps, plan};
 pub use token_bucket::{Purpose, TokenBucket};
--- a/crates/core/src/cascade/plan.rs
+++ b/crates/core/src/cascade/plan.rs
@@ -2,11 +2,11 @@
 
 use fescuerack_config::key;
 
-use super::estimate::{BINS, Estimate};
+use super::estimate::{Estimate, RATING_HISTOGRAM_BINS};
 
 /// Standard errors between the mean and the lower bound of an estimate: about 9 in 10 bounds lie
 /// below the true quality.
-pub const CONFIDENCE: f64 = 1.28;
+pub const LOWER_BOUND_STANDARD_ERRORS: f64 = 1.28;
 /// Standard errors by which the target must exceed the mean of an estimate for the version to
 /// count as certain to miss it.
 pub const CERTAIN_MISS_ERRORS: f64 = 3.0;
@@ -152,7 +152,8 @@
         steps: Steps::Cascade {
             first: first.version,
             second: second.version,
-            accept: f64::from(u32::try_from(accept).ok()?) / f64::from(u32::try_from(BINS).ok()?),
+            accept: f64::from(u32::try_from(accept).ok()?)
+                / f64::from(u32::try_from(RATING_HISTOGRAM_BINS).ok()?),
         },
         bound,
         cost: first.cost + first.estimate.share_below(accept) * second.cost,
--- a/crates/core/src/gateway/wait.rs
+++ b/crates/core/src/gateway/wait.rs
@@ -14,7 +14,7 @@
 /// Weight of the initial estimate, as a load: that ahead of a dozen requests on busy engines.
 const INITIAL_LOAD: f64 = 300.0;
 /// Factor by which the sums decay with each answer: half remains after about fifty.
-const DECAY: f64 = 0.986;
+const SUM_DECAY_PER_ANSWER: f64 = 0.986;
 
 /// Estimate for the engines of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,8 +36,8 @@
     /// Records a time to first token of `millis` on a server with `load`, which includes the
     /// request itself.
     pub fn observe(&mut self, load: f64, millis: f64) {
-        self.load = self.load * DECAY + load;
-        self.millis = self.millis * DECAY + millis;
+        self.load = self.load * SUM_DECAY_PER_ANSWER + load;
+        self.millis = self.millis * SUM_DECAY_PER_ANSWER + millis;
     }
 
     /// Returns the expected milliseconds until the first token on a server with `load`.
--- a/crates/core/src/num.rs
+++ b/crates/core/src/num.rs
@@ -35,15 +35,15 @@
 }
 
 impl Mean {
-    /// Weight of a new sample once there are enough samples.
-    const GAIN: f64 = 0.05;
+    /// Minimum weight of a new sample in the mean, from 0 to 1.
+    const MIN_SAMPLE_WEIGHT: f64 = 0.05;
 
     /// Adds a sample.
     ///
     /// The first samples have equal weights, so that the mean does not depend on an initial value.
     pub fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        let gain = (1.0 / f64::from(self.samples)).max(Self::GAIN);
+        let gain = (1.0 / f64::from(self.samples)).max(Self::MIN_SAMPLE_WEIGHT);
         self.value += gain * (sample - self.value);
         let off = (sample - self.value).abs();
         self.deviation += gain * (off - self.deviation);
--- a/crates/core/src/rollout/sequential_test.rs
+++ b/crates/core/src/rollout/sequential_test.rs
@@ -96,7 +96,7 @@
     /// Weight of the floor as the prior, in outcomes.
     const PRIOR_OUTCOMES: f64 = 100.0;
     /// Factor by which the candidate's rate may exceed this one and still count as no worse.
-    const TOLERANCE: f64 = 1.25;
+    const TOLERATED_RATE_RATIO: f64 = 1.25;
     /// Highest rate to test against.
     const MAX_RATE: f64 = 0.6;
 
@@ -121,6 +121,6 @@
     #[must_use]
     pub fn rate(&self) -> f64 {
         let rate = (self.bad / self.outcomes).max(self.floor);
-        (rate * Self::TOLERANCE).min(Self::MAX_RATE)
+        (rate * Self::TOLERATED_RATE_RATIO).min(Self::MAX_RATE)
     }
 }
--- a/crates/node/src/versions/mod.rs
+++ b/crates/node/src/versions/mod.rs
@@ -170,7 +170,7 @@
         });
         for version in versions.flatten() {
             let estimate = learner.estimate(&active.catalog, class, version);
-            let bound = estimate.bound(0, 0.0, cascade::CONFIDENCE);
+            let bound = estimate.bound(0, 0.0, cascade::LOWER_BOUND_STANDARD_ERRORS);
             let name = active.names.versions.name(version).to_string();
             estimates.insert(name, [estimate.mean(), bound, estimate.weight()]);
         }
