--- a/crates/core/src/activation/history.rs
+++ b/crates/core/src/activation/history.rs
@@ -3,7 +3,8 @@
 //! A writer that replaces revision `r` first copies the change of `r` from the
 //! manifest to the history. Every revision is therefore in the history before
 //! it is replaced, even if the process that made it was killed right after the
-//! swap. A lost response can be resolved however many changes followed.
+//! swap. A lost response can be resolved however many changes followed, as long
+//! as the ring still holds the revision.
 
 use serde::{Deserialize, Serialize};
 
@@ -46,9 +47,9 @@
         if self.get(change.revision).is_some() {
             return false;
         }
-        let round = change.revision / CHANGES_PER_CHUNK;
+        let chunk_number = change.revision / CHANGES_PER_CHUNK;
         self.changes
-            .retain(|other| other.revision / CHANGES_PER_CHUNK == round);
+            .retain(|other| other.revision / CHANGES_PER_CHUNK == chunk_number);
         self.changes.push(change.clone());
         self.changes.sort_by_key(|change| change.revision);
         true
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -118,8 +118,8 @@
         };
         // A free permit is granted without consulting the estimate: the estimate may come from a
         // time when the pool was slow, and refusing because of it would prevent its correction.
-        let idle = self.queue(lane).waiting.is_empty() && self.has_free_permit(lane);
-        if idle && now < request.deadline {
+        let is_permit_available = self.queue(lane).waiting.is_empty() && self.has_free_permit(lane);
+        if is_permit_available && now < request.deadline {
             self.queue_mut(lane).waiting.charge(flow);
             return Verdict::Run(self.grant(now, lane, request.class));
         }
@@ -175,7 +175,7 @@
     ///
     /// Panics if the queues and the list of waiting requests disagree.
     pub fn poll<R: Rng>(&mut self, now: Instant, rng: &mut R) -> Vec<Resolution> {
-        let mut turns = Vec::new();
+        let mut resolutions = Vec::new();
         while let Some((latest_start, ticket)) = self.latest_starts.first().copied() {
             if latest_start > now {
                 break;
@@ -184,7 +184,7 @@
                 unreachable!("every latest start belongs to a waiting request");
             };
             let refusal = self.refusal(now, Reason::TooLate, gone.lane, gone.flow, rng);
-            turns.push(Resolution::Refuse(ticket, refusal));
+            resolutions.push(Resolution::Refuse(ticket, refusal));
         }
         for lane in [Lane::Short, Lane::Long] {
             while self.has_free_permit(lane) {
@@ -193,10 +193,10 @@
                 };
                 let waiter = self.unregister(ticket).expect("a queued ticket waits");
                 let permit = self.grant(now, lane, waiter.class);
-                turns.push(Resolution::Run(ticket, permit));
+                resolutions.push(Resolution::Run(ticket, permit));
             }
         }
-        turns
+        resolutions
     }
 
     /// Returns when the next waiting request becomes unable to finish in time.
@@ -264,8 +264,9 @@
     fn has_free_permit(&self, lane: Lane) -> bool {
         let all = self.short.running + self.long.running;
         let free = match lane {
-            // The bound of the short lane already keeps the floor of long work free, so the
-            // total does not block long work.
+            // The total is at least 2, since each lane may always hold one permit. The bound of
+            // the short lane already keeps the floor of long work free, so short work does not use
+            // up the total.
             Lane::Long => all < self.limit.get().max(2),
             Lane::Short => true,
         };
@@ -292,8 +293,8 @@
     }
 
     /// Returns the expected wait of a request of this flow, in seconds: the requests of its
-    /// organisation ahead of it, divided by the organisation's share of the rate at which the
-    /// lane's permits become free (Little's law).
+    /// organisation ahead of it and the request itself, divided by the organisation's share of the
+    /// rate at which the lane's permits become free (Little's law).
     fn expected_wait_s(&self, lane: Lane, flow: Flow) -> f64 {
         let queue = self.queue(lane);
         let rate = float(self.max_running(lane)) / queue.service_s.value.max(1e-6);
--- a/crates/core/src/attempt/hedge.rs
+++ b/crates/core/src/attempt/hedge.rs
@@ -24,15 +24,16 @@
 
 /// Returns the time without a first token after which a hedge is sent.
 ///
-/// The time is at least `min_s` seconds. Returns `None` if a hedge could not bring its first token
-/// within `remaining`, if there are too few samples, or if `min_s` is 0, which turns hedges off.
+/// The time is at least `min_s` seconds. Returns `None` if a hedge could not produce its first
+/// token within `remaining`, if there are too few samples, or if `min_s` is 0, which turns hedges
+/// off.
 #[must_use]
 pub fn delay(first_token: &Mean, min_s: f64, remaining: Duration) -> Option<Duration> {
     if first_token.samples < MIN_SAMPLES || min_s <= 0.0 {
         return None;
     }
     let late = seconds(first_token.upper(LATE_DEVIATIONS, min_s).max(min_s));
-    // A hedge that cannot bring its first token in time only adds load.
+    // A hedge that cannot produce its first token in time only adds load.
     let useful = late + seconds(first_token.value) < remaining;
     useful.then_some(late)
 }
--- a/crates/core/src/cascade/choose/explore.rs
+++ b/crates/core/src/cascade/choose/explore.rs
@@ -91,7 +91,8 @@
             second,
             accept,
         };
-        // The returned answer either was rated at the target or comes from the best plan.
+        // The returned answer either was rated at or above the target or comes from the version of
+        // the best plan, so the bound and the basis of that plan apply.
         plans.insert(0, Plan { steps, ..best });
     }
 }
--- a/crates/core/src/cascade/choose/mod.rs
+++ b/crates/core/src/cascade/choose/mod.rs
@@ -251,8 +251,9 @@
         let with_version = all.iter().filter(|plan| plan.first() == version);
         let mut plans: Vec<Plan> = with_version.copied().collect();
         if plans.is_empty() && entry.cascade {
-            // Answers of this version cannot be rated now. A more expensive version answers, as
-            // after an escalation, and the session keeps its version.
+            // No plan that starts with this version meets the constraints, for example because its
+            // answers cannot be rated now. Another version answers, as after an escalation, and the
+            // session keeps its version.
             plans = all;
         }
         if plans.is_empty() {
--- a/crates/core/src/cascade/learner.rs
+++ b/crates/core/src/cascade/learner.rs
@@ -45,6 +45,7 @@
 }
 
 type Pair = (key::Class, key::Version);
+/// Number of the ratings in each interval and their sum in thousandths.
 type Bins = BTreeMap<usize, (u32, u64)>;
 
 /// An exponentially weighted moving average with its mean deviation.
@@ -89,12 +90,15 @@
     rating_ms: MovingAverage,
     /// Consecutive failed ratings.
     failures: u32,
+    /// Time from which a rating service that is down is probed again.
     probe_at: Instant,
-    turn: usize,
+    /// Position in `local`, modulo its length, of the first report of the next digest.
+    next_report: usize,
 }
 
 impl Learner {
-    /// Maximum number of entries that are kept of the counts of peers.
+    /// Maximum number of combinations of incarnation, class and version whose counts by peers are
+    /// kept. Reports of further combinations are ignored.
     const MAX_RECEIVED: usize = 8192;
 
     /// Creates the learner of one incarnation.
@@ -207,13 +211,13 @@
     pub fn digest(&mut self, names: &Names) -> Digest {
         let count = self.local.len();
         let start = if count > MAX_REPORTS {
-            self.turn % count
+            self.next_report % count
         } else {
             0
         };
-        self.turn = start + MAX_REPORTS;
-        let turns = self.local.iter().cycle().skip(start);
-        let reports = turns
+        self.next_report = start + MAX_REPORTS;
+        let rotated = self.local.iter().cycle().skip(start);
+        let reports = rotated
             .take(count.min(MAX_REPORTS))
             .map(|((class, version), bins)| Report {
                 class: names.classes.name(*class).to_string(),
--- a/crates/core/src/cascade/mod.rs
+++ b/crates/core/src/cascade/mod.rs
@@ -13,8 +13,8 @@
 //!   confidence bound of the cascade's quality meets the target, since a lower threshold escalates
 //!   less and so costs less.
 //! - [`choose()`] enforces the invariants: only allowed versions, none that is withdrawn, sessions
-//!   keep their version, and no plan's bound misses the target unless the organisation's
-//!   configuration permits it ([`Basis`] lists this and the other grounds).
+//!   keep their version unless it is withdrawn, and no plan's bound misses the target unless the
+//!   organisation's configuration or another ground in [`Basis`] permits it.
 //!
 //! While the rating service is down or slow, no cascade can be rated. What remains is the cheapest
 //! version whose bound meets the target by the estimates so far, usually a more expensive one: the
--- a/crates/core/src/claim/claiming.rs
+++ b/crates/core/src/claim/claiming.rs
@@ -27,7 +27,8 @@
     Claimed(Claim),
     /// The key is already claimed; the sender gets this verdict.
     Taken(Verdict),
-    /// The store was unavailable until the deadline; nothing was sent.
+    /// The claim was not acquired before the deadline, usually because the store was unavailable;
+    /// nothing was sent.
     StoreUnavailable {
         /// Whether a record of this attempt may exist or still appear. If so, the caller should
         /// settle it as not run, so that the sender may try again.
@@ -55,7 +56,8 @@
     record: Record,
     lease: Option<u64>,
     phase: Phase,
-    /// Lowest version of a read that is not stale; 0 while no conflict has returned a version.
+    /// Lowest version of a read that is not stale, as returned by the last conflict. It is 0 before
+    /// the first conflict, after the answer to a swap was lost and after a read was discarded.
     min_version: u64,
     /// Whether the answer to a swap was lost.
     is_swap_lost: bool,
@@ -136,7 +138,8 @@
         };
     }
 
-    /// Appends a part of the recorded body; the last one completes the answer.
+    /// Appends a part of the recorded body; the last one completes the answer. An absent part is
+    /// read again after a pause.
     fn part(&mut self, now: Instant, value: Option<Value>) {
         let Some(value) = value else {
             return self.pause(now);
--- a/crates/core/src/claim/mod.rs
+++ b/crates/core/src/claim/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A claim is created in the store, if absent, before any byte of the request is sent to a backend
 //! server. The sender that creates it may run the request; every other sender of the same key gets
-//! the result that the record holds.
+//! a [`Verdict`] by the state of the record, such as the recorded answer.
 //!
 //! Without claims, a caller that loses the answer to a booking and sends the request again through
 //! another instance books twice.
@@ -12,8 +12,8 @@
 //! - [`Record`] is the value in the store. Its state changes only by [`Record::transition`], which
 //!   asserts that the change is allowed.
 //!
-//! A record expires with its lease after [`RETENTION_MS`], so that the store does not fill up. A
-//! request that reuses the key later counts as a new one.
+//! A record expires with its lease, [`RETENTION_MS`] later at the earliest, so that the store does
+//! not fill up. A request that reuses the key after that counts as a new one.
 
 mod claiming;
 mod codec;
--- a/crates/core/src/gateway/crash.rs
+++ b/crates/core/src/gateway/crash.rs
@@ -2,13 +2,13 @@
 //!
 //! Such a request crashes its server, is retried on the next one and crashes that too; its caller
 //! repeats it under a new identifier at another node. A request is identified by the digest of
-//! caller, path and body. Each broken connection of a request counts as a crash; from
+//! organisation, path and body. Each broken connection of a request counts as a crash; from
 //! [`CRASH_LIMIT`] crashes, on this node or on peers, the request is refused for [`RETENTION_MS`].
 //!
 //! Many callers may send the same request, for example with an empty body, and a server that
 //! crashes breaks every request that it runs: with three of the same digest among them, it would
-//! be refused to all callers for a minute. A request that has succeeded within [`RETENTION_MS`] is
-//! therefore not suspected; a request that crashes servers never succeeds.
+//! be refused to all these callers for a minute. A request that has succeeded within
+//! [`RETENTION_MS`] is therefore not suspected; a request that crashes servers never succeeds.
 
 use std::collections::HashMap;
 
@@ -52,7 +52,7 @@
         count.peers = count.peers.max(crashes);
     }
 
-    /// Clears a request that succeeded.
+    /// Clears a request that succeeded; it is not suspected for [`RETENTION_MS`].
     pub fn record_success(&mut self, now: Instant, digest: u64) {
         self.counts.remove(&digest);
         if self.succeeded.len() >= MAX_DIGESTS {
--- a/crates/core/src/gateway/escalation.rs
+++ b/crates/core/src/gateway/escalation.rs
@@ -15,22 +15,23 @@
 /// Confidence in percent below which a request escalates while the servers have spare capacity.
 pub const CONFIDENCE_THRESHOLD: u8 = 50;
 
-/// Pressure up to which the full threshold applies: less than one long prompt on each server.
+/// Pressure, as defined at [`next`], up to which the full threshold applies: less than one long
+/// prompt on each server.
 pub const LOW_PRESSURE: f64 = 30.0;
 /// Pressure from which only [`MIN_THRESHOLD_SHARE`] of the threshold applies: four long prompts on
 /// each server, so that another one waits for two seconds or more.
 pub const HIGH_PRESSURE: f64 = 75.0;
-/// Share of the threshold that applies at any pressure.
+/// Minimum share of the threshold, which applies at [`HIGH_PRESSURE`] and above.
 pub const MIN_THRESHOLD_SHARE: f64 = 0.2;
 
-/// Returns the model to use first, as an index into a list ordered by size.
+/// Returns the model to use first, as an index into a list ordered from small to large.
 #[must_use]
 pub const fn first(models: usize) -> Option<usize> {
     if models == 0 { None } else { Some(0) }
 }
 
 /// Returns the model to use next when `model` has answered with `confidence`, or `None` when the
-/// answer is kept.
+/// answer is kept. An answer without a confidence is kept.
 ///
 /// `pressure` is the mean load, in requests of usual size, of the servers that would run the larger
 /// model.
--- a/crates/core/src/gateway/rank.rs
+++ b/crates/core/src/gateway/rank.rs
@@ -27,8 +27,8 @@
 }
 
 impl Instance<'_> {
-    /// Returns the rank of the node for the duty that `salt` identifies. Among equal links, each
-    /// duty falls on a different node.
+    /// Returns the rank of the node for the duty that `salt` identifies. Among equal links,
+    /// the hash spreads the duties over the nodes.
     #[must_use]
     pub fn rank(&self, salt: u64) -> Rank {
         Rank {
--- a/crates/core/src/gateway/warmup.rs
+++ b/crates/core/src/gateway/warmup.rs
@@ -10,8 +10,8 @@
 //! between its requests. Rendezvous hashing of node and server selects them, so nodes with the same
 //! list of nodes agree without messages. While nodes disagree, because some are partitioned or have
 //! lost their entries, there are more senders. Only half of the limit is used, so that two
-//! partitions of the fleet without contact keep it together. A node that has just started has
-//! discovered too few others, so it is not a sender for [`SETTLE_MS`].
+//! partitions of the fleet without contact stay within it in total. A node that has just started
+//! has discovered too few others, so it is not a sender for [`SETTLE_MS`].
 
 use super::affinity;
 use crate::clock::Instant;
--- a/crates/core/src/ledger/buffer.rs
+++ b/crates/core/src/ledger/buffer.rs
@@ -21,8 +21,9 @@
 
 use super::{Entry, Segment};
 
-/// Number of an entry: its position in its buffer. The store holds the entry
-/// once [`Buffer::stored_until`] is above it.
+/// Number of an entry: its position among all entries that were added to its
+/// buffer. The store holds the entry, or a peer has taken it over, once
+/// [`Buffer::stored_until`] is above it.
 #[derive(
     Clone,
     Copy,
@@ -246,6 +247,8 @@
     /// # Panics
     ///
     /// When `sequence` is not the segment in flight: entries would be lost.
+    /// Also when the requests that are stored and pending do not add up to those
+    /// that were added.
     pub fn mark_stored(&mut self, sequence: u64) {
         let Some(InFlight { segment, next, .. }) = self.in_flight.take() else {
             return;
@@ -264,7 +267,8 @@
         );
     }
 
-    /// Returns the first ticket that the store does not hold.
+    /// Returns the first ticket that neither the store holds nor a peer has taken
+    /// over by [`Buffer::hand_off`].
     #[must_use]
     pub fn stored_until(&self) -> Ticket {
         self.stored_until
@@ -280,17 +284,17 @@
             // be counted as copied.
             return Vec::new();
         }
-        let mut out = 0;
+        let mut unstored_bytes = 0;
         let mut offered = Vec::new();
         let mut size = 0;
         for (ticket, entry) in self.ticketed() {
-            out += entry.size();
+            unstored_bytes += entry.size();
             if ticket < self.copied_until {
                 continue;
             }
             size += entry.size();
             let is_over = size > bytes && !offered.is_empty();
-            if is_over || out > self.limits.offered_bytes {
+            if is_over || unstored_bytes > self.limits.offered_bytes {
                 break;
             }
             offered.push((ticket, entry.clone()));
@@ -369,7 +373,7 @@
         self.pending_entries().map(|entry| entry.requests).sum()
     }
 
-    /// Returns whether the store holds everything.
+    /// Returns whether no entry remains to be stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.in_flight.is_none() && self.unsent.is_empty() && self.sums.is_empty()
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -1,8 +1,8 @@
 //! Billing ledger: bills each answered request exactly once.
 //!
-//! Two faults stand against that. An instance that is killed right after an
-//! answer would never bill the request, and a segment whose acknowledgement is
-//! lost would be written twice and billed twice.
+//! Without further measures, two faults would break this. An instance that is
+//! killed right after an answer would never bill the request, and a segment
+//! whose acknowledgement is lost would be written twice and billed twice.
 //!
 //! - [`Buffer`] collects entries into segments and tracks which of them the
 //!   store holds. A segment is created under a key made of instance,
@@ -11,8 +11,9 @@
 //! - [`PeerCopies`] holds copies of peers' entries until their owner reports
 //!   that the store holds them, and releases them for writing when the owner is
 //!   gone.
-//! - [`Totals`] reads the ledger: it drops duplicates by request identity and
-//!   adds up the costs of each organisation and version.
+//! - [`Totals`] adds up the entries that were read from the ledger: it drops
+//!   duplicates by request identity and sums usage and cost of each
+//!   organisation and version.
 //!
 //! The instance chooses the identity of an entry. The caller's `X-Request-Id`
 //! cannot serve as one: two callers that send the same value would be billed
--- a/crates/core/src/ledger/totals.rs
+++ b/crates/core/src/ledger/totals.rs
@@ -36,6 +36,7 @@
     pub sums: BTreeMap<String, BTreeMap<String, Sum>>,
     /// Number of entries dropped because their request was counted before.
     pub duplicates: u64,
+    /// Identities of the requests that were counted.
     seen: BTreeSet<String>,
 }
 
--- a/crates/core/src/member/message.rs
+++ b/crates/core/src/member/message.rs
@@ -1,5 +1,8 @@
 //! Message of an exchange. Its encoded field names are short because every
 //! instance sends messages every second.
+//!
+//! A slice is a named part of the soft state. A message carries hashes, shared
+//! states and digests by the name of the slice.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +14,8 @@
 
 /// Version of the protocol that this process sends.
 ///
-/// A later release may add fields and slices, which earlier ones ignore. The
-/// version rises only for changes that this does not cover.
+/// A later release may add fields and slices, which earlier ones ignore, at the
+/// same version. The version rises only for other changes.
 pub const PROTOCOL: u32 = 1;
 /// Oldest version of the protocol that this process accepts.
 pub const OLDEST_PROTOCOL: u32 = 1;
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -1,6 +1,6 @@
 //! Fleet membership, and the exchange of soft state between instances.
 //!
-//! Two sources tell which instances are live. The platform's list names every
+//! Two sources show which instances are live. The platform's list names every
 //! instance but lags by seconds. Direct evidence, a message that arrived or an
 //! exchange that failed, is recent but covers few peers. [`View`] combines both
 //! and never waits for agreement: a wrong view costs a failed call and never
--- a/crates/core/src/member/replay_window.rs
+++ b/crates/core/src/member/replay_window.rs
@@ -3,9 +3,10 @@
 //! An attacker who can read the network could record a message and send it
 //! again. A repeated state is harmless because it is merged, but a repeated
 //! announcement such as "this instance is leaving" is not, and answering costs
-//! time. A message is refused when its sequence number was already received or
-//! is too far behind the highest one, or when its timestamp is too far from the
-//! local clock. A restarted process has lost the sequence numbers that it
+//! time. A message is refused when it is from an earlier incarnation of its
+//! sender, when its sequence number was already received or is too far behind
+//! the highest one, or when its timestamp is too far from the local clock
+//! ([`is_timely`]). A restarted process has lost the sequence numbers that it
 //! received, and the timestamp bounds which messages can be replayed to it.
 
 use std::collections::BTreeMap;
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -19,7 +19,8 @@
 use crate::platform::{Change, Item, Platform, Progress, Rollout, ServerEntry, ServerState};
 use crate::server::Server;
 
-/// Maximum number of removed keys whose tombstones are kept, from which peers learn of the removal.
+/// Maximum number of tombstones, which pass the removal of keys on to peers. Above it, only about
+/// the newest half of this number is kept.
 const MAX_TOMBSTONES: usize = 512;
 
 /// An ordered roll-out and its state on this node.
@@ -67,6 +68,7 @@
     activated: Vec<(ChangeKind, u64)>,
     /// Addresses at which a server restarted, for [`take_restarted`](Self::take_restarted).
     restarted: Vec<SocketAddr>,
+    /// Last change of each key. A removed key has an item without a value, its tombstone.
     items: HashMap<String, Item>,
     /// Tombstones of revisions before this one were dropped.
     pruned_before: u64,
@@ -100,7 +102,8 @@
         true
     }
 
-    /// Applies a full read of the store as of `revision`: keys that it does not contain are removed.
+    /// Applies a full read of the store as of `revision`: keys that it does not contain are
+    /// removed, except those that changed after `revision`.
     pub fn replace(
         &mut self,
         now: Instant,
@@ -191,8 +194,9 @@
         items
     }
 
-    /// Ends the warm-up of servers whose time is over, and drops the servers whose entries vanished
-    /// in an outage and were not restored in time. Returns the number of dropped servers.
+    /// Ends the warm-up of servers whose warm-up time is over, drops the servers whose entries were
+    /// removed shortly after an outage of the store and not restored in time, and prunes the
+    /// tombstones. Returns the number of dropped servers.
     pub fn sweep(&mut self, now: Instant) -> usize {
         for server in self.servers.values_mut() {
             server.expire_cold(now);
@@ -213,7 +217,8 @@
         })
     }
 
-    /// Returns the number of nodes, including this one.
+    /// Returns the number of nodes that have an entry; at least 1, since the entry of this node may
+    /// not have arrived yet.
     #[must_use]
     pub fn node_count(&self) -> usize {
         self.nodes.len().max(1)
