--- a/crates/core/src/cascade/choose/explore.rs
+++ b/crates/core/src/cascade/choose/explore.rs
@@ -3,7 +3,7 @@
 use fescuerack_config::Class;
 
 use super::{Chooser, Refusal};
-use crate::cascade::estimate::BINS;
+use crate::cascade::estimate::RATING_HISTOGRAM_BINS;
 use crate::cascade::plan::{self, Basis, CERTAIN_MISS_ERRORS, Candidate, Constraints, Plan, Steps};
 
 impl Chooser<'_> {
@@ -84,14 +84,15 @@
         let Some(first) = cheaper else {
             return;
         };
-        let bins = f64::from(u32::try_from(BINS).unwrap_or(1));
+        let bins = f64::from(u32::try_from(RATING_HISTOGRAM_BINS).unwrap_or(1));
         let accept = (class.quality * bins).ceil() / bins;
         let steps = Steps::Cascade {
             first: first.version,
             second,
             accept,
         };
-        // The returned answer either was rated at the target or comes from the best plan.
+        // The returned answer either was rated at or above the target or comes from the version of
+        // the best plan, so the bound and the basis of that plan apply.
         plans.insert(0, Plan { steps, ..best });
     }
 }
--- a/crates/core/src/cascade/mod.rs
+++ b/crates/core/src/cascade/mod.rs
@@ -13,8 +13,8 @@
 //!   confidence bound of the cascade's quality meets the target, since a lower threshold escalates
 //!   less and so costs less.
 //! - [`choose()`] enforces the invariants: only allowed versions, none that is withdrawn, sessions
-//!   keep their version, and no plan's bound misses the target unless the organisation's
-//!   configuration permits it ([`Basis`] lists this and the other grounds).
+//!   keep their version unless it is withdrawn, and no plan's bound misses the target unless the
+//!   organisation's configuration or another ground in [`Basis`] permits it.
 //!
 //! While the rating service is down or slow, no cascade can be rated. What remains is the cheapest
 //! version whose bound meets the target by the estimates so far, usually a more expensive one: the
@@ -27,7 +27,7 @@
 mod token_bucket;
 
 pub use choose::{Choice, Context, Refusal, Request, Selector, choose};
-pub use estimate::{BINS, Estimate};
+pub use estimate::{Estimate, RATING_HISTOGRAM_BINS};
 pub use learner::{Digest, Learner, Report};
-pub use plan::{Basis, CONFIDENCE, Candidate, Constraints, Plan, Steps, plan};
+pub use plan::{Basis, Candidate, Constraints, LOWER_BOUND_STANDARD_ERRORS, Plan, Steps, plan};
 pub use token_bucket::{Purpose, TokenBucket};
