--- a/crates/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -79,8 +79,8 @@
 
 /// Formats seconds since the Unix epoch as a date and time in UTC.
 pub fn time(seconds: u64) -> String {
-    const DAY: u64 = 86_400;
-    let (days, rest) = (seconds / DAY, seconds % DAY);
+    const SECONDS_PER_DAY: u64 = 86_400;
+    let (days, rest) = (seconds / SECONDS_PER_DAY, seconds % SECONDS_PER_DAY);
     let (year, month, day) = date(days);
     let (hour, minute, second) = (rest / 3600, rest / 60 % 60, rest % 60);
     format!("{year:04}-{month:02}-{day:02} {hour:02}:{minute:02}:{second:02}Z")
--- a/crates/client/src/discovery.rs
+++ b/crates/client/src/discovery.rs
@@ -42,7 +42,7 @@
 const NOT_MODIFIED: u16 = 304;
 
 impl HttpDiscovery {
-    const TIMEOUT: Duration = Duration::from_secs(2);
+    const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
     /// Creates a client of the platform at `address`, in the form `host:port`.
     #[must_use]
@@ -69,7 +69,7 @@
         }
         let mut response = request
             .config()
-            .timeout_global(Some(Self::TIMEOUT))
+            .timeout_global(Some(Self::LIST_TIMEOUT))
             .build()
             .call()
             .map_err(|error| Fault::from_client(&error))?;
--- a/crates/client/src/rating.rs
+++ b/crates/client/src/rating.rs
@@ -25,7 +25,7 @@
 }
 
 impl HttpRater {
-    const TIMEOUT: Duration = Duration::from_secs(2);
+    const RATING_TIMEOUT: Duration = Duration::from_secs(2);
 
     /// Creates a client of the service at `address`, in the form `host:port`.
     #[must_use]
@@ -43,7 +43,7 @@
             .agent
             .post(&self.url)
             .config()
-            .timeout_global(Some(Self::TIMEOUT))
+            .timeout_global(Some(Self::RATING_TIMEOUT))
             .build()
             .send_json(request)
             .map_err(|error| Fault::from_client(&error))?;
--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -34,9 +34,10 @@
     waiters: BTreeMap<Ticket, oneshot::Sender<Decision>>,
 }
 
-/// Permit of a running request; dropping it frees it for the next request.
+/// Holds the permit of a running request, or the place in the queue of a waiting one; dropping the
+/// guard frees it for the next request.
 #[derive(Debug)]
-pub struct Permit {
+pub struct PermitGuard {
     gate: Gate,
     clock: Clock,
     status: Status,
@@ -134,8 +135,8 @@
     /// # Errors
     ///
     /// Why the caller is refused and when it may retry; nothing was run.
-    pub async fn admit(&self, clock: Clock, request: &Request) -> Result<Permit, Refusal> {
-        let mut permit = Permit {
+    pub async fn admit(&self, clock: Clock, request: &Request) -> Result<PermitGuard, Refusal> {
+        let mut permit = PermitGuard {
             gate: self.clone(),
             clock,
             status: Status::Released,
@@ -196,7 +197,7 @@
     }
 }
 
-impl Permit {
+impl PermitGuard {
     /// Returns the meter that records the request's progress.
     #[must_use]
     pub fn meter(&self) -> Meter {
@@ -206,7 +207,7 @@
 
 impl Inner {
     /// Wakes all waiters whose requests have been decided. A waiter that has been
-    /// cancelled returns its permit to the controller when its [`Permit`] is dropped.
+    /// cancelled returns its permit to the controller when its [`PermitGuard`] is dropped.
     fn wake_decided(&mut self, now: Instant) {
         for resolution in self.controller.poll(now, &mut self.rng) {
             let (ticket, decision) = match resolution {
@@ -220,7 +221,7 @@
     }
 }
 
-impl Drop for Permit {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
         let mut inner = lock(&self.gate.inner);
         let now = self.clock.now();
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -9,7 +9,7 @@
 
 use super::reply::Refusal;
 use super::request::Call;
-use crate::admission::Permit;
+use crate::admission::PermitGuard;
 use crate::node_state::{NodeState, lock};
 
 /// Priority of a request that names no class of work.
@@ -24,7 +24,7 @@
     shared: &NodeState,
     call: &Call,
     class: Option<key::Class>,
-) -> Result<Permit, Refusal> {
+) -> Result<PermitGuard, Refusal> {
     let request = admission_request(shared, call, class);
     check_rate(shared, call)?;
     let admitted = shared.gate.admit(shared.clock, &request).await;
--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -19,7 +19,7 @@
 use super::request::Call;
 use super::stream::{self, Stream};
 use super::{admit, billing};
-use crate::admission::Permit;
+use crate::admission::PermitGuard;
 use crate::node_state::{ActiveConfiguration, NodeState};
 
 /// A request that has been admitted.
@@ -30,7 +30,7 @@
     call: Call,
     choice: Choice,
     format: ResponseFormat,
-    permit: Permit,
+    permit: PermitGuard,
 }
 
 /// Answers a completion request.
--- a/crates/node/src/callers/stream.rs
+++ b/crates/node/src/callers/stream.rs
@@ -19,7 +19,7 @@
 use super::request::Call;
 use super::stream_body::{Sender, StreamBody};
 use super::upstream::Events;
-use crate::admission::Permit;
+use crate::admission::PermitGuard;
 use crate::node_state::{ActiveConfiguration, NodeState};
 
 /// An answer that is streamed to the caller.
@@ -41,7 +41,12 @@
 impl Stream {
     /// Starts to relay the answer and returns the reply; `permit` is held until
     /// the stream ends.
-    pub fn start(self, started: StartedAnswer, mut observer: Observer, permit: Permit) -> Reply {
+    pub fn start(
+        self,
+        started: StartedAnswer,
+        mut observer: Observer,
+        permit: PermitGuard,
+    ) -> Reply {
         let mut counter = UsageCounter::new();
         let mut first = BytesMut::new();
         self.add(started.first, &mut counter, &mut observer, &mut first);
