--- a/crates/cli/src/commands/ledger.rs
+++ b/crates/cli/src/commands/ledger.rs
@@ -56,7 +56,7 @@
     ]
 }
 
-/// Formats the sums of each organisation, each followed by the organisation's total.
+/// Formats the sums grouped by organisation; each group ends with the organisation's total.
 fn format_table(ledger: &admin::Ledger) -> String {
     let mut totals: BTreeMap<&str, admin::Sum> = BTreeMap::new();
     for sum in &ledger.sums {
--- a/crates/cli/src/commands/rollout.rs
+++ b/crates/cli/src/commands/rollout.rs
@@ -179,12 +179,14 @@
     model: String,
     current: String,
     candidate: Option<String>,
+    /// Share of new sessions at the stage in the configuration, from 0 to 1; 0 without a candidate.
     share: f64,
+    /// Stage in the configuration, from 0; instances may have advanced further.
     stage: usize,
     stages: Vec<f64>,
     paused: bool,
     exposure: u32,
-    /// State that an instance reports; absent if none answered or there is no candidate.
+    /// State that the first answering instance reports, if any; absent without a candidate.
     live: Option<live::Rollout>,
 }
 
--- a/crates/cli/src/commands/top.rs
+++ b/crates/cli/src/commands/top.rs
@@ -16,7 +16,7 @@
 
 /// Escape sequences that clear the screen and move the cursor to its first line.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
-/// Counters that are shown, at most.
+/// Maximum number of counters in the table; those that grow fastest are shown.
 const MAX_SHOWN_COUNTERS: usize = 24;
 
 /// Shows load, refusals and revisions of the named instances, again and again.
@@ -38,12 +38,12 @@
     instances: Vec<Row>,
     /// Roll-outs, as the first instance that answers reports them.
     rollouts: Vec<live::Rollout>,
-    /// Increase per second of each counter, summed over all instances, that has
-    /// grown since the last sample.
+    /// Increase per second of each counter, summed over the instances that
+    /// answered, that has grown since the last sample.
     rates: BTreeMap<String, f64>,
 }
 
-/// Row of one instance.
+/// State of one instance, as it is printed.
 #[derive(Debug, Serialize)]
 struct Row {
     address: String,
@@ -145,7 +145,8 @@
 ) -> BTreeMap<String, f64> {
     let seconds = elapsed.as_secs_f64().max(f64::EPSILON);
     let changed = new.iter().filter_map(|(name, value)| {
-        // A restarted instance counts from 0 again, so a sum may shrink.
+        // A restarted instance counts from 0 again and one that does not answer is left out, so a
+        // sum may shrink.
         let increase = value.saturating_sub(old.get(name).copied().unwrap_or(0));
         let increase = u32::try_from(increase).unwrap_or(u32::MAX);
         (increase > 0).then(|| (name.clone(), f64::from(increase) / seconds))
--- a/crates/cli/src/live.rs
+++ b/crates/cli/src/live.rs
@@ -15,7 +15,7 @@
     pub model: String,
     /// Share of new sessions that currently start on the candidate, from 0 to 1.
     pub share: f64,
-    /// Verdict of the instance on the candidate, and its reason.
+    /// Reason why the roll-out was halted, or else the verdict of the instance on the candidate.
     pub verdict: String,
 }
 
--- a/crates/cli/src/timeline.rs
+++ b/crates/cli/src/timeline.rs
@@ -1,7 +1,8 @@
 //! Timeline of one request, from the log lines of instances.
 //!
 //! It holds the lines with the request's identifier, events of the same
-//! instances that may explain them, and the line that decided the outcome.
+//! instances from around that time that may explain them, and the line that
+//! decided the outcome.
 
 use std::fmt::Write as _;
 
@@ -126,14 +127,15 @@
     Some(timeline)
 }
 
-/// Returns the start of the minute of the line's timestamp, so that the timeline includes events
+/// Returns the line's timestamp cut off after the minutes, so that the timeline includes events
 /// from shortly before the request.
 fn context_start(line: &Line) -> String {
     let timestamp = line.text("timestamp");
     timestamp.get(..17).unwrap_or(timestamp).to_owned()
 }
 
-/// Returns the outcome of the request and the line that decided it.
+/// Returns the outcome of the request and, unless it succeeded, the line that decided it if there
+/// is one.
 fn outcome(lines: &[&Line]) -> String {
     let last_with = |event: &str| lines.iter().rev().find(|line| line.text("event") == event);
     let last_line = last_with("stream").or(last_with("request"));
--- a/crates/client/src/drive.rs
+++ b/crates/client/src/drive.rs
@@ -5,10 +5,7 @@
 
 use crate::{Fault, Store, Swap};
 
-/// Clock of the protocols.
-///
-/// Its time is the wall-clock time at which the clock was created plus the time elapsed since
-/// then, so it never goes backwards.
+/// Clock of the protocols. Its time never goes backwards.
 pub trait Timer {
     /// Returns the current time.
     fn now(&self) -> Instant;
@@ -18,6 +15,9 @@
 }
 
 /// Clock of the operating system.
+///
+/// Its time is the wall-clock time at which the clock was created plus the time elapsed since
+/// then, so it never goes backwards.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
     started: std::time::Instant,
@@ -52,7 +52,8 @@
     }
 }
 
-/// Makes one call and returns its reply.
+/// Makes one call and returns its reply: [`Reply::Refused`] if the call had no effect,
+/// [`Reply::Lost`] if it may have had one.
 pub fn call(store: &dyn Store, call: Call) -> Reply {
     match call {
         Call::Get { key } => store
--- a/crates/client/src/store.rs
+++ b/crates/client/src/store.rs
@@ -36,8 +36,9 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Fault::Unknown`] if the write may have taken effect; the caller must read the key
-    /// before it decides what to do.
+    /// Returns a [`Fault`] if the outcome is unknown or nothing was written. After
+    /// [`Fault::Unknown`] and [`Fault::Malformed`] the write may have taken effect; the caller must
+    /// read the key before it decides what to do.
     fn swap(
         &self,
         key: &str,
@@ -87,7 +88,7 @@
 }
 
 impl HttpStore {
-    /// Maximum number of idle connections.
+    /// Maximum number of idle connections to the service.
     const MAX_IDLE_CONNECTIONS: usize = 16;
 
     /// Creates a client of the platform at `address`, in the form `host:port`. Its rate is
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Returns a client whose writes count against the rate of the ledger.
+    /// Returns a client whose writes count against the rate limit of ledger writes instead of that
+    /// of other writes.
     #[must_use]
     pub fn for_ledger(&self) -> Self {
         Self {
--- a/crates/config/src/change/mod.rs
+++ b/crates/config/src/change/mod.rs
@@ -59,8 +59,8 @@
         /// Keeps the current version instead of replacing it by the candidate.
         #[serde(default)]
         keep_current: bool,
-        /// Whether the collected evidence has advanced it to its last stage,
-        /// regardless of the stage in the files.
+        /// Whether instances have advanced the roll-out to its last stage by the
+        /// collected evidence, regardless of the stage in the files.
         #[serde(default)]
         stepped: bool,
     },
@@ -119,7 +119,7 @@
     /// Plain services that it may call.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub services: Option<Vec<String>>,
-    /// Share of capacity.
+    /// Share of capacity relative to other organisations.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<u32>,
     /// Whether it accepts an answer below the quality target rather than none.
--- a/crates/config/src/change/server.rs
+++ b/crates/config/src/change/server.rs
@@ -1,9 +1,8 @@
 //! Actions on backend servers: retiring one and adding it back.
 //!
 //! The platform's list defines which servers exist; the configuration lists
-//! only those that operators have retired. A server that was never retired has
-//! no entry, and adding one back means removing it from the list of retired
-//! servers.
+//! only those that operators have retired. A server that was never retired is
+//! not listed there, and adding a retired server back removes it from that list.
 
 use super::{Draft, Refusal, not_applicable};
 
--- a/crates/config/src/edit/mod.rs
+++ b/crates/config/src/edit/mod.rs
@@ -2,9 +2,10 @@
 //!
 //! Parsing a file and writing it again would lose its comments and its order,
 //! and the team that owns the file would no longer recognise it. These
-//! functions replace only the lines of one field or one entry. Each result is
-//! parsed again and compared with the requested content, so that an
-//! unsupported layout gives an error and never a wrong file.
+//! functions replace only the lines of one field or one entry, or of the whole
+//! section if it is on one line, is empty or becomes empty. Each result is
+//! parsed again and compared with the requested content, so that an unsupported
+//! layout gives an error and never a wrong file.
 
 mod emit;
 mod lines;
@@ -28,7 +29,8 @@
     Layout(String),
 }
 
-/// Sets one field of an entry, or removes it when `value` is `None`.
+/// Sets one field of an entry, or removes it when `value` is `None`. Rewrites the
+/// whole entry if the field cannot be changed alone.
 ///
 /// # Errors
 ///
@@ -132,7 +134,7 @@
     desired: Option<&Map<String, Json>>,
 ) -> String {
     let mut lines = Lines::new(text);
-    let Some(block) = root.field(section) else {
+    let Some(section_field) = root.field(section) else {
         let mut new = vec![format!("{section}:")];
         new.extend(
             desired
@@ -143,13 +145,15 @@
         lines.replace(end..end, &new);
         return lines.join();
     };
-    let entries = block.node.fields();
+    let entries = section_field.node.fields();
     let existing = entries.iter().find(|entry| entry.name == name);
-    let first = entries.first().filter(|first| first.line > block.line);
+    let first = entries
+        .first()
+        .filter(|first| first.line > section_field.line);
     let Some(first) = first else {
         // The whole section is on one line, or is empty: rewrite it.
-        let new = rewrite_section(block, section, name, desired);
-        let range = lines.block(block.line);
+        let new = rewrite_section(section_field, section, name, desired);
+        let range = lines.block(section_field.line);
         lines.replace(range, &new);
         return lines.join();
     };
@@ -160,12 +164,12 @@
     let mut range = if let Some(existing) = existing {
         lines.block(existing.line)
     } else {
-        let end = lines.block(block.line).end;
+        let end = lines.block(section_field.line).end;
         end..end
     };
     if desired.is_none() && entries.len() == 1 {
         new = vec![format!("{section}: {{}}")];
-        range = lines.block(block.line);
+        range = lines.block(section_field.line);
     }
     lines.replace(range, &new);
     lines.join()
@@ -173,12 +177,12 @@
 
 /// Returns the lines of a section with one entry added, replaced or removed.
 fn rewrite_section(
-    block: &Field,
+    section_field: &Field,
     section: &str,
     name: &str,
     desired: Option<&Map<String, Json>>,
 ) -> Vec<String> {
-    let mut all = match to_json(&block.node) {
+    let mut all = match to_json(&section_field.node) {
         Json::Object(entries) => entries,
         _ => Map::new(),
     };
--- a/crates/config/src/effect/organisations.rs
+++ b/crates/config/src/effect/organisations.rs
@@ -6,7 +6,8 @@
 use super::{Compiled, Effect, Kind, all_organisations, compare, compare_lists, push};
 use crate::File;
 
-/// Adds which organisations gain or lose a version, one effect for each version.
+/// Adds which organisations gain or lose a version: for each version, one effect
+/// for all that gain it and one for all that lose it.
 pub(super) fn versions(before: &Compiled<'_>, after: &Compiled<'_>, effects: &mut Vec<Effect>) {
     let mut by_version: BTreeMap<(Kind, String), Vec<String>> = BTreeMap::new();
     for organisation in all_organisations(before.file(), after.file()) {
@@ -86,7 +87,8 @@
     );
 }
 
-/// Adds which classes of work are answered by another version after the change.
+/// Adds which classes of work are answered by another version after the change,
+/// for organisations that exist before and after it.
 pub(super) fn classes(before: &Compiled<'_>, after: &Compiled<'_>, effects: &mut Vec<Effect>) {
     let mut moves: BTreeMap<(String, String, String), Vec<String>> = BTreeMap::new();
     let targets = before.file().targets.keys();
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -3,7 +3,8 @@
 //! Rules, in the order in which they apply:
 //!
 //! 1. Files are merged in the byte order of their names: `10-a.yaml` comes
-//!    before `9-b.yaml`. Only names that end in `.yaml` count.
+//!    before `9-b.yaml`. [`Folder::read`] ignores files whose names do not end
+//!    in `.yaml`.
 //! 2. An empty file is valid and adds nothing.
 //! 3. Several files may contain the same section; its entries are combined.
 //! 4. An entry (an organisation, a model, and so on) may appear in one file
@@ -62,7 +63,7 @@
 
     /// Returns the file and the line of the value at `path`, such as
     /// `organisations/a/allow/0`. A value that is absent from the text gets the
-    /// position of the closest enclosing value.
+    /// position of the closest enclosing value; the line is 0 if there is none.
     #[must_use]
     pub fn position(&self, path: &str) -> (&str, usize) {
         let file = self.owner(path).unwrap_or("");
